--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -61,7 +61,7 @@
 	applied     uint64
 	proxyAt     time.Time
 
-	list     []dispatch.Listed // nil if it is not known
+	list     []dispatch.BackendInfo // nil if it is not known
 	lists    lists
 	listFeed listFeed
 	phases   map[string]phaseNews
@@ -227,7 +227,7 @@
 		}
 		var whole *kvindex.Batch
 		err := a.ask(ctx, func() {
-			whole = a.index.Whole(request.Backend)
+			whole = a.index.Snapshot(request.Backend)
 			a.wholes.served++
 		})
 		if err == nil && whole == nil {
@@ -343,9 +343,9 @@
 		if changes >= feed.MostChanges {
 			return true
 		}
-		whole := a.index.Whole(id)
+		whole := a.index.Snapshot(id)
 		if whole == nil {
-			whole = &kvindex.Batch{Backend: id, Whole: true}
+			whole = &kvindex.Batch{Backend: id, Snapshot: true}
 		}
 		changes += len(whole.Changes)
 		reply.Batches = append(reply.Batches, whole)
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -129,7 +129,7 @@
 	}
 	for _, id := range a.index.Backends() {
 		if _, there := sources[id]; !there {
-			a.index.Forget(id)
+			a.index.Remove(id)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 		page, err := a.eventsPage(ctx, s, at)
 		if err == nil {
 			batch := batchOf(s.id, at, page)
-			if batch.Whole && page.Lost && time.Since(listed) > repairEvery {
+			if batch.Snapshot && page.Lost && time.Since(listed) > repairEvery {
 				listed = time.Now()
 				if whole, err := a.heldList(ctx, s); err == nil {
 					batch = whole
@@ -217,7 +217,7 @@
 		return nil, err
 	}
 	to := kvindex.Cursor{Epoch: list.Epoch, Next: list.Next}
-	batch := &kvindex.Batch{Backend: s.id, From: to, To: to, Whole: true}
+	batch := &kvindex.Batch{Backend: s.id, From: to, To: to, Snapshot: true}
 	for _, h := range list.Held {
 		batch.Changes = append(batch.Changes, kvindex.Change{Key: kvindex.KeyOf(h.Salt, h.Model, h.Part), Tokens: h.Tokens})
 	}
@@ -227,7 +227,7 @@
 // batchOf makes a batch of a page. One of another memory, or behind a gap, begins anew.
 func batchOf(id string, at kvindex.Cursor, page *eventsPage) *kvindex.Batch {
 	b := &kvindex.Batch{Backend: id, From: at, To: kvindex.Cursor{Epoch: page.Epoch, Next: page.Next}}
-	b.Whole = page.Epoch != at.Epoch || page.Lost
+	b.Snapshot = page.Epoch != at.Epoch || page.Lost
 	for _, e := range page.Events {
 		b.Changes = append(b.Changes, kvindex.Change{Key: kvindex.KeyOf(e.Salt, e.Model, e.Part), Tokens: e.Tokens})
 	}
@@ -236,13 +236,13 @@
 
 // ownBatch takes a batch that was read here, and has it spread.
 func (a *Agent) ownBatch(b *kvindex.Batch) {
-	if len(b.Changes) == 0 && !b.Whole && b.From == b.To {
+	if len(b.Changes) == 0 && !b.Snapshot && b.From == b.To {
 		return
 	}
 	if !a.index.Apply(b) {
 		return
 	}
-	b.Sum = a.index.Sum(b.Backend)
+	b.Digest = a.index.Digest(b.Backend)
 	a.keepBatch(b)
 	a.news.tell(&feed.News{Batches: []*kvindex.Batch{b}})
 }
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -19,7 +19,7 @@
 func indexed(backends, parts int) *Agent {
 	a := New(&local.Settings{NodeName: "f", IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
 	for i := range backends {
-		b := &kvindex.Batch{Backend: fmt.Sprint("i-", i), To: kvindex.Cursor{Epoch: 1, Next: 1}, Whole: true}
+		b := &kvindex.Batch{Backend: fmt.Sprint("i-", i), To: kvindex.Cursor{Epoch: 1, Next: 1}, Snapshot: true}
 		for k := range parts {
 			b.Changes = append(b.Changes, kvindex.Change{Key: kvindex.Key(i*parts + k), Tokens: 100})
 		}
@@ -34,7 +34,7 @@
 	b := &kvindex.Batch{Backend: backend, From: cursor, To: kvindex.Cursor{Epoch: cursor.Epoch, Next: cursor.Next + 1},
 		Changes: []kvindex.Change{{Key: kvindex.Key(key), Tokens: 7}}}
 	a.index.Apply(b)
-	b.Sum = a.index.Sum(backend)
+	b.Digest = a.index.Digest(backend)
 	a.batches = append(a.batches, b)
 	a.batchCount++
 }
@@ -72,7 +72,7 @@
 // TestAListThatChangesHoldsNothingUp: while the list, or the members, change with each call the index comes all the same.
 func TestAListThatChangesHoldsNothingUp(t *testing.T) {
 	a := indexed(10, 10)
-	a.list = []dispatch.Listed{{ID: "i-0"}}
+	a.list = []dispatch.BackendInfo{{ID: "i-0"}}
 	request := &feed.Request{Agent: a.self.ID}
 	for number := uint64(1); number <= 5; number++ {
 		a.listFeed.number = number
@@ -111,7 +111,7 @@
 			require.Less(t, round, 200)
 		}
 		for _, id := range a.index.Backends() {
-			require.Equal(t, a.index.Sum(id), proxy.Sum(id))
+			require.Equal(t, a.index.Digest(id), proxy.Digest(id))
 		}
 	}
 }
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -73,10 +73,10 @@
 }
 
 // readList reads all pages, and tells how many it asked for.
-func (a *Agent) readList(ctx context.Context) (list []dispatch.Listed, pages int, err error) {
+func (a *Agent) readList(ctx context.Context) (list []dispatch.BackendInfo, pages int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, listLimit)
 	defer cancel()
-	list, token := []dispatch.Listed{}, ""
+	list, token := []dispatch.BackendInfo{}, ""
 	for pages < listPages {
 		pages++
 		page, err := a.readPage(ctx, token)
@@ -124,8 +124,8 @@
 	return merry.Prepend(json.NewDecoder(io.LimitReader(answer.Body, listBytes)).Decode(into), "read "+target)
 }
 
-func listedOf(i *instance) dispatch.Listed {
-	l := dispatch.Listed{
+func listedOf(i *instance) dispatch.BackendInfo {
+	l := dispatch.BackendInfo{
 		ID: i.ID, Service: i.Service, Addr: i.Address, Zone: i.Zone, Slots: i.Slots,
 		Draining: i.State == draining, ColdMS: i.ColdMS,
 	}
--- a/internal/agent/listfeed.go
+++ b/internal/agent/listfeed.go
@@ -44,7 +44,7 @@
 // listAfter is what changed of it after a number, all of it where that is not known any more.
 func (a *Agent) listAfter(number uint64) *feed.List {
 	f := &a.listFeed
-	out := &feed.List{Number: f.number, Backends: []dispatch.Listed{}, Phases: map[string]string{}}
+	out := &feed.List{Number: f.number, Backends: []dispatch.BackendInfo{}, Phases: map[string]string{}}
 	if number >= f.wholeFrom {
 		out.Since = number
 	}
--- a/internal/agent/listfeed_test.go
+++ b/internal/agent/listfeed_test.go
@@ -18,14 +18,14 @@
 // proxyList is what a proxy makes of the lists it is told.
 type proxyList struct {
 	number   uint64
-	backends map[string]dispatch.Listed
+	backends map[string]dispatch.BackendInfo
 	phases   map[string]string
 }
 
 // take applies a list as the proxy does.
 func (p *proxyList) take(t *testing.T, list *feed.List) {
 	if list.Since == 0 {
-		p.backends, p.phases = map[string]dispatch.Listed{}, map[string]string{}
+		p.backends, p.phases = map[string]dispatch.BackendInfo{}, map[string]string{}
 	} else {
 		require.Equal(t, p.number, list.Since)
 	}
@@ -61,8 +61,8 @@
 	default:
 		list := slices.Clone(a.list)
 		for range 1 + random.IntN(4) {
-			entry := dispatch.Listed{ID: id(), Draining: random.IntN(2) == 0, Versions: map[string]int64{"m": int64(random.IntN(3))}}
-			at := slices.IndexFunc(list, func(l dispatch.Listed) bool { return l.ID == entry.ID })
+			entry := dispatch.BackendInfo{ID: id(), Draining: random.IntN(2) == 0, Versions: map[string]int64{"m": int64(random.IntN(3))}}
+			at := slices.IndexFunc(list, func(l dispatch.BackendInfo) bool { return l.ID == entry.ID })
 			switch {
 			case at < 0:
 				list = append(list, entry)
@@ -91,7 +91,7 @@
 			whole := a.listFor()
 			require.Len(t, proxy.backends, len(whole.Backends))
 			for _, l := range whole.Backends {
-				require.True(t, l.Same(new(proxy.backends[l.ID])), "seed %d, round %d", seed, round)
+				require.True(t, l.Equal(new(proxy.backends[l.ID])), "seed %d, round %d", seed, round)
 			}
 			require.True(t, maps.Equal(whole.Phases, proxy.phases), "seed %d, round %d: %v, want %v", seed, round, proxy.phases, whole.Phases)
 		}
@@ -101,9 +101,9 @@
 // TestOneChangeIsToldAsOne: each change of one backend, as at each order for new weights, had the proxy read the whole list.
 func TestOneChangeIsToldAsOne(t *testing.T) {
 	a := fleetOf(1, 1)[0]
-	var list []dispatch.Listed
+	var list []dispatch.BackendInfo
 	for i := range platformInstances {
-		list = append(list, dispatch.Listed{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("10.0.0.1:", i), Versions: map[string]int64{"m": 1}})
+		list = append(list, dispatch.BackendInfo{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("10.0.0.1:", i), Versions: map[string]int64{"m": 1}})
 	}
 	a.spreadList(time.Now(), list)
 	request := &feed.Request{Agent: a.self.ID, List: a.listFor().Number}
--- a/internal/agent/listplan_test.go
+++ b/internal/agent/listplan_test.go
@@ -62,12 +62,12 @@
 func TestChangesThatWereMissedAreAskedFor(t *testing.T) {
 	agents := fleetOf(1, 2)
 	reader, other := agents[0], agents[1]
-	list := []dispatch.Listed{{ID: "a"}, {ID: "b"}}
+	list := []dispatch.BackendInfo{{ID: "a"}, {ID: "b"}}
 	reader.spreadList(time.Now(), list)
 	other.toldList(reader.listSince(0), reader.self.Addr)
 	require.Equal(t, list, other.list)
 	for i := range 3 {
-		list = append(list, dispatch.Listed{ID: string(rune('c' + i))})
+		list = append(list, dispatch.BackendInfo{ID: string(rune('c' + i))})
 		reader.spreadList(time.Now(), list)
 	}
 	last := reader.lists.history[len(reader.lists.history)-1]
@@ -88,9 +88,9 @@
 func TestAnOlderReadingIsNotTaken(t *testing.T) {
 	agents := fleetOf(1, 2)
 	reader, other := agents[0], agents[1]
-	reader.spreadList(time.Now(), []dispatch.Listed{{ID: "a"}})
+	reader.spreadList(time.Now(), []dispatch.BackendInfo{{ID: "a"}})
 	old := reader.listSince(0)
-	reader.spreadList(time.Now(), []dispatch.Listed{{ID: "a", Draining: true}})
+	reader.spreadList(time.Now(), []dispatch.BackendInfo{{ID: "a", Draining: true}})
 	other.toldList(reader.listSince(0), reader.self.Addr)
 	other.toldList(old, reader.self.Addr)
 	require.True(t, other.list[0].Draining)
--- a/internal/agent/lists.go
+++ b/internal/agent/lists.go
@@ -44,7 +44,7 @@
 }
 
 // spreadList takes a list that was read here from a time on, and tells the others what changed.
-func (a *Agent) spreadList(read time.Time, list []dispatch.Listed) {
+func (a *Agent) spreadList(read time.Time, list []dispatch.BackendInfo) {
 	news := feed.WholeList(list)
 	if a.list != nil {
 		news = feed.ListChanges(a.list, a.lists.sum, list)
@@ -88,7 +88,7 @@
 }
 
 // setList puts a list in force, and keeps the news that led to it.
-func (a *Agent) setList(news *feed.ReadList, list []dispatch.Listed) {
+func (a *Agent) setList(news *feed.ReadList, list []dispatch.BackendInfo) {
 	if news.Sum == a.lists.sum {
 		return
 	}
--- a/internal/agent/news.go
+++ b/internal/agent/news.go
@@ -211,7 +211,7 @@
 
 // withBulk puts changes of kept prompts into news of loads, in trial builds that do not tell them apart.
 func (o *outgoing) withBulk(n *feed.News) {
-	if trial.Off(trial.NewsApart) {
+	if trial.Disabled(trial.SeparateLoadUpdates) {
 		n.Batches, o.batches = o.batches, nil
 	}
 }
@@ -342,7 +342,7 @@
 	others := make(map[string]dispatch.Load, len(x.all.loads))
 	for _, l := range x.agent.list {
 		key := feed.KeyOf(l.ID)
-		if load := x.all.loads[key].Minus(x.own.loads[key]); load != (dispatch.Load{}) {
+		if load := x.all.loads[key].Sub(x.own.loads[key]); load != (dispatch.Load{}) {
 			others[l.ID] = load
 		}
 	}
@@ -362,7 +362,7 @@
 	sum := map[feed.BackendKey]dispatch.Load{}
 	for _, s := range told {
 		for id, l := range s.loads {
-			sum[id] = sum[id].Plus(l)
+			sum[id] = sum[id].Add(l)
 		}
 	}
 	return sum
@@ -370,7 +370,7 @@
 
 func plus(a, b map[feed.BackendKey]dispatch.Load) map[feed.BackendKey]dispatch.Load {
 	for id, l := range b {
-		a[id] = a[id].Plus(l)
+		a[id] = a[id].Add(l)
 	}
 	return a
 }
--- a/internal/agent/news_test.go
+++ b/internal/agent/news_test.go
@@ -62,14 +62,14 @@
 	batch := &kvindex.Batch{Backend: "b", To: kvindex.Cursor{Epoch: 1, Next: 5}, Changes: []kvindex.Change{{Key: 7, Tokens: 100}}}
 	first.ownBatch(batch)
 	first.news.tell(&feed.News{Phases: map[string]feed.Phase{"b": {Name: dispatch.PhaseLoading}}})
-	first.spreadList(time.Now(), []dispatch.Listed{{ID: "b", Service: "s", Versions: map[string]int64{"m": 1}}})
+	first.spreadList(time.Now(), []dispatch.BackendInfo{{ID: "b", Service: "s", Versions: map[string]int64{"m": 1}}})
 	for i, a := range agents {
 		a.ownLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
 	}
 	link(agents)
 	sum := len(agents) * (len(agents) + 1) / 2
 	for i, a := range agents {
-		require.Equal(t, 1, a.index.Len(), a.self.Addr)
+		require.Equal(t, 1, a.index.PartCount(), a.self.Addr)
 		require.Equal(t, sum-(i+1), a.news.others()["b"].Running, "what all others have, by %s", a.self.Addr)
 		if a != first {
 			require.Equal(t, dispatch.PhaseLoading, a.phases["b"].Name)
@@ -94,9 +94,9 @@
 func TestAnEndedLoadIsTold(t *testing.T) {
 	agents := fleetOf(2, 2)
 	for _, a := range agents {
-		a.list = []dispatch.Listed{{ID: "b"}}
+		a.list = []dispatch.BackendInfo{{ID: "b"}}
 	}
-	agents[0].ownLoads = map[string]dispatch.Load{"b": {Running: 2, Waiting: 30}}
+	agents[0].ownLoads = map[string]dispatch.Load{"b": {Running: 2, QueuedPrefillMS: 30}}
 	link(agents)
 	require.Equal(t, 2, agents[3].news.others()["b"].Running)
 	agents[0].ownLoads = nil
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -65,13 +65,13 @@
 
 // behind gives the backends whose weights are older than a version, those first whose weights are the oldest: they are the first that may
 // get nothing more. A version that is named while the one before is on its way so begins with what that one has not reached.
-func (a *Agent) behind(model string, version int64) (behind []dispatch.Listed) {
+func (a *Agent) behind(model string, version int64) (behind []dispatch.BackendInfo) {
 	for _, l := range a.listFor().Backends {
 		if has, serves := l.Versions[model]; serves && has < version {
 			behind = append(behind, l)
 		}
 	}
-	slices.SortStableFunc(behind, func(x, y dispatch.Listed) int { return cmp.Compare(x.Versions[model], y.Versions[model]) })
+	slices.SortStableFunc(behind, func(x, y dispatch.BackendInfo) int { return cmp.Compare(x.Versions[model], y.Versions[model]) })
 	return behind
 }
 
@@ -100,7 +100,7 @@
 	confirmed := time.Now()
 	for ctx.Err() == nil {
 		var version int64
-		var behind []dispatch.Listed
+		var behind []dispatch.BackendInfo
 		var mine bool
 		var serving int
 		if r.agent.ask(ctx, func() {
@@ -125,7 +125,7 @@
 			}
 		}
 		if mine {
-			r.start(ctx, behind, version, max(1, int(float64(serving)*trial.Scale(trial.AtOnce)/atOnceShare)))
+			r.start(ctx, behind, version, max(1, int(float64(serving)*trial.Scale(trial.RolloutConcurrency)/atOnceShare)))
 		}
 		select {
 		case id := <-r.finished:
@@ -147,7 +147,7 @@
 }
 
 // start takes the next backends out of service: as many as may load at once, and as many that are emptied meanwhile.
-func (r *rollout) start(ctx context.Context, behind []dispatch.Listed, version int64, atOnce int) {
+func (r *rollout) start(ctx context.Context, behind []dispatch.BackendInfo, version int64, atOnce int) {
 	for _, l := range behind {
 		if len(r.under) >= underShare*atOnce {
 			return
@@ -161,7 +161,7 @@
 }
 
 // one brings a backend to a version.
-func (r *rollout) one(ctx context.Context, l dispatch.Listed, version int64) {
+func (r *rollout) one(ctx context.Context, l dispatch.BackendInfo, version int64) {
 	defer func() { r.finished <- l.ID }()
 	state := r.weights(ctx, l, version)
 	if state == weightsOld {
@@ -182,7 +182,7 @@
 }
 
 // emptyAndOrder takes a backend out of service, waits until nothing waits there, and gives the order.
-func (r *rollout) emptyAndOrder(ctx context.Context, l dispatch.Listed, version int64) error {
+func (r *rollout) emptyAndOrder(ctx context.Context, l dispatch.BackendInfo, version int64) error {
 	r.phase(l.ID, feed.Phase{Name: dispatch.PhaseEmptying})
 	r.awaitBegun(ctx, l.ID)
 	if err := r.order(ctx, l, version); err != nil {
@@ -194,7 +194,7 @@
 
 // awaitLoaded waits until a backend has a version. Its report is older than an order that was just taken; where another holder gave the order, a
 // backend that loads nothing any more and has not the version is to be ordered anew.
-func (r *rollout) awaitLoaded(ctx context.Context, l dispatch.Listed, version int64, ordered bool) bool {
+func (r *rollout) awaitLoaded(ctx context.Context, l dispatch.BackendInfo, version int64, ordered bool) bool {
 	for began := time.Now(); time.Since(began) < loadLimit && ctx.Err() == nil; {
 		time.Sleep(reportEvery)
 		switch r.weights(ctx, l, version) {
@@ -214,7 +214,7 @@
 	time.Sleep(emptyLeast)
 	for began := time.Now(); time.Since(began) < emptyMost && ctx.Err() == nil; time.Sleep(emptyEvery) {
 		waiting := 0
-		if r.agent.ask(ctx, func() { waiting = r.agent.news.others()[id].Plus(r.agent.ownLoads[id]).Waiting }) != nil || waiting <= 0 {
+		if r.agent.ask(ctx, func() { waiting = r.agent.news.others()[id].Add(r.agent.ownLoads[id]).QueuedPrefillMS }) != nil || waiting <= 0 {
 			return
 		}
 	}
@@ -230,7 +230,7 @@
 	Fence     uint64 `json:"fence"`
 }
 
-func (r *rollout) order(ctx context.Context, l dispatch.Listed, version int64) error {
+func (r *rollout) order(ctx context.Context, l dispatch.BackendInfo, version int64) error {
 	body, err := json.Marshal(versionOrder{"version", r.model, version, "wait", r.agent.self.ID, r.lease.fence()})
 	if err != nil {
 		return err
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -22,9 +22,9 @@
 func TestTheOldestWeightsAreExchangedFirst(t *testing.T) {
 	a := fleetOf(1, 1)[0]
 	for id, version := range map[string]int64{"a": 2, "b": 1, "c": 3, "d": 1, "e": 2} {
-		a.list = append(a.list, dispatch.Listed{ID: id, Versions: map[string]int64{"m": version}})
+		a.list = append(a.list, dispatch.BackendInfo{ID: id, Versions: map[string]int64{"m": version}})
 	}
-	a.list = append(a.list, dispatch.Listed{ID: "other", Versions: map[string]int64{"n": 1}}, dispatch.Listed{ID: "plain"})
+	a.list = append(a.list, dispatch.BackendInfo{ID: "other", Versions: map[string]int64{"n": 1}}, dispatch.BackendInfo{ID: "plain"})
 	var versions []int64
 	for _, l := range a.behind("m", 3) {
 		versions = append(versions, l.Versions["m"])
@@ -71,9 +71,9 @@
 }
 
 // backends gives a list of backends that have one version of model m.
-func backends(version int64, ids ...string) (list []dispatch.Listed) {
+func backends(version int64, ids ...string) (list []dispatch.BackendInfo) {
 	for _, id := range ids {
-		list = append(list, dispatch.Listed{ID: id, Versions: map[string]int64{"m": version}})
+		list = append(list, dispatch.BackendInfo{ID: id, Versions: map[string]int64{"m": version}})
 	}
 	return list
 }
@@ -133,7 +133,7 @@
 	l := backends(1, "b")[0]
 	l.Addr = backend.Listener.Addr().String()
 	a := fleetOf(1, 1)[0]
-	a.list = []dispatch.Listed{l}
+	a.list = []dispatch.BackendInfo{l}
 	r := &rollout{agent: a, model: "m", lease: &lease{state: duty.New(duty.Terms{}, 7)}, finished: make(chan string, 1)}
 	r.one(context.Background(), l, 2)
 	(<-a.commands)() // the phase
@@ -166,7 +166,7 @@
 	r := &rollout{agent: a, model: "m", lease: l}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.ErrorIs(t, r.order(ctx, dispatch.Listed{ID: "b", Addr: backend.Listener.Addr().String()}, 2), context.Canceled)
+	require.ErrorIs(t, r.order(ctx, dispatch.BackendInfo{ID: "b", Addr: backend.Listener.Addr().String()}, 2), context.Canceled)
 	require.Zero(t, orders.Load())
 	require.Zero(t, l.opensIn(a.now()+3*time.Hour))
 }
--- a/internal/agent/web_test.go
+++ b/internal/agent/web_test.go
@@ -137,7 +137,7 @@
 	held := &lease{state: duty.New(duty.Terms{Act: time.Hour, Apart: time.Second, Flight: time.Second}, 0)}
 	require.True(t, held.confirmed(duty.Confirmation{Now: a.now(), Fence: 7}))
 	r := &rollout{agent: a, model: "m", lease: held}
-	backend := dispatch.Listed{ID: "i-1", Addr: listener.Addr().String()}
+	backend := dispatch.BackendInfo{ID: "i-1", Addr: listener.Addr().String()}
 	if kept {
 		require.NoError(t, r.order(ctx, backend, 2))
 	}
--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -26,7 +26,7 @@
 )
 
 // weights asks a backend how far it is on its way to a version.
-func (r *rollout) weights(ctx context.Context, l dispatch.Listed, version int64) weightsState {
+func (r *rollout) weights(ctx context.Context, l dispatch.BackendInfo, version int64) weightsState {
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
 	defer cancel()
 	var state report
--- a/internal/agent/wholes_test.go
+++ b/internal/agent/wholes_test.go
@@ -34,7 +34,7 @@
 	most := 0
 	for _, a := range f.agents {
 		if f.stops[a] != nil {
-			require.NoError(f.t, a.ask(context.Background(), func() { parts[a] = a.index.Len() }))
+			require.NoError(f.t, a.ask(context.Background(), func() { parts[a] = a.index.PartCount() }))
 			most = max(most, parts[a])
 		}
 	}
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -20,7 +20,7 @@
 )
 
 // Listed is a backend as the platform's list has it, with what the fleet knows beyond.
-type Listed struct {
+type BackendInfo struct {
 	ID       string           `cbor:"1,keyasint"`
 	Service  string           `cbor:"2,keyasint"`
 	Addr     string           `cbor:"3,keyasint"`
@@ -32,71 +32,71 @@
 }
 
 // Same tells whether two entries say the same.
-func (l *Listed) Same(o *Listed) bool {
+func (l *BackendInfo) Equal(o *BackendInfo) bool {
 	return l.ID == o.ID && l.Service == o.Service && l.Addr == o.Addr && l.Zone == o.Zone && l.Slots == o.Slots &&
 		l.Draining == o.Draining && l.ColdMS == o.ColdMS && maps.Equal(l.Versions, o.Versions)
 }
 
 // Load is what a mixer has at a backend.
 type Load struct {
-	_       struct{} `cbor:",toarray"`
-	Running int
-	Waiting int // ms of reading, for requests that have not begun to answer
-	Tokens  int // that its requests hold in memory
+	_               struct{} `cbor:",toarray"`
+	Running         int
+	QueuedPrefillMS int // ms of reading, for requests that have not begun to answer
+	Tokens          int // that its requests hold in memory
 }
 
 // Minus takes a part out of a sum that may be older or newer than the part: nothing of it becomes negative.
-func (l Load) Minus(o Load) Load {
+func (l Load) Sub(o Load) Load {
 	return Load{
-		Running: max(0, l.Running-o.Running), Waiting: max(0, l.Waiting-o.Waiting),
+		Running: max(0, l.Running-o.Running), QueuedPrefillMS: max(0, l.QueuedPrefillMS-o.QueuedPrefillMS),
 		Tokens: max(0, l.Tokens-o.Tokens),
 	}
 }
 
 // Plus adds loads.
-func (l Load) Plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, Waiting: l.Waiting + o.Waiting, Tokens: l.Tokens + o.Tokens}
+func (l Load) Add(o Load) Load {
+	return Load{Running: l.Running + o.Running, QueuedPrefillMS: l.QueuedPrefillMS + o.QueuedPrefillMS, Tokens: l.Tokens + o.Tokens}
 }
 
 // Backend is one that requests may be sent to.
 type Backend struct {
-	Listed
-	expected  map[kvindex.Key]time.Duration // parts that requests of ours are having read here, until when that is believed
-	coldUntil time.Duration
-	phase     string
-	own       Load
-	others    Load
-	fetching  int           // requests of ours that name it as holder and have not begun to answer
-	latency   float64       // ms that an answer takes, moving mean; 0 if none is known
-	failures  int           // in a row
-	avoid     time.Duration // until when it is avoided for them
-	trial     bool          // a request is out that shows whether it is back
-	pending   int           // requests of ours that have not begun to answer
-	progress  time.Duration // when it was last heard from, or the first of those sent
-	coldNext  time.Duration // when the next request may be sent to it while it is cold
-	coldShare time.Duration // between two of them, 0 if this mixer has no share; as of sharedIn
-	sharedIn  uint64        // number of the shares that coldShare is of
+	BackendInfo
+	prefilling           map[kvindex.Key]time.Duration // parts that requests of ours are having read here, until when that is believed
+	coldUntil            time.Duration
+	phase                string
+	ownLoad              Load
+	otherLoad            Load
+	pendingFetches       int           // requests of ours that name it as holder and have not begun to answer
+	latencyMS            float64       // ms that an answer takes, moving mean; 0 if none is known
+	consecutiveFailures  int           // in a row
+	avoidUntil           time.Duration // until when it is avoided for them
+	probing              bool          // a request is out that shows whether it is back
+	awaitingFirstByte    int           // requests of ours that have not begun to answer
+	lastProgress         time.Duration // when it was last heard from, or the first of those sent
+	nextColdSend         time.Duration // when the next request may be sent to it while it is cold
+	coldInterval         time.Duration // between two of them, 0 if this mixer has no share; as of sharedIn
+	coldIntervalRevision uint64        // number of the shares that coldShare is of
 }
 
 // quiet reports whether a request is expected to wait so little at a backend that its answer tells how fast the backend is. In a busy fleet a
 // mixer hardly ever meets a backend with nothing at all to do.
-func (b *Backend) quiet(waitMS float64) bool {
-	if trial.Off(trial.QuietLearning) {
-		return b.own.Running == 0 && b.others.Running == 0
+func (b *Backend) nearlyIdle(waitMS float64) bool {
+	if trial.Disabled(trial.LearnWhenNearlyIdle) {
+		return b.ownLoad.Running == 0 && b.otherLoad.Running == 0
 	}
-	return waitMS <= quietWaitMS
+	return waitMS <= nearlyIdleWaitMS
 }
 
 // engine tells whether requests for a service are generations.
-func engine(s *config.Service) bool { return s != nil && s.Engine != nil }
+func hasEngine(s *config.Service) bool { return s != nil && s.Engine != nil }
 
 // dead is the failures in a row from which a backend is avoided.
-const dead = 1
+const failureThreshold = 1
 
 // avoidance is how long a backend is avoided after so many failures in a row.
-func avoidance(failures int) time.Duration {
-	if failures < dead {
+func failureBackoff(failures int) time.Duration {
+	if failures < failureThreshold {
 		return 0
 	}
-	return min(500*time.Millisecond<<min(failures-dead, 4), 4*time.Second)
+	return min(500*time.Millisecond<<min(failures-failureThreshold, 4), 4*time.Second)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -14,158 +14,158 @@
 	"nettlefold/internal/superseded"
 )
 
-const document = `{"version":1,"routes":[],"services":[
+const testConfig = `{"version":1,"routes":[],"services":[
  {"name":"llm","connection_limit":100,"cold_start_s":3,"cold_per_s":6,"engine":{"slots":64,"kv_capacity_tokens":180000,"kv_token_bytes":35136,"link_mbps":740000}},
  {"name":"plain","connection_limit":100},
  {"name":"vault","kv_store_address":"172.20.0.2:8781","zone":"a"}]}`
 
-var settings = Settings{
+var testSettings = Settings{
 	Zone: "a", VersionLimit: 10 * time.Second, ColdOvershoot: 1.5, ColdSlack: 5,
-	RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second, CloudLag: 800 * time.Millisecond,
+	RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, RetryBudgetWindow: 10 * time.Second, DiscoveryLag: 800 * time.Millisecond,
 }
 
-func backend(n int, version int64) Listed {
-	return Listed{ID: fmt.Sprint("b", n), Service: "llm", Addr: fmt.Sprintf("10.0.0.%d:80", n), Zone: "a", Slots: 64, Versions: map[string]int64{"m": version}}
+func backendInfo(n int, version int64) BackendInfo {
+	return BackendInfo{ID: fmt.Sprint("b", n), Service: "llm", Addr: fmt.Sprintf("10.0.0.%d:80", n), Zone: "a", Slots: 64, Versions: map[string]int64{"m": version}}
 }
 
-func newTable(t testing.TB, list ...Listed) *Table {
+func newTable(t testing.TB, list ...BackendInfo) *Table {
 	t.Helper()
-	doc, err := config.Parse([]byte(document))
+	doc, err := config.Parse([]byte(testConfig))
 	require.NoError(t, err)
-	table := New(0, settings, rand.New(rand.NewPCG(1, 1)))
+	table := New(0, testSettings, rand.New(rand.NewPCG(1, 1)))
 	table.SetConfig(config.Compile(doc))
 	table.SetMembers(Members{Self: "me", All: []string{"me", "other"}})
 	table.SetBackends(0, list, nil)
 	return table
 }
 
-var parts = []kvindex.Part{{ID: "sys", Tokens: 1000}, {ID: "manual", Tokens: 12000}, {ID: "own", Tokens: 3000}}
+var testParts = []kvindex.Part{{ID: "sys", Tokens: 1000}, {ID: "manual", Tokens: 12000}, {ID: "own", Tokens: 3000}}
 
-func prompted() *Request {
-	return &Request{Service: "llm", Model: "m", Parts: parts, Prompt: 16000, Bytes: 1000}
+func promptRequest() *Request {
+	return &Request{Service: "llm", Model: "m", Parts: testParts, PromptTokens: 16000, BodyBytes: 1000}
 }
 
 // keeps has a backend keep the first n parts under a salt.
-func keeps(table *Table, id, salt string, n int) {
-	b := &kvindex.Batch{Backend: id, Whole: true}
-	for i, key := range kvindex.Keys(salt, "m", parts)[:n] {
-		b.Changes = append(b.Changes, kvindex.Change{Key: key, Tokens: parts[i].Tokens})
+func setCachedParts(table *Table, id, salt string, n int) {
+	b := &kvindex.Batch{Backend: id, Snapshot: true}
+	for i, key := range kvindex.Keys(salt, "m", testParts)[:n] {
+		b.Changes = append(b.Changes, kvindex.Change{Key: key, Tokens: testParts[i].Tokens})
 	}
 	table.Index().Apply(b)
 }
 
-func TestWhoKeepsThePromptServesIt(t *testing.T) {
-	table := newTable(t, backend(1, 1), backend(2, 1), backend(3, 1))
-	keeps(table, "b2", "v1", 2)
-	c := table.Pick(0, prompted())
+func TestPickPrefersBackendWithCachedPrompt(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1), backendInfo(2, 1), backendInfo(3, 1))
+	setCachedParts(table, "b2", "v1", 2)
+	c := table.Pick(0, promptRequest())
 	require.Equal(t, "b2", c.ID)
-	require.Empty(t, c.Fetch)
+	require.Empty(t, c.FetchAddr)
 	require.Equal(t, "v1", c.Salt)
 	require.Equal(t, int64(1), c.Version)
 }
 
-func TestABusyHolderIsFetchedFrom(t *testing.T) {
-	table := newTable(t, backend(1, 1), backend(2, 1))
-	keeps(table, "b2", "v1", 2)
-	table.SetLoads(map[string]Load{"b2": {Running: 10, Waiting: 3000}})
-	c := table.Pick(0, prompted())
+func TestPickFetchesFromBusyHolder(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1), backendInfo(2, 1))
+	setCachedParts(table, "b2", "v1", 2)
+	table.SetOtherLoads(map[string]Load{"b2": {Running: 10, QueuedPrefillMS: 3000}})
+	c := table.Pick(0, promptRequest())
 	require.Equal(t, "b1", c.ID)
-	require.Equal(t, "10.0.0.2:80", c.Fetch)
+	require.Equal(t, "10.0.0.2:80", c.FetchAddr)
 }
 
-// TestHoldersAreWaterFilled holds the pick to the rule: the least own count, raised with each pick, lowered when an answer begins or the
+// TestPickWaterFillsHolders holds the pick to the rule: the least own count, raised with each pick, lowered when an answer begins or the
 // attempt ends, whatever way.
-func TestHoldersAreWaterFilled(t *testing.T) {
-	table := newTable(t, backend(1, 1), backend(2, 1), backend(3, 1), backend(4, 1))
+func TestPickWaterFillsHolders(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1), backendInfo(2, 1), backendInfo(3, 1), backendInfo(4, 1))
 	holders := map[string]bool{"b2": true, "b3": true, "b4": true}
 	for id := range holders {
-		keeps(table, id, "v1", 2)
+		setCachedParts(table, id, "v1", 2)
 	}
-	table.SetLoads(map[string]Load{"b2": {Waiting: 60000}, "b3": {Waiting: 60000}, "b4": {Waiting: 60000}})
+	table.SetOtherLoads(map[string]Load{"b2": {QueuedPrefillMS: 60000}, "b3": {QueuedPrefillMS: 60000}, "b4": {QueuedPrefillMS: 60000}})
 	counts := map[string]int{}
 	var choices []*Choice
 	for range 9 {
-		c := table.Pick(0, prompted())
+		c := table.Pick(0, promptRequest())
 		require.Equal(t, "b1", c.ID)
 		choices = append(choices, c)
-		counts[c.Fetch]++
+		counts[c.FetchAddr]++
 	}
 	require.Equal(t, map[string]int{"10.0.0.2:80": 3, "10.0.0.3:80": 3, "10.0.0.4:80": 3}, counts)
 	for i, c := range choices {
 		if i%2 == 0 {
-			table.Began(0, c, "llm")
+			table.RecordFirstByte(0, c, "llm")
 		}
-		table.End(0, c, []Outcome{Done, Refused, Failed, Cancelled, Misplaced}[i%5])
-		table.End(0, c, Done) // a second end counts for nothing
+		table.End(0, c, []Outcome{Completed, Refused, Failed, Cancelled, WrongInstance}[i%5])
+		table.End(0, c, Completed) // a second end counts for nothing
 	}
 	for id := range holders {
-		require.Zero(t, table.Backend(id).fetching, id)
+		require.Zero(t, table.Backend(id).pendingFetches, id)
 	}
-	require.Equal(t, Load{}, table.Backend("b1").own)
-	require.Zero(t, table.Backend("b1").pending)
+	require.Equal(t, Load{}, table.Backend("b1").ownLoad)
+	require.Zero(t, table.Backend("b1").awaitingFirstByte)
 }
 
-func TestOnlyFitHoldersAreNamed(t *testing.T) {
+func TestPickSkipsUnusableHolders(t *testing.T) {
 	for name, spoil := range map[string]func(table *Table){
 		"evacuated": func(table *Table) { table.SetState(0, map[string]uint64{"z": 1}, nil, nil, nil) },
 		"draining": func(table *Table) {
-			l := backend(2, 1)
+			l := backendInfo(2, 1)
 			l.Zone, l.Draining = "z", true
-			table.SetBackends(0, []Listed{backend(1, 1), l}, nil)
+			table.SetBackends(0, []BackendInfo{backendInfo(1, 1), l}, nil)
 		},
 		"loading": func(table *Table) {
-			table.SetBackends(0, []Listed{backend(1, 1), inZ(backend(2, 1))}, map[string]string{"b2": PhaseLoading})
+			table.SetBackends(0, []BackendInfo{backendInfo(1, 1), inZoneZ(backendInfo(2, 1))}, map[string]string{"b2": PhaseLoading})
 		},
-		"gone":               func(table *Table) { table.SetBackends(0, []Listed{backend(1, 1)}, nil) },
-		"of another version": func(table *Table) { table.Index().Forget("b2"); keeps(table, "b2", "v0", 2) },
-		"of a walled tenant": func(table *Table) { table.Index().Forget("b2"); keeps(table, "b2", "v1/t9", 2) },
+		"gone":               func(table *Table) { table.SetBackends(0, []BackendInfo{backendInfo(1, 1)}, nil) },
+		"of another version": func(table *Table) { table.Index().Remove("b2"); setCachedParts(table, "b2", "v0", 2) },
+		"of a walled tenant": func(table *Table) { table.Index().Remove("b2"); setCachedParts(table, "b2", "v1/t9", 2) },
 		"failing": func(table *Table) {
-			c := table.Pick(0, &Request{Service: "llm", Model: "m", Parts: parts, Tried: []string{"b1"}})
+			c := table.Pick(0, &Request{Service: "llm", Model: "m", Parts: testParts, TriedBackends: []string{"b1"}})
 			table.End(0, c, Failed)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			table := newTable(t, backend(1, 1), inZ(backend(2, 1)))
-			keeps(table, "b2", "v1", 2)
-			table.SetLoads(map[string]Load{"b2": {Waiting: 60000}})
-			require.Equal(t, "10.0.0.2:80", table.Pick(0, prompted()).Fetch, "fit before")
+			table := newTable(t, backendInfo(1, 1), inZoneZ(backendInfo(2, 1)))
+			setCachedParts(table, "b2", "v1", 2)
+			table.SetOtherLoads(map[string]Load{"b2": {QueuedPrefillMS: 60000}})
+			require.Equal(t, "10.0.0.2:80", table.Pick(0, promptRequest()).FetchAddr, "fit before")
 			spoil(table)
-			c := table.Pick(100*time.Millisecond, prompted())
+			c := table.Pick(100*time.Millisecond, promptRequest())
 			require.Equal(t, "b1", c.ID)
-			require.Empty(t, c.Fetch)
+			require.Empty(t, c.FetchAddr)
 		})
 	}
 }
 
-func inZ(l Listed) Listed {
+func inZoneZ(l BackendInfo) BackendInfo {
 	l.Zone = "z"
 	return l
 }
 
-func TestWallsHaveSaltsOfTheirOwn(t *testing.T) {
-	table := newTable(t, backend(1, 1))
-	r := prompted()
-	r.Wall = "tenant"
+func TestIsolatedTenantSalt(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1))
+	r := promptRequest()
+	r.IsolatedTenant = "tenant"
 	require.Equal(t, "v1/tenant", table.Pick(0, r).Salt)
 }
 
-// TestOldWeightsGetNothingNearTheirLimit goes through the time of a version.
-func TestOldWeightsGetNothingNearTheirLimit(t *testing.T) {
-	table := newTable(t, backend(1, 1), backend(2, 2))
+// TestPickStopsSupersededVersionBeforeLimit goes through the time of a version.
+func TestPickStopsSupersededVersionBeforeLimit(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1), backendInfo(2, 2))
 	table.SetState(time.Second, nil, nil, map[string]replicated.Model{"m": {Version: 2}}, map[string]superseded.Times{"m": superseded.Times{}.With(2, time.Second)})
-	only := &Request{Service: "llm", Model: "m", Tried: []string{"b2"}}
+	only := &Request{Service: "llm", Model: "m", TriedBackends: []string{"b2"}}
 	c := table.Pick(2*time.Second, only)
 	require.NotNil(t, c)
-	require.Greater(t, table.BeginBy(c), 10*time.Second)
-	require.Less(t, table.BeginBy(c), 11*time.Second, "what has not begun is taken back before the limit")
+	require.Greater(t, table.FirstByteDeadline(c), 10*time.Second)
+	require.Less(t, table.FirstByteDeadline(c), 11*time.Second, "what has not begun is taken back before the limit")
 	require.Nil(t, table.Pick(10*time.Second, only))
-	fresh := newTable(t, backend(1, 1), backend(2, 2))
+	fresh := newTable(t, backendInfo(1, 1), backendInfo(2, 2))
 	fresh.SetState(0, nil, nil, map[string]replicated.Model{"m": {Version: 2}}, nil)
 	require.Nil(t, fresh.Pick(0, only), "who cannot tell its age takes it for overdue")
 }
 
-// TestColdBackendsBearTheSum counts, over any second, what all mixers send to a cold backend, also through new lives of processes.
-func TestColdBackendsBearTheSum(t *testing.T) {
+// TestColdBackendRateAcrossMixers counts, over any second, what all mixers send to a cold backend, also through new lives of processes.
+func TestColdBackendRateAcrossMixers(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 72, 400} {
 		var members []string
 		for i := range n {
@@ -174,19 +174,19 @@
 		var sent []time.Duration
 		for _, self := range members {
 			for life := range 2 { // each is killed and starts again
-				table := newTable(t, backend(1, 1))
+				table := newTable(t, backendInfo(1, 1))
 				table.started = time.Duration(life) * 1500 * time.Millisecond
 				table.SetMembers(Members{Self: self, All: members})
-				cold := backend(1, 1)
+				cold := backendInfo(1, 1)
 				cold.ColdMS = 60000
-				table.SetBackends(table.started, []Listed{cold}, nil)
+				table.SetBackends(table.started, []BackendInfo{cold}, nil)
 				for now := table.started; now < table.started+6*time.Second; now += 20 * time.Millisecond {
 					if life == 0 && now >= 1500*time.Millisecond {
 						break
 					}
 					if c := table.Pick(now, &Request{Service: "llm", Model: "m"}); c != nil {
 						sent = append(sent, now)
-						table.End(now, c, Done)
+						table.End(now, c, Completed)
 					}
 				}
 			}
@@ -206,8 +206,8 @@
 	}
 }
 
-// TestRetryBudgetIsASum spends all that every mixer may, killed and new ones too, within one window.
-func TestRetryBudgetIsASum(t *testing.T) {
+// TestRetryBudgetAcrossMixers spends all that every mixer may, killed and new ones too, within one window.
+func TestRetryBudgetAcrossMixers(t *testing.T) {
 	for _, n := range []int{1, 9, 72} {
 		var members []string
 		for i := range n {
@@ -219,10 +219,10 @@
 				table := newTable(t)
 				table.SetMembers(Members{Self: self, All: members})
 				for i := range 50 {
-					table.Arrived(time.Duration(i)*50*time.Millisecond, "llm")
+					table.RecordRequest(time.Duration(i)*50*time.Millisecond, "llm")
 					requests++
 				}
-				for table.TakeRepeat(3*time.Second, "llm") {
+				for table.TakeRetry(3*time.Second, "llm") {
 					repeats++
 				}
 			}
@@ -232,50 +232,50 @@
 	}
 }
 
-func TestBudgetComesBackWithItsWindow(t *testing.T) {
+func TestRetryBudgetRefillsAfterWindow(t *testing.T) {
 	table := newTable(t)
-	for table.TakeRepeat(0, "llm") {
+	for table.TakeRetry(0, "llm") {
 	}
-	require.False(t, table.TakeRepeat(5*time.Second, "llm"))
-	require.True(t, table.TakeRepeat(11*time.Second, "llm"))
+	require.False(t, table.TakeRetry(5*time.Second, "llm"))
+	require.True(t, table.TakeRetry(11*time.Second, "llm"))
 }
 
-func TestAZoneGivenBackIsTakenForCold(t *testing.T) {
-	table := newTable(t, backend(1, 1))
+func TestRestoredZoneIsCold(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1))
 	table.SetMembers(Members{Self: "me", All: []string{"me"}})
 	table.SetState(2*time.Second, map[string]uint64{"a": 3}, nil, nil, nil)
-	require.Nil(t, table.Pick(2*time.Second, prompted()))
+	require.Nil(t, table.Pick(2*time.Second, promptRequest()))
 	table.SetState(4*time.Second, nil, map[string]uint64{"a": 4}, nil, nil)
-	require.NotNil(t, table.Pick(4*time.Second, prompted()))
-	require.Nil(t, table.Pick(4*time.Second+100*time.Millisecond, prompted()), "one a second while it is cold")
-	require.NotNil(t, table.Pick(9*time.Second, prompted()))
-	require.NotNil(t, table.Pick(9*time.Second+100*time.Millisecond, prompted()))
+	require.NotNil(t, table.Pick(4*time.Second, promptRequest()))
+	require.Nil(t, table.Pick(4*time.Second+100*time.Millisecond, promptRequest()), "one a second while it is cold")
+	require.NotNil(t, table.Pick(9*time.Second, promptRequest()))
+	require.NotNil(t, table.Pick(9*time.Second+100*time.Millisecond, promptRequest()))
 }
 
-func TestAFailingBackendIsAvoidedAndTriedAgainByOne(t *testing.T) {
-	table := newTable(t, backend(1, 1), backend(2, 1))
-	r := &Request{Service: "llm", Model: "m", Tried: []string{"b2"}}
+func TestFailingBackendIsProbedByOneRequest(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1), backendInfo(2, 1))
+	r := &Request{Service: "llm", Model: "m", TriedBackends: []string{"b2"}}
 	table.End(0, table.Pick(0, r), Failed)
 	c := table.Pick(100*time.Millisecond, &Request{Service: "llm", Model: "m"})
 	require.Equal(t, "b2", c.ID)
-	table.SetLoads(map[string]Load{"b2": {Waiting: 60000}})
+	table.SetOtherLoads(map[string]Load{"b2": {QueuedPrefillMS: 60000}})
 	trial := table.Pick(time.Second, &Request{Service: "llm", Model: "m"})
 	require.Equal(t, "b1", trial.ID, "one tries it")
 	require.Equal(t, "b2", table.Pick(time.Second, &Request{Service: "llm", Model: "m"}).ID, "no second one beside")
-	table.Began(1100*time.Millisecond, trial, "llm")
+	table.RecordFirstByte(1100*time.Millisecond, trial, "llm")
 	require.Equal(t, "b1", table.Pick(1200*time.Millisecond, &Request{Service: "llm", Model: "m"}).ID)
 }
 
-func TestWhatWouldComeTooLateIsRefusedAtOnce(t *testing.T) {
-	table := newTable(t, backend(1, 1))
-	r := &Request{Service: "llm", Model: "m", Prompt: 1000, Target: 1000, Left: 10000}
-	require.Zero(t, table.Pick(0, r).Later, "nothing waits")
-	table.SetLoads(map[string]Load{"b1": {Waiting: 4000}})
-	later := table.Pick(0, r).Later
+func TestPickRefusesRequestThatWouldMissTarget(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1))
+	r := &Request{Service: "llm", Model: "m", PromptTokens: 1000, TargetMS: 1000, RemainingMS: 10000}
+	require.Zero(t, table.Pick(0, r).RetryAfterMS, "nothing waits")
+	table.SetOtherLoads(map[string]Load{"b1": {QueuedPrefillMS: 4000}})
+	later := table.Pick(0, r).RetryAfterMS
 	require.Positive(t, later)
 	require.LessOrEqual(t, later, 1500.0)
-	r.Again = true
-	require.Zero(t, table.Pick(0, r).Later, "who comes again is taken while its time suffices")
-	r.Left = 3000
-	require.Positive(t, table.Pick(0, r).Later)
+	r.PreviouslyRefused = true
+	require.Zero(t, table.Pick(0, r).RetryAfterMS, "who comes again is taken while its time suffices")
+	r.RemainingMS = 3000
+	require.Positive(t, table.Pick(0, r).RetryAfterMS)
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -7,49 +7,49 @@
 
 // The outcomes.
 const (
-	Done      Outcome = iota // it answered, whatever it said
-	Refused                  // it said that it did not run the request
-	Misplaced                // another instance or version is there
-	Failed                   // it could not be reached, or broke off
-	Cancelled                // the client or its time ended it
+	Completed     Outcome = iota // it answered, whatever it said
+	Refused                      // it said that it did not run the request
+	WrongInstance                // another instance or version is there
+	Failed                       // it could not be reached, or broke off
+	Cancelled                    // the client or its time ended it
 )
 
 // Began records the first byte of an answer: its prompt has been read, and the fetch from its holder is over.
-func (t *Table) Began(now time.Duration, c *Choice, service string) {
-	if c.begun || c.ended {
+func (t *Table) RecordFirstByte(now time.Duration, c *Choice, service string) {
+	if c.gotFirstByte || c.ended {
 		return
 	}
-	c.begun = true
-	c.Backend.pending--
-	c.Backend.progress = now
-	c.unbook(Load{Waiting: c.load.Waiting})
-	t.release(c)
-	ms := float64(now-c.sent) / float64(time.Millisecond)
+	c.gotFirstByte = true
+	c.Backend.awaitingFirstByte--
+	c.Backend.lastProgress = now
+	c.subtractLoad(Load{QueuedPrefillMS: c.load.QueuedPrefillMS})
+	t.releaseHolder(c)
+	ms := float64(now-c.sentAt) / float64(time.Millisecond)
 	if c.Version == 0 {
-		c.Backend.latency = mean(c.Backend.latency, ms)
-	} else if c.Fetch != "" {
-		t.learnedOf(service).compareFetch(c.Wait+c.Read+c.move, ms)
+		c.Backend.latencyMS = movingMean(c.Backend.latencyMS, ms)
+	} else if c.FetchAddr != "" {
+		t.estimatesOf(service).observeFetchDelay(c.WaitMS+c.PrefillMS+c.transferMS, ms)
 	} else {
-		t.learnedOf(service).compare(c.Wait+c.Read, ms)
-		if c.quiet {
-			t.learnedOf(service).take(c.kept, c.prompt, ms)
+		t.estimatesOf(service).observeDelay(c.WaitMS+c.PrefillMS, ms)
+		if c.nearlyIdle {
+			t.estimatesOf(service).observeLatency(c.prefixTokens, c.promptTokens, ms)
 		}
 	}
-	if t.observe != nil {
-		t.observe(c, ms)
+	if t.onFirstByte != nil {
+		t.onFirstByte(c, ms)
 	}
-	c.Backend.failures, c.Backend.avoid, c.Backend.trial = 0, 0, false
+	c.Backend.consecutiveFailures, c.Backend.avoidUntil, c.Backend.probing = 0, 0, false
 }
 
 // unbook subtracts a part of a choice's load from its backend.
-func (c *Choice) unbook(l Load) {
-	c.Backend.own = c.Backend.own.Minus(l)
-	c.load = c.load.Minus(l)
+func (c *Choice) subtractLoad(l Load) {
+	c.Backend.ownLoad = c.Backend.ownLoad.Sub(l)
+	c.load = c.load.Sub(l)
 }
 
-func (t *Table) release(c *Choice) {
+func (t *Table) releaseHolder(c *Choice) {
 	if c.holder != nil {
-		c.holder.fetching--
+		c.holder.pendingFetches--
 		c.holder = nil
 	}
 }
@@ -61,20 +61,20 @@
 	}
 	c.ended = true
 	b := c.Backend
-	t.release(c)
-	if !c.begun {
-		b.pending--
+	t.releaseHolder(c)
+	if !c.gotFirstByte {
+		b.awaitingFirstByte--
 	}
-	c.unbook(c.load)
+	c.subtractLoad(c.load)
 	switch outcome {
 	case Failed:
-		b.failures++
-		b.avoid, b.trial = now+avoidance(b.failures), false
-	case Misplaced:
-		b.avoid, b.trial = now+t.settings.CloudLag, false
+		b.consecutiveFailures++
+		b.avoidUntil, b.probing = now+failureBackoff(b.consecutiveFailures), false
+	case WrongInstance:
+		b.avoidUntil, b.probing = now+t.settings.DiscoveryLag, false
 	case Refused:
-		b.avoid, b.trial = max(b.avoid, now+100*time.Millisecond), false
+		b.avoidUntil, b.probing = max(b.avoidUntil, now+100*time.Millisecond), false
 	case Cancelled:
-		b.trial = false
+		b.probing = false
 	}
 }
--- a/internal/dispatch/shares.go
+++ b/internal/dispatch/shares.go
@@ -13,21 +13,21 @@
 
 // coldShareOf tells how often this mixer may send to a cold backend, 0 if it may not. It is found when it is asked for, which it is of a
 // few: it takes a weight for each mixer.
-func (t *Table) coldShareOf(b *Backend) time.Duration {
-	if b.sharedIn != t.sharesNumber {
-		b.coldShare, b.sharedIn = t.coldShare(b), t.sharesNumber
+func (t *Table) coldInterval(b *Backend) time.Duration {
+	if b.coldIntervalRevision != t.sharesRevision {
+		b.coldInterval, b.coldIntervalRevision = t.computeColdInterval(b), t.sharesRevision
 	}
-	return b.coldShare
+	return b.coldInterval
 }
 
 // coldShare divides the allowance of a second among so many mixers, picked by rendezvous hashing, that each may send one.
-func (t *Table) coldShare(b *Backend) time.Duration {
+func (t *Table) computeColdInterval(b *Backend) time.Duration {
 	service := t.service(b.Service)
 	if service == nil || len(t.members.All) == 0 {
 		return 0
 	}
 	allowed := service.ColdPerS*t.settings.ColdOvershoot + t.settings.ColdSlack
-	users := int(math.Floor(allowed * coldPart))
+	users := int(math.Floor(allowed * coldAllowanceShare))
 	if users < 1 {
 		return 0
 	}
@@ -40,63 +40,63 @@
 }
 
 // coldAllows tells whether a cold backend may get a request now.
-func (t *Table) coldAllows(now time.Duration, b *Backend) bool {
+func (t *Table) coldAdmits(now time.Duration, b *Backend) bool {
 	if now >= b.coldUntil {
 		return true
 	}
-	return now >= b.coldNext && now-t.started >= firstColdWaitMS*time.Millisecond && t.coldShareOf(b) > 0
+	return now >= b.nextColdSend && now-t.started >= coldStartupWaitMS*time.Millisecond && t.coldInterval(b) > 0
 }
 
 // budget counts a service's requests and repeats in the running window, by its tenths.
-type budget struct {
-	slots [budgetSlots]struct{ requests, repeats int }
-	at    int64 // number of the newest slot
+type retryBudget struct {
+	slots      [retryBudgetSlots]struct{ requests, repeats int }
+	newestSlot int64 // number of the newest slot
 }
 
-const budgetSlots = 10
+const retryBudgetSlots = 10
 
-func (b *budget) turn(now, window time.Duration) {
-	at := int64(now / (window / budgetSlots))
-	for i := max(b.at+1, at-budgetSlots+1); i <= at; i++ {
-		b.slots[i%budgetSlots] = struct{ requests, repeats int }{}
+func (b *retryBudget) advance(now, window time.Duration) {
+	at := int64(now / (window / retryBudgetSlots))
+	for i := max(b.newestSlot+1, at-retryBudgetSlots+1); i <= at; i++ {
+		b.slots[i%retryBudgetSlots] = struct{ requests, repeats int }{}
 	}
-	b.at = max(b.at, at)
+	b.newestSlot = max(b.newestSlot, at)
 }
 
-func (t *Table) budget(now time.Duration, service string) *budget {
-	b := t.budgets[service]
+func (t *Table) retryBudget(now time.Duration, service string) *retryBudget {
+	b := t.retryBudgets[service]
 	if b == nil {
-		b = &budget{at: int64(now / (t.settings.BudgetWindow / budgetSlots))}
-		t.budgets[service] = b
+		b = &retryBudget{newestSlot: int64(now / (t.settings.RetryBudgetWindow / retryBudgetSlots))}
+		t.retryBudgets[service] = b
 	}
-	b.turn(now, t.settings.BudgetWindow)
+	b.advance(now, t.settings.RetryBudgetWindow)
 	return b
 }
 
 // Arrived books a client's request for a service.
-func (t *Table) Arrived(now time.Duration, service string) {
-	b := t.budget(now, service)
-	b.slots[b.at%budgetSlots].requests++
+func (t *Table) RecordRequest(now time.Duration, service string) {
+	b := t.retryBudget(now, service)
+	b.slots[b.newestSlot%retryBudgetSlots].requests++
 }
 
 // TakeRepeat books one sending beyond a request's first, if this mixer's share of the budget has room.
-func (t *Table) TakeRepeat(now time.Duration, service string) bool {
-	if !t.RepeatFits(now, service) {
+func (t *Table) TakeRetry(now time.Duration, service string) bool {
+	if !t.RetryAllowed(now, service) {
 		return false
 	}
-	b := t.budget(now, service)
-	b.slots[b.at%budgetSlots].repeats++
+	b := t.retryBudget(now, service)
+	b.slots[b.newestSlot%retryBudgetSlots].repeats++
 	return true
 }
 
 // RepeatFits tells whether this mixer's share of the budget has room for one more sending.
-func (t *Table) RepeatFits(now time.Duration, service string) bool {
-	b := t.budget(now, service)
+func (t *Table) RetryAllowed(now time.Duration, service string) bool {
+	b := t.retryBudget(now, service)
 	requests, repeats := 0, 0
 	for _, s := range b.slots {
 		requests += s.requests
 		repeats += s.repeats
 	}
-	slack := t.settings.RetryBudgetSlack * budgetPart / float64(max(1, len(t.members.All)))
-	return float64(repeats+1) <= slack+ratioPart*t.settings.RetryBudgetRatio*float64(requests)
+	slack := t.settings.RetryBudgetSlack * retrySlackShare / float64(max(1, len(t.members.All)))
+	return float64(repeats+1) <= slack+retryRatioShare*t.settings.RetryBudgetRatio*float64(requests)
 }
--- a/internal/dispatch/shares_test.go
+++ b/internal/dispatch/shares_test.go
@@ -11,7 +11,7 @@
 const largeMembers, largeBackends = 295, 326
 
 // largeTable is a mixer's among many, and a list of many backends.
-func largeTable(t testing.TB) (table *Table, members Members, list []Listed) {
+func largeTable(t testing.TB) (table *Table, members Members, list []BackendInfo) {
 	t.Helper()
 	table = newTable(t)
 	members.Self = "mixer0"
@@ -19,15 +19,15 @@
 		members.All = append(members.All, fmt.Sprint("mixer", i))
 	}
 	for i := range largeBackends {
-		list = append(list, backend(i, 1))
+		list = append(list, backendInfo(i, 1))
 	}
 	table.SetMembers(members)
 	table.SetBackends(0, list, nil)
 	return table, members, list
 }
 
-// TestNewsOfTheListRanksNoMembers: each list, and each change of the members, had every mixer rank all members for each backend.
-func TestNewsOfTheListRanksNoMembers(t *testing.T) {
+// TestUpdatesDoNotRankMembers: each list, and each change of the members, had every mixer rank all members for each backend.
+func TestUpdatesDoNotRankMembers(t *testing.T) {
 	table, members, list := largeTable(t)
 	allocations := testing.AllocsPerRun(5, func() {
 		table.SetBackends(0, list, nil)
@@ -36,12 +36,12 @@
 	require.Less(t, allocations, float64(largeBackends)/2, "a ranking makes two")
 }
 
-// TestSharesFollowTheMembers: a cold backend's share is the newest members', though it was asked for before.
-func TestSharesFollowTheMembers(t *testing.T) {
+// TestColdIntervalFollowsMembers: a cold backend's share is the newest members', though it was asked for before.
+func TestColdIntervalFollowsMembers(t *testing.T) {
 	table, members, list := largeTable(t)
 	share := func() (mine int) {
 		for _, l := range list {
-			if table.coldShareOf(table.Backend(l.ID)) > 0 {
+			if table.coldInterval(table.Backend(l.ID)) > 0 {
 				mine++
 			}
 		}
@@ -63,21 +63,21 @@
 	}
 }
 
-// TestChangesOfTheListLeaveTheRest: what is known of a backend outlives changes of others, and what is gone gets nothing.
-func TestChangesOfTheListLeaveTheRest(t *testing.T) {
-	table := newTable(t, backend(1, 1), backend(2, 1), backend(3, 1))
+// TestUpdateBackendsKeepsOthers: what is known of a backend outlives changes of others, and what is gone gets nothing.
+func TestUpdateBackendsKeepsOthers(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1), backendInfo(2, 1), backendInfo(3, 1))
 	kept := table.Backend("b1")
-	moved := backend(2, 1)
+	moved := backendInfo(2, 1)
 	moved.Service, moved.Draining = "other", true
-	table.ChangeBackends(time.Second, []Listed{moved, backend(4, 1)}, map[string]string{"b4": PhaseLoading}, []string{"b3", "never"})
+	table.UpdateBackends(time.Second, []BackendInfo{moved, backendInfo(4, 1)}, map[string]string{"b4": PhaseLoading}, []string{"b3", "never"})
 	require.Same(t, kept, table.Backend("b1"))
 	require.Nil(t, table.Backend("b3"))
-	require.Equal(t, 3, table.Size())
+	require.Equal(t, 3, table.BackendCount())
 	for range 20 {
-		c := table.Pick(time.Second, prompted())
+		c := table.Pick(time.Second, promptRequest())
 		require.Equal(t, "b1", c.ID)
-		table.End(time.Second, c, Done)
+		table.End(time.Second, c, Completed)
 	}
-	table.ChangeBackends(2*time.Second, []Listed{backend(4, 1)}, nil, []string{"b1"})
-	require.Equal(t, "b4", table.Pick(2*time.Second, prompted()).ID)
+	table.UpdateBackends(2*time.Second, []BackendInfo{backendInfo(4, 1)}, nil, []string{"b1"})
+	require.Equal(t, "b4", table.Pick(2*time.Second, promptRequest()).ID)
 }
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -18,8 +18,8 @@
 
 // priority is how urgent a prompt is at an engine. What is read soon goes first: it holds the others up for little, and stands behind them for many
 // times what it takes itself. Ranks of routes and tenants make a prompt count as longer, so that of two alike the more urgent is first.
-func priority(readMS, meanMS float64, rank int) int {
-	if meanMS <= 0 || readMS <= 0 || trial.Off(trial.PriorityByReading) {
+func enginePriority(readMS, meanMS float64, rank int) int {
+	if meanMS <= 0 || readMS <= 0 || trial.Disabled(trial.ShortPrefillFirst) {
 		return min(max(0, rank), lowestPriority)
 	}
 	counts := readMS * math.Pow(rankFactor, float64(max(0, rank)))
--- a/internal/dispatch/urgency_test.go
+++ b/internal/dispatch/urgency_test.go
@@ -6,21 +6,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatIsReadSoonIsMoreUrgent(t *testing.T) {
+func TestEnginePriorityOrder(t *testing.T) {
 	last := 0
 	for _, ms := range []float64{1, 10, 40, 80, 160, 320, 640, 5000} {
-		p := priority(ms, 100, 0)
+		p := enginePriority(ms, 100, 0)
 		require.GreaterOrEqual(t, p, last)
 		last = p
 	}
-	require.Less(t, priority(10, 100, 0), priority(100, 100, 0))
-	require.Less(t, priority(100, 100, 0), priority(100, 100, 2), "of two alike the rank decides")
-	require.Less(t, priority(10, 100, 2), priority(1000, 100, 0), "a rank does not put what takes a hundred times as long first")
+	require.Less(t, enginePriority(10, 100, 0), enginePriority(100, 100, 0))
+	require.Less(t, enginePriority(100, 100, 0), enginePriority(100, 100, 2), "of two alike the rank decides")
+	require.Less(t, enginePriority(10, 100, 2), enginePriority(1000, 100, 0), "a rank does not put what takes a hundred times as long first")
 }
 
-func TestUrgencyStaysInItsBounds(t *testing.T) {
-	require.Equal(t, 0, priority(0.001, 1000, 0))
-	require.Equal(t, lowestPriority, priority(1e9, 1, 8))
-	require.Equal(t, 3, priority(50, 0, 3), "nothing was learned yet: the rank alone")
-	require.Equal(t, 0, priority(0, 100, -1))
+func TestEnginePriorityBounds(t *testing.T) {
+	require.Equal(t, 0, enginePriority(0.001, 1000, 0))
+	require.Equal(t, lowestPriority, enginePriority(1e9, 1, 8))
+	require.Equal(t, 3, enginePriority(50, 0, 3), "nothing was learned yet: the rank alone")
+	require.Equal(t, 0, enginePriority(0, 100, -1))
 }
--- a/internal/dispatch/versions_test.go
+++ b/internal/dispatch/versions_test.go
@@ -10,9 +10,9 @@
 	"nettlefold/internal/superseded"
 )
 
-// TestEachSupersededVersionHasALimitOfItsOwn: a version that is named does not give the ones before its predecessor more time.
-func TestEachSupersededVersionHasALimitOfItsOwn(t *testing.T) {
-	table := newTable(t, backend(1, 1), backend(2, 2))
+// TestVersionLimitPerSupersededVersion: a version that is named does not give the ones before its predecessor more time.
+func TestVersionLimitPerSupersededVersion(t *testing.T) {
+	table := newTable(t, backendInfo(1, 1), backendInfo(2, 2))
 	var times superseded.Times
 	name := func(now time.Duration, version int64) {
 		times = times.With(version, now)
@@ -20,9 +20,9 @@
 	}
 	name(0, 2)
 	name(7*time.Second, 3)
-	c := table.Pick(8500*time.Millisecond, prompted())
+	c := table.Pick(8500*time.Millisecond, promptRequest())
 	require.Equal(t, "b2", c.ID, "version 1 was superseded 8.5 s ago, of 10")
-	require.Equal(t, 7*time.Second+time.Duration(beginShare*float64(settings.VersionLimit)), table.BeginBy(c))
-	table.SetBackends(8500*time.Millisecond, []Listed{backend(1, 1)}, nil)
-	require.Nil(t, table.Pick(8600*time.Millisecond, prompted()))
+	require.Equal(t, 7*time.Second+time.Duration(versionFirstByteShare*float64(testSettings.VersionLimit)), table.FirstByteDeadline(c))
+	table.SetBackends(8500*time.Millisecond, []BackendInfo{backendInfo(1, 1)}, nil)
+	require.Nil(t, table.Pick(8600*time.Millisecond, promptRequest()))
 }
--- a/internal/feed/index.go
+++ b/internal/feed/index.go
@@ -11,7 +11,7 @@
 func (r *Request) TakeIndex(index *kvindex.Index, reply *Reply) {
 	if reply.Reset {
 		for _, id := range index.Backends() {
-			index.Forget(id)
+			index.Remove(id)
 		}
 		r.Want = reply.Known
 	}
@@ -20,7 +20,7 @@
 		applied := index.Apply(b)
 		wanted := slices.Index(r.Want, b.Backend)
 		switch {
-		case applied && b.Whole && wanted >= 0:
+		case applied && b.Snapshot && wanted >= 0:
 			r.Want = slices.Delete(slices.Clone(r.Want), wanted, wanted+1)
 		case !applied && wanted < 0:
 			r.Want = append(slices.Clone(r.Want), b.Backend)
@@ -30,6 +30,6 @@
 
 // ForgetBackend drops what is known of a backend that is gone.
 func (r *Request) ForgetBackend(index *kvindex.Index, id string) {
-	index.Forget(id)
+	index.Remove(id)
 	r.Want = slices.DeleteFunc(slices.Clone(r.Want), func(wanted string) bool { return wanted == id })
 }
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -12,12 +12,12 @@
 // ReadList is the platform's list as it was read: the whole list, or the changes to the list whose digest is Base, or nothing but its digest
 // where it did not change. Receivers share it and do not change it.
 type ReadList struct {
-	Sum      uint64            `cbor:"1,keyasint"` // digest of the list
-	Whole    bool              `cbor:"3,keyasint,omitempty"`
-	Backends []dispatch.Listed `cbor:"2,keyasint,omitempty"` // all of them, if Whole
-	Base     uint64            `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
-	Changed  []dispatch.Listed `cbor:"5,keyasint,omitempty"`
-	Gone     []string          `cbor:"6,keyasint,omitempty"` // identities
+	Sum      uint64                 `cbor:"1,keyasint"` // digest of the list
+	Whole    bool                   `cbor:"3,keyasint,omitempty"`
+	Backends []dispatch.BackendInfo `cbor:"2,keyasint,omitempty"` // all of them, if Whole
+	Base     uint64                 `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
+	Changed  []dispatch.BackendInfo `cbor:"5,keyasint,omitempty"`
+	Gone     []string               `cbor:"6,keyasint,omitempty"` // identities
 	// Number orders readings: each reader adds one to the highest that it knows.
 	Number uint64 `cbor:"8,keyasint"`
 	AgeMS  int64  `cbor:"7,keyasint,omitempty"` // between the beginning of the reading and the sending of this message
@@ -35,7 +35,7 @@
 var sorted, _ = cbor.CoreDetEncOptions().EncMode()
 
 // ListSum digests a list. The order of its entries does not matter, so the digest can be kept up to date by its changes.
-func ListSum(list []dispatch.Listed) uint64 {
+func ListSum(list []dispatch.BackendInfo) uint64 {
 	sum := uint64(emptyListSum)
 	for i := range list {
 		sum ^= entrySum(&list[i])
@@ -43,7 +43,7 @@
 	return sum
 }
 
-func entrySum(entry *dispatch.Listed) uint64 {
+func entrySum(entry *dispatch.BackendInfo) uint64 {
 	encoded, err := sorted.Marshal(entry)
 	if err != nil {
 		return 0
@@ -52,14 +52,14 @@
 }
 
 // WholeList makes news of a whole list.
-func WholeList(list []dispatch.Listed) *ReadList {
+func WholeList(list []dispatch.BackendInfo) *ReadList {
 	return &ReadList{Sum: ListSum(list), Whole: true, Backends: list}
 }
 
 // ListChanges makes news of what leads from one list, whose digest is given, to another.
-func ListChanges(from []dispatch.Listed, fromSum uint64, to []dispatch.Listed) *ReadList {
+func ListChanges(from []dispatch.BackendInfo, fromSum uint64, to []dispatch.BackendInfo) *ReadList {
 	changes := &ReadList{Sum: fromSum, Base: fromSum}
-	before := make(map[string]*dispatch.Listed, len(from))
+	before := make(map[string]*dispatch.BackendInfo, len(from))
 	for i := range from {
 		before[from[i].ID] = &from[i]
 	}
@@ -70,7 +70,7 @@
 		switch {
 		case old == nil:
 			changes.Sum ^= entrySum(entry)
-		case old.Same(entry):
+		case old.Equal(entry):
 			continue
 		default:
 			changes.Sum ^= entrySum(old) ^ entrySum(entry)
@@ -91,7 +91,7 @@
 func (r *ReadList) brings() bool { return len(r.Changed) > 0 || len(r.Gone) > 0 }
 
 // Apply gives the list that follows from the one whose digest is given. It fails where the news is of changes to another list.
-func (r *ReadList) Apply(list []dispatch.Listed, sum uint64) (next []dispatch.Listed, ok bool) {
+func (r *ReadList) Apply(list []dispatch.BackendInfo, sum uint64) (next []dispatch.BackendInfo, ok bool) {
 	switch {
 	case r.Whole:
 		return r.Backends, true
@@ -100,11 +100,11 @@
 	case r.Base != sum || r.Base == 0:
 		return nil, false
 	}
-	replaced := make(map[string]*dispatch.Listed, len(r.Changed))
+	replaced := make(map[string]*dispatch.BackendInfo, len(r.Changed))
 	for i := range r.Changed {
 		replaced[r.Changed[i].ID] = &r.Changed[i]
 	}
-	next = make([]dispatch.Listed, 0, len(list)+len(r.Changed))
+	next = make([]dispatch.BackendInfo, 0, len(list)+len(r.Changed))
 	for i := range list {
 		id := list[i].ID
 		if entry := replaced[id]; entry != nil {
--- a/internal/feed/list_test.go
+++ b/internal/feed/list_test.go
@@ -12,7 +12,7 @@
 )
 
 // nextList is a list some entries of which came, went or changed.
-func nextList(random *rand.Rand, list []dispatch.Listed) (next []dispatch.Listed) {
+func nextList(random *rand.Rand, list []dispatch.BackendInfo) (next []dispatch.BackendInfo) {
 	for _, entry := range list {
 		switch random.IntN(8) {
 		case 0:
@@ -25,11 +25,11 @@
 		next = append(next, entry)
 	}
 	for range random.IntN(3) {
-		next = append(next, dispatch.Listed{ID: fmt.Sprint("i-", random.IntN(1000)+1000), Slots: random.IntN(9)})
+		next = append(next, dispatch.BackendInfo{ID: fmt.Sprint("i-", random.IntN(1000)+1000), Slots: random.IntN(9)})
 	}
 	random.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] })
 	seen := map[string]bool{}
-	return slices.DeleteFunc(next, func(l dispatch.Listed) bool {
+	return slices.DeleteFunc(next, func(l dispatch.BackendInfo) bool {
 		twice := seen[l.ID]
 		seen[l.ID] = true
 		return twice
@@ -66,7 +66,7 @@
 
 // TestChangesToAnotherListAreNotTaken: they are asked for instead.
 func TestChangesToAnotherListAreNotTaken(t *testing.T) {
-	one, two := []dispatch.Listed{{ID: "a"}}, []dispatch.Listed{{ID: "a"}, {ID: "b"}}
+	one, two := []dispatch.BackendInfo{{ID: "a"}}, []dispatch.BackendInfo{{ID: "a"}, {ID: "b"}}
 	news := ListChanges(one, ListSum(one), two)
 	_, ok := news.Apply(two[1:], ListSum(two[1:]))
 	require.False(t, ok)
--- a/internal/feed/messages.go
+++ b/internal/feed/messages.go
@@ -58,11 +58,11 @@
 // List is the backends as the platform's list has them, and what owners of orders add: all of them, or what changed since the list of a
 // number. Phases has those of Backends.
 type List struct {
-	Number   uint64            `cbor:"1,keyasint"`
-	Since    uint64            `cbor:"4,keyasint,omitempty"` // 0 for all
-	Backends []dispatch.Listed `cbor:"2,keyasint"`
-	Gone     []string          `cbor:"5,keyasint,omitempty"` // identities
-	Phases   map[string]string `cbor:"3,keyasint,omitempty"`
+	Number   uint64                 `cbor:"1,keyasint"`
+	Since    uint64                 `cbor:"4,keyasint,omitempty"` // 0 for all
+	Backends []dispatch.BackendInfo `cbor:"2,keyasint"`
+	Gone     []string               `cbor:"5,keyasint,omitempty"` // identities
+	Phases   map[string]string      `cbor:"3,keyasint,omitempty"`
 }
 
 // News is what agents tell each other. Each tells the hub of its zone; hubs tell each other, and the agents of their zones. A hop passes
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -46,34 +46,34 @@
 
 // Batch is news of one backend: the changes between two cursors, or all that it keeps.
 type Batch struct {
-	Backend string   `cbor:"1,keyasint"`
-	From    Cursor   `cbor:"2,keyasint"`
-	To      Cursor   `cbor:"3,keyasint"`
-	Whole   bool     `cbor:"4,keyasint,omitempty"`
-	Changes []Change `cbor:"5,keyasint,omitempty"`
-	Sum     uint64   `cbor:"6,keyasint"` // digest of what the backend keeps after it
+	Backend  string   `cbor:"1,keyasint"`
+	From     Cursor   `cbor:"2,keyasint"`
+	To       Cursor   `cbor:"3,keyasint"`
+	Snapshot bool     `cbor:"4,keyasint,omitempty"`
+	Changes  []Change `cbor:"5,keyasint,omitempty"`
+	Digest   uint64   `cbor:"6,keyasint"` // digest of what the backend keeps after it
 }
 
 // Index has what every backend keeps.
 type Index struct {
-	backends map[string]*holdings
-	dropped  *dropped // nil unless it is to be remembered
+	backends  map[string]*backendParts
+	evictions *evictionLog // nil unless it is to be remembered
 }
 
-type holdings struct {
+type backendParts struct {
 	cursor Cursor
 	parts  map[Key]int32
-	sum    uint64 // order-free digest of parts
+	digest uint64 // order-free digest of parts
 }
 
 // New makes an empty index.
-func New() *Index { return &Index{backends: map[string]*holdings{}} }
+func New() *Index { return &Index{backends: map[string]*backendParts{}} }
 
 // Apply takes a batch. It tells false when the batch does not follow what is known: then the whole is needed.
 func (x *Index) Apply(b *Batch) bool {
 	h := x.backends[b.Backend]
-	if b.Whole || h == nil && b.From.Next == 0 || h != nil && b.From.Next == 0 && h.cursor.Epoch != b.To.Epoch {
-		h = &holdings{parts: make(map[Key]int32, len(b.Changes))}
+	if b.Snapshot || h == nil && b.From.Next == 0 || h != nil && b.From.Next == 0 && h.cursor.Epoch != b.To.Epoch {
+		h = &backendParts{parts: make(map[Key]int32, len(b.Changes))}
 		x.backends[b.Backend] = h
 	} else if h == nil {
 		return false
@@ -81,29 +81,29 @@
 		return h.cursor.Epoch == b.To.Epoch && h.cursor.Next >= b.To.Next // it is known already
 	}
 	for _, c := range b.Changes {
-		if x.dropped != nil && c.Tokens <= 0 && h.parts[c.Key] > 0 {
-			x.dropped.add(c.Key)
+		if x.evictions != nil && c.Tokens <= 0 && h.parts[c.Key] > 0 {
+			x.evictions.add(c.Key)
 		}
 		h.set(c)
 	}
 	h.cursor = b.To
-	return b.Sum == 0 || b.Sum == h.sum
+	return b.Digest == 0 || b.Digest == h.digest
 }
 
-func (h *holdings) set(c Change) {
+func (h *backendParts) set(c Change) {
 	if old, ok := h.parts[c.Key]; ok {
-		h.sum ^= mark(c.Key, int(old))
+		h.digest ^= entryDigest(c.Key, int(old))
 	}
 	if c.Tokens <= 0 {
 		delete(h.parts, c.Key)
 		return
 	}
 	h.parts[c.Key] = int32(c.Tokens)
-	h.sum ^= mark(c.Key, c.Tokens)
+	h.digest ^= entryDigest(c.Key, c.Tokens)
 }
 
 // mark is an entry's share of the digest.
-func mark(k Key, tokens int) uint64 {
+func entryDigest(k Key, tokens int) uint64 {
 	v := uint64(k) ^ uint64(tokens)*0x9e3779b97f4a7c15
 	v ^= v >> 29
 	v *= 0xbf58476d1ce4e5b9
@@ -120,20 +120,20 @@
 }
 
 // Sum is the digest of what a backend keeps.
-func (x *Index) Sum(backend string) uint64 {
+func (x *Index) Digest(backend string) uint64 {
 	if h := x.backends[backend]; h != nil {
-		return h.sum
+		return h.digest
 	}
 	return 0
 }
 
 // Whole gives all that is known of a backend, nil if nothing is.
-func (x *Index) Whole(backend string) *Batch {
+func (x *Index) Snapshot(backend string) *Batch {
 	h := x.backends[backend]
 	if h == nil {
 		return nil
 	}
-	b := &Batch{Backend: backend, From: h.cursor, To: h.cursor, Whole: true, Sum: h.sum}
+	b := &Batch{Backend: backend, From: h.cursor, To: h.cursor, Snapshot: true, Digest: h.digest}
 	for k, tokens := range h.parts {
 		b.Changes = append(b.Changes, Change{Key: k, Tokens: int(tokens)})
 	}
@@ -144,10 +144,10 @@
 func (x *Index) Backends() []string { return slices.Collect(maps.Keys(x.backends)) }
 
 // Forget drops a backend.
-func (x *Index) Forget(backend string) { delete(x.backends, backend) }
+func (x *Index) Remove(backend string) { delete(x.backends, backend) }
 
 // Len is the number of parts known, of all backends.
-func (x *Index) Len() (n int) {
+func (x *Index) PartCount() (n int) {
 	for _, h := range x.backends {
 		n += len(h.parts)
 	}
@@ -155,7 +155,7 @@
 }
 
 // Held is how many tokens of a prompt a backend keeps, counted over the unbroken prefix only.
-func (x *Index) Held(backend string, keys []Key, parts []Part) (tokens int) {
+func (x *Index) PrefixTokens(backend string, keys []Key, parts []Part) (tokens int) {
 	h := x.backends[backend]
 	if h == nil {
 		return 0
--- a/internal/lab/fleetcost/curves.go
+++ b/internal/lab/fleetcost/curves.go
@@ -140,8 +140,8 @@
 	return one(rpc.Size(distribute.KindWatch, &distribute.WatchReply{Current: true, Members: set}))
 }
 
-func listed(i int) dispatch.Listed {
-	return dispatch.Listed{
+func listed(i int) dispatch.BackendInfo {
+	return dispatch.BackendInfo{
 		ID: fmt.Sprintf("i-%010x", uint64(i)*0x9e3779b97f4a7c15>>24), Service: "s1", Addr: fmt.Sprintf("10.%d.%d.%d:8080", i%12, i/250, i%250),
 		Zone: fmt.Sprintf("zone-%d", i%12), Slots: 64, Versions: map[string]int64{"model": 1},
 	}
@@ -151,7 +151,7 @@
 	all, list := &feed.Loads{All: true, Changed: map[feed.BackendKey]dispatch.Load{}}, &feed.ReadList{Sum: 1 << 60, Whole: true}
 	for i := range size {
 		list.Backends = append(list.Backends, listed(i))
-		all.Changed[feed.KeyOf(listed(i).ID)] = dispatch.Load{Running: 1 + i%3, Waiting: i * 37 % 900, Tokens: i * 1009 % 40000}
+		all.Changed[feed.KeyOf(listed(i).ID)] = dispatch.Load{Running: 1 + i%3, QueuedPrefillMS: i * 37 % 900, Tokens: i * 1009 % 40000}
 	}
 	whole, err := rpc.Size(feed.KindNews, &feed.News{From: "10.1.0.23:7340", Hop: feed.FromHub, List: list})
 	if err != nil {
@@ -162,7 +162,7 @@
 }
 
 func playBatch(size int) ([]float64, error) {
-	batch := &kvindex.Batch{Backend: listed(1).ID, From: kvindex.Cursor{Epoch: 77120, Next: 118000}, To: kvindex.Cursor{Epoch: 77120, Next: 118900}, Sum: 1 << 62}
+	batch := &kvindex.Batch{Backend: listed(1).ID, From: kvindex.Cursor{Epoch: 77120, Next: 118000}, To: kvindex.Cursor{Epoch: 77120, Next: 118900}, Digest: 1 << 62}
 	for i := range size {
 		batch.Changes = append(batch.Changes, kvindex.Change{Key: kvindex.KeyOf("v1", "model", fmt.Sprint(i)), Tokens: 100 + i%3000})
 	}
@@ -175,7 +175,7 @@
 	index, held := capacity.Held(func() *kvindex.Index {
 		index := kvindex.New()
 		for b := range size / each {
-			batch := &kvindex.Batch{Backend: listed(b).ID, Whole: true}
+			batch := &kvindex.Batch{Backend: listed(b).ID, Snapshot: true}
 			for i := range each {
 				batch.Changes = append(batch.Changes, kvindex.Change{Key: kvindex.Key(rand.Uint32()), Tokens: 1 + i})
 			}
@@ -183,8 +183,8 @@
 		}
 		return index
 	})
-	if index.Len() < size/each*each*9/10 {
-		return nil, fmt.Errorf("%d parts are held of %d", index.Len(), size)
+	if index.PartCount() < size/each*each*9/10 {
+		return nil, fmt.Errorf("%d parts are held of %d", index.PartCount(), size)
 	}
 	return []float64{held}, nil
 }
@@ -198,9 +198,9 @@
 	}
 	parts := []kvindex.Part{{ID: "a", Tokens: 800}, {ID: "b", Tokens: 9000}, {ID: "c", Tokens: 2500}}
 	table, held := capacity.Held(func() *dispatch.Table {
-		t := dispatch.New(0, dispatch.Settings{Zone: "zone-0", BudgetWindow: 10 * time.Second}, rand.New(rand.NewPCG(1, 1)))
+		t := dispatch.New(0, dispatch.Settings{Zone: "zone-0", RetryBudgetWindow: 10 * time.Second}, rand.New(rand.NewPCG(1, 1)))
 		t.SetConfig(config.Compile(doc))
-		var list []dispatch.Listed
+		var list []dispatch.BackendInfo
 		for i := range size {
 			list = append(list, listed(i))
 		}
@@ -209,16 +209,16 @@
 	})
 	keys := kvindex.Keys("v1", "model", parts)
 	for i := range size / 20 {
-		table.Index().Apply(&kvindex.Batch{Backend: listed(i).ID, Whole: true, Changes: []kvindex.Change{{Key: keys[0], Tokens: 800}, {Key: keys[1], Tokens: 9000}}})
+		table.Index().Apply(&kvindex.Batch{Backend: listed(i).ID, Snapshot: true, Changes: []kvindex.Change{{Key: keys[0], Tokens: 800}, {Key: keys[1], Tokens: 9000}}})
 	}
 	const picks = 50
-	request := &dispatch.Request{Service: "s1", Model: "model", Parts: parts, Prompt: 12300, Bytes: 9000}
+	request := &dispatch.Request{Service: "s1", Model: "model", Parts: parts, PromptTokens: 12300, BodyBytes: 9000}
 	allocations, _, took := capacity.Allocated(func() {
 		for i := range picks {
 			now := time.Duration(i) * time.Millisecond
 			if c := table.Pick(now, request); c != nil {
-				table.Began(now, c, "s1")
-				table.End(now, c, dispatch.Done)
+				table.RecordFirstByte(now, c, "s1")
+				table.End(now, c, dispatch.Completed)
 			}
 		}
 	})
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -122,7 +122,7 @@
 
 // limitBegin has an attempt end when its weights are too old to begin on. Call it at the owner.
 func (p *Proxy) limitBegin(now time.Duration, a *attempt) {
-	if by := p.table.BeginBy(a.choice); by != 0 {
+	if by := p.table.FirstByteDeadline(a.choice); by != 0 {
 		a.limit.set(by-now, p.afterFunc, func() { a.takeBack(endingBeginLimit) })
 	}
 }
@@ -166,7 +166,7 @@
 func (p *Proxy) findDoubtful(now time.Duration) (found doubtful) {
 	p.do(func() {
 		found = doubtful{back: map[*attempt]ending{}, beside: map[*attempt]ending{}}
-		for a, why := range p.attempts.overdue(now, func(a *attempt) bool { return p.table.Silent(now, a.choice) }) {
+		for a, why := range p.attempts.overdue(now, func(a *attempt) bool { return p.table.Stalled(now, a.choice) }) {
 			switch {
 			case a.takeover.Load() != nil:
 				found.beside[a] = why
@@ -192,5 +192,5 @@
 // fitsElsewhere tells whether another backend would take an attempt's request now. Call it at the owner.
 func (p *Proxy) fitsElsewhere(now time.Duration, a *attempt) bool {
 	q := a.request
-	return p.table.RepeatFits(now, q.service) && p.table.Fits(now, q.decision(a.tried))
+	return p.table.RetryAllowed(now, q.service) && p.table.WouldAdmit(now, q.decision(a.tried))
 }
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -47,7 +47,7 @@
 func (p *Proxy) forward(q *request) {
 	ctx, cancel := context.WithDeadline(q.Context(), q.limit)
 	defer cancel()
-	p.do(func() { p.table.Arrived(p.now(), q.service) })
+	p.do(func() { p.table.RecordRequest(p.now(), q.service) })
 	var tried []string
 	sent, mayHaveRun := 0, false
 	for {
@@ -56,9 +56,9 @@
 			p.giveUp(q, mayHaveRun, "no backend may take the request now")
 			return
 		}
-		if choice.Later > 0 {
+		if choice.RetryAfterMS > 0 {
 			p.counters.deferred.Add(1)
-			refuse(q.writer, http.StatusServiceUnavailable, choice.Later/1000, "too many requests wait")
+			refuse(q.writer, http.StatusServiceUnavailable, choice.RetryAfterMS/1000, "too many requests wait")
 			return
 		}
 		tried = append(tried, choice.ID)
@@ -101,8 +101,8 @@
 // decision is what choosing a backend needs to know of a request that was sent to some already.
 func (q *request) decision(tried []string) *dispatch.Request {
 	return &dispatch.Request{
-		Target: q.route.TargetMS, Rank: q.rank, Left: float64(time.Until(q.deadline).Milliseconds()), Again: q.again || len(tried) > 0,
-		Service: q.service, Model: q.model, Parts: q.parts, Prompt: q.prompt, Bytes: len(q.body), Wall: q.wall(), Tried: tried,
+		TargetMS: q.route.TargetMS, Rank: q.rank, RemainingMS: float64(time.Until(q.deadline).Milliseconds()), PreviouslyRefused: q.again || len(tried) > 0,
+		Service: q.service, Model: q.model, Parts: q.parts, PromptTokens: q.prompt, BodyBytes: len(q.body), IsolatedTenant: q.wall(), TriedBackends: tried,
 	}
 }
 
@@ -111,7 +111,7 @@
 	if sent == 0 {
 		return true
 	}
-	p.do(func() { may = p.table.TakeRepeat(p.now(), q.service) })
+	p.do(func() { may = p.table.TakeRetry(p.now(), q.service) })
 	return may
 }
 
@@ -125,11 +125,11 @@
 		header.Set(headerSalt, c.Salt)
 		header.Set(headerPriority, strconv.Itoa(c.Priority))
 	}
-	if c.Fetch != "" {
-		header.Set(headerFetch, c.Fetch)
+	if c.FetchAddr != "" {
+		header.Set(headerFetch, c.FetchAddr)
 	}
-	if c.Save != "" {
-		header.Set(headerSave, c.Save)
+	if c.SaveAddr != "" {
+		header.Set(headerSave, c.SaveAddr)
 	}
 	if lastEvent != "" {
 		header.Set(headerLastEvent, lastEvent)
@@ -217,7 +217,7 @@
 	case ctx.Err() != nil || errors.Is(a.err, upstream.ErrFull):
 		outcome = dispatch.Cancelled
 	case a.err == nil && a.response.StatusCode == http.StatusMisdirectedRequest:
-		outcome = dispatch.Misplaced
+		outcome = dispatch.WrongInstance
 	case a.err == nil:
 		outcome = dispatch.Refused
 	default:
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -17,17 +17,17 @@
 	take := func(list *feed.List) (have uint64, size int) {
 		r.proxy.do(func() {
 			r.proxy.take(r.proxy.now(), &feed.Reply{Agent: "a1", List: list})
-			have, size = r.proxy.have.List, r.proxy.table.Size()
+			have, size = r.proxy.have.List, r.proxy.table.BackendCount()
 		})
 		return have, size
 	}
-	have, size := take(&feed.List{Number: 5, Since: 1, Backends: []dispatch.Listed{{ID: "i-new"}}})
+	have, size := take(&feed.List{Number: 5, Since: 1, Backends: []dispatch.BackendInfo{{ID: "i-new"}}})
 	require.Equal(t, uint64(5), have)
 	require.Equal(t, 2, size)
 	have, size = take(&feed.List{Number: 9, Since: 7, Gone: []string{"i-new"}})
 	require.Zero(t, have)
 	require.Equal(t, 2, size)
-	have, size = take(&feed.List{Number: 9, Backends: []dispatch.Listed{{ID: "i-0"}}})
+	have, size = take(&feed.List{Number: 9, Backends: []dispatch.BackendInfo{{ID: "i-0"}}})
 	require.Equal(t, uint64(9), have)
 	require.Equal(t, 1, size)
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -37,8 +37,8 @@
 	}
 	p.do(func() {
 		set.Add("proxy_applied_seq", float64(p.have.Applied))
-		set.Add("proxy_backends", float64(p.table.Size()))
-		set.Add("proxy_backends_avoided", float64(p.table.Avoided(p.now())))
+		set.Add("proxy_backends", float64(p.table.BackendCount()))
+		set.Add("proxy_backends_avoided", float64(p.table.AvoidedCount(p.now())))
 		set.Add("proxy_index_wanted", float64(len(p.have.Want)))
 	})
 	return set, nil
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -92,20 +92,20 @@
 		running:   newOpenRequests(),
 	}
 	p.table = dispatch.New(0, dispatch.Settings{
-		Zone:             settings.Zone,
-		VersionLimit:     settings.Bounds.Version,
-		ColdOvershoot:    settings.Bounds.ColdOvershoot,
-		ColdSlack:        settings.Bounds.ColdSlack,
-		RetryBudgetRatio: settings.Bounds.RetryBudgetRatio,
-		RetryBudgetSlack: settings.Bounds.RetryBudgetSlack,
-		BudgetWindow:     max(settings.Bounds.BudgetWindow, time.Second),
-		CloudLag:         settings.CloudLag,
+		Zone:              settings.Zone,
+		VersionLimit:      settings.Bounds.Version,
+		ColdOvershoot:     settings.Bounds.ColdOvershoot,
+		ColdSlack:         settings.Bounds.ColdSlack,
+		RetryBudgetRatio:  settings.Bounds.RetryBudgetRatio,
+		RetryBudgetSlack:  settings.Bounds.RetryBudgetSlack,
+		RetryBudgetWindow: max(settings.Bounds.BudgetWindow, time.Second),
+		DiscoveryLag:      settings.CloudLag,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if log.GetLevel() <= zerolog.DebugLevel {
-		p.table.Observe(func(c *dispatch.Choice, ms float64) {
-			log.Debug().Str("step", "began").Str("peer", c.Addr).Float64("wait", c.Wait).Float64("read", c.Read).Float64("took", ms).
-				Str("subject", c.Subject).Str("salt", c.Salt).Int("shared", c.Shared).Int("kept", c.Kept).Int("held", c.Held).
-				Int("fit", c.Fit).Int("unfit", c.Unfit).Str("fetch", c.Fetch).Msg("answer")
+		p.table.OnFirstByte(func(c *dispatch.Choice, ms float64) {
+			log.Debug().Str("step", "began").Str("peer", c.Addr).Float64("wait", c.WaitMS).Float64("read", c.PrefillMS).Float64("took", ms).
+				Str("subject", c.LastSharedPart).Str("salt", c.Salt).Int("shared", c.SharedTokens).Int("kept", c.CachedTokens).Int("held", c.LocalTokens).
+				Int("fit", c.FetchableTokens).Int("unfit", c.UnfetchableTokens).Str("fetch", c.FetchAddr).Msg("answer")
 		})
 	}
 	return p
@@ -260,7 +260,7 @@
 	}
 	p.have.TakeIndex(p.table.Index(), reply)
 	if reply.Loads != nil || reply.LoadsAt != p.have.Loads {
-		p.table.SetLoads(reply.Loads)
+		p.table.SetOtherLoads(reply.Loads)
 	}
 	p.have.Loads = reply.LoadsAt
 }
@@ -272,7 +272,7 @@
 	case 0:
 		gone = p.table.SetBackends(now, list.Backends, list.Phases)
 	case p.have.List:
-		p.table.ChangeBackends(now, list.Backends, list.Phases, gone)
+		p.table.UpdateBackends(now, list.Backends, list.Phases, gone)
 	default: // changes to another list: the whole is asked for
 		p.have.List = 0
 		return
@@ -297,7 +297,7 @@
 			return
 		}
 		var loads map[string]dispatch.Load
-		p.do(func() { loads = p.table.Loads() })
+		p.do(func() { loads = p.table.OwnLoads() })
 		if maps.Equal(loads, told) {
 			continue
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -65,7 +65,7 @@
 			serve(w, request)
 		}))
 		t.Cleanup(server.Close)
-		list.Backends = append(list.Backends, dispatch.Listed{
+		list.Backends = append(list.Backends, dispatch.BackendInfo{
 			ID: fmt.Sprint("i-", i), Service: "llm", Addr: server.Listener.Addr().String(), Zone: "a", Slots: 64, Versions: map[string]int64{"m": 1},
 		})
 	}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -40,7 +40,7 @@
 		err := p.copy(q, a, events, move)
 		next := move.finish(err == nil)
 		if err == nil {
-			p.finish(a, dispatch.Done)
+			p.finish(a, dispatch.Completed)
 			client.SetWriteDeadline(time.Time{})
 			return
 		}
@@ -142,8 +142,8 @@
 	tried, sent := former.tried, former.sent
 	for sent < max(1, q.route.MaxAttempts) && len(tried) <= maxTried && ctx.Err() == nil {
 		choice := p.pick(q, tried)
-		if choice == nil || choice.Later > 0 || !p.mayRepeat(q, sent) {
-			if choice != nil && choice.Later == 0 {
+		if choice == nil || choice.RetryAfterMS > 0 || !p.mayRepeat(q, sent) {
+			if choice != nil && choice.RetryAfterMS == 0 {
 				p.do(func() { p.table.End(p.now(), choice, dispatch.Cancelled) })
 			}
 			return nil
@@ -170,10 +170,10 @@
 func (p *Proxy) began(q *request, a *attempt) {
 	a.heard.Store(int64(p.now()))
 	if a.begun {
-		p.do(func() { p.table.Heard(p.now(), a.choice) })
+		p.do(func() { p.table.RecordProgress(p.now(), a.choice) })
 		return
 	}
 	a.begun = true
 	a.limit.stop()
-	p.do(func() { p.table.Began(p.now(), a.choice, q.service) })
+	p.do(func() { p.table.RecordFirstByte(p.now(), a.choice, q.service) })
 }
--- a/internal/trial/switched.go
+++ b/internal/trial/switched.go
@@ -10,7 +10,7 @@
 // switches names the mechanisms that are off and the constants that are multiplied, separated by commas. The linker sets it.
 var switches string
 
-var off, scales = parse(switches)
+var disabled, scales = parse(switches)
 
 // parse reads switches: `name` switches a mechanism off, `name=factor` multiplies a constant. An unknown one ends the program, as its figures
 // would be taken for another's.
@@ -28,11 +28,11 @@
 	for item := range strings.SplitSeq(switches, ",") {
 		name, factor, scaled := strings.Cut(item, "=")
 		if !scaled {
-			mustKnow(off, Mechanism(name))
+			requireKnown(off, Mechanism(name))
 			off[Mechanism(name)] = true
 			continue
 		}
-		mustKnow(scales, Constant(name))
+		requireKnown(scales, Constant(name))
 		value, err := strconv.ParseFloat(factor, 64)
 		if err != nil {
 			panic("trial: " + item + ": " + err.Error())
@@ -42,14 +42,14 @@
 	return off, scales
 }
 
-func mustKnow[K ~string, V any](known map[K]V, name K) {
+func requireKnown[K ~string, V any](known map[K]V, name K) {
 	if _, is := known[name]; !is {
 		panic("trial: no switch " + string(name))
 	}
 }
 
 // Off tells whether a mechanism is switched off in this build.
-func Off(m Mechanism) bool { return off[m] }
+func Disabled(m Mechanism) bool { return disabled[m] }
 
 // Scale is what a constant is multiplied by in this build.
 func Scale(c Constant) float64 { return scales[c] }
--- a/internal/trial/switched_test.go
+++ b/internal/trial/switched_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSwitchesAreParsed(t *testing.T) {
+func TestParseSwitches(t *testing.T) {
 	off, scales := parse("copy-price,attention=0.5")
-	require.True(t, off[CopyPrice])
+	require.True(t, off[CopyPenalty])
 	require.False(t, off[StoreSave])
 	require.Equal(t, 0.5, scales[Attention])
-	require.Equal(t, 1.0, scales[Running])
+	require.Equal(t, 1.0, scales[RunningCost])
 }
 
-func TestNothingIsSwitchedOffUnlessNamed(t *testing.T) {
+func TestParseEmptySwitches(t *testing.T) {
 	off, scales := parse("")
 	for _, m := range Mechanisms {
 		require.False(t, off[m], m)
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestAnUnknownSwitchIsRefused(t *testing.T) {
+func TestParseRejectsInvalidSwitch(t *testing.T) {
 	for _, bad := range []string{"copy-prize", "attention", "copy-price=2", "attention=much"} {
 		require.Panics(t, func() { parse(bad) }, bad)
 	}
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestShippedProgramsHaveNoSwitches holds the deploy files to builds without the tag.
-func TestShippedProgramsHaveNoSwitches(t *testing.T) {
+// TestDeployFilesDoNotUseTrialTag holds the deploy files to builds without the tag.
+func TestDeployFilesDoNotUseTrialTag(t *testing.T) {
 	for _, name := range []string{"../../deploy/system.toml", "../../deploy/balancer.toml", "../../deploy/build"} {
 		text, err := os.ReadFile(name)
 		require.NoError(t, err)
--- a/internal/waterfill/waterfill_test.go
+++ b/internal/waterfill/waterfill_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTheLeastCountIsPicked(t *testing.T) {
+func TestPickLeastCount(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1)).IntN
 	counts := []int{3, 1, 2}
 	require.Equal(t, 1, Pick(len(counts), func(i int) int { return counts[i] }, random))
 	require.Equal(t, -1, Pick(0, nil, random))
 }
 
-// TestRaisedCountsFillEvenly picks as the paper does: raise, then pick again.
-func TestRaisedCountsFillEvenly(t *testing.T) {
+// TestPickFillsEvenly picks as the paper does: raise, then pick again.
+func TestPickFillsEvenly(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2)).IntN
 	counts := []int{0, 4, 0, 1}
 	for range 11 {
@@ -24,7 +24,7 @@
 	require.Equal(t, []int{4, 4, 4, 4}, counts)
 }
 
-func TestEqualsAreDrawnEvenly(t *testing.T) {
+func TestPickBreaksTiesEvenly(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3)).IntN
 	drawn := [5]int{}
 	for range 5000 {
