--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -1,5 +1,6 @@
-// Package kvindex knows which backend keeps which parts of prompts: what their events and lists told, late and with gaps. It is a
-// plain table without I/O or clock; whoever owns it feeds it and asks it.
+// Package kvindex indexes which backend holds which prompt parts in its KV cache, as reported by the
+// backends' cache events and snapshots. These reports arrive late and with gaps. The index does no
+// I/O, has no clock and is not safe for concurrent use.
 package kvindex
 
 import (
@@ -9,17 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a part of a prompt as a backend keeps it: a digest of salt, model and part. Parts are told apart within one backend only, which
-// keeps some thousands at the most; 32 bits serve for that, and news of keys is most of what agents tell each other.
+// Key identifies a cached prompt part: a hash of its cache salt, model and part ID. A key only has to
+// be unique within one backend, which caches a few thousand parts at most, so 32 bits suffice. Short
+// keys matter because changes of keys are most of the traffic between agents.
 type Key uint32
 
-// Part is one part of a prompt, in its order.
+// Part is one part of a prompt. The parts of a prompt are ordered.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// KeyOf digests what tells parts apart.
+// KeyOf returns the key of a part under a cache salt and a model.
 func KeyOf(salt, model, part string) Key {
 	var d xxhash.Digest
 	d.Reset()
@@ -31,45 +33,48 @@
 	return Key(d.Sum64())
 }
 
-// Change is what a backend tells of one part: how many of its tokens it keeps now, 0 if it dropped it.
+// Change is the new state of one part in a backend's cache: the number of its tokens that are cached,
+// 0 if the part was evicted.
 type Change struct {
 	_      struct{} `cbor:",toarray"`
 	Key    Key
 	Tokens int
 }
 
-// Cursor is how far a backend's events are known.
+// Cursor is a position in a backend's cache events.
 type Cursor struct {
-	Epoch int64 `cbor:"1,keyasint"` // of the backend's memory; another after each restart
-	Next  int64 `cbor:"2,keyasint"` // the token of the next page
+	Epoch int64 `cbor:"1,keyasint"` // identifies the backend's cache; changes with each restart
+	Next  int64 `cbor:"2,keyasint"` // token of the next page of events
 }
 
-// Batch is news of one backend: the changes between two cursors, or all that it keeps.
+// Batch is an update of one backend's cached parts: the changes between two cursors, or a snapshot.
 type Batch struct {
 	Backend  string   `cbor:"1,keyasint"`
 	From     Cursor   `cbor:"2,keyasint"`
 	To       Cursor   `cbor:"3,keyasint"`
-	Snapshot bool     `cbor:"4,keyasint,omitempty"`
+	Snapshot bool     `cbor:"4,keyasint,omitempty"` // Changes lists all cached parts
 	Changes  []Change `cbor:"5,keyasint,omitempty"`
-	Digest   uint64   `cbor:"6,keyasint"` // digest of what the backend keeps after it
+	Digest   uint64   `cbor:"6,keyasint"` // of the backend's cached parts after the batch; 0 if not known
 }
 
-// Index has what every backend keeps.
+// Index holds the cached parts of all known backends.
 type Index struct {
 	backends  map[string]*backendParts
-	evictions *evictionLog // nil unless it is to be remembered
+	evictions *evictionLog // nil unless TrackEvictions was called
 }
 
 type backendParts struct {
 	cursor Cursor
-	parts  map[Key]int32
-	digest uint64 // order-free digest of parts
+	parts  map[Key]int32 // cached tokens
+	digest uint64        // of parts, independent of their order
 }
 
-// New makes an empty index.
+// New returns an empty index.
 func New() *Index { return &Index{backends: map[string]*backendParts{}} }
 
-// Apply takes a batch. It tells false when the batch does not follow what is known: then the whole is needed.
+// Apply applies a batch to the index. It returns false if the batch leaves a gap after the known
+// cursor or if the digests differ; the caller then needs a snapshot of the backend. A batch that ends
+// at or before the known cursor is ignored, and Apply returns true.
 func (x *Index) Apply(b *Batch) bool {
 	h := x.backends[b.Backend]
 	if b.Snapshot || h == nil && b.From.Next == 0 || h != nil && b.From.Next == 0 && h.cursor.Epoch != b.To.Epoch {
@@ -78,7 +83,7 @@
 	} else if h == nil {
 		return false
 	} else if h.cursor != b.From {
-		return h.cursor.Epoch == b.To.Epoch && h.cursor.Next >= b.To.Next // it is known already
+		return h.cursor.Epoch == b.To.Epoch && h.cursor.Next >= b.To.Next // already applied
 	}
 	for _, c := range b.Changes {
 		if x.evictions != nil && c.Tokens <= 0 && h.parts[c.Key] > 0 {
@@ -102,7 +107,7 @@
 	h.digest ^= entryDigest(c.Key, c.Tokens)
 }
 
-// mark is an entry's share of the digest.
+// entryDigest returns the digest of one cached part. A backend's digest is the XOR over its parts.
 func entryDigest(k Key, tokens int) uint64 {
 	v := uint64(k) ^ uint64(tokens)*0x9e3779b97f4a7c15
 	v ^= v >> 29
@@ -110,7 +115,8 @@
 	return v ^ v>>32
 }
 
-// Cursor tells how far a backend is known; false if it is not.
+// Cursor returns the position up to which a backend's events are applied, and whether the backend is
+// known.
 func (x *Index) Cursor(backend string) (Cursor, bool) {
 	h := x.backends[backend]
 	if h == nil {
@@ -119,7 +125,7 @@
 	return h.cursor, true
 }
 
-// Sum is the digest of what a backend keeps.
+// Digest returns the digest of a backend's cached parts, 0 if the backend is not known.
 func (x *Index) Digest(backend string) uint64 {
 	if h := x.backends[backend]; h != nil {
 		return h.digest
@@ -127,7 +133,7 @@
 	return 0
 }
 
-// Whole gives all that is known of a backend, nil if nothing is.
+// Snapshot returns a batch with all known parts of a backend, nil if the backend is not known.
 func (x *Index) Snapshot(backend string) *Batch {
 	h := x.backends[backend]
 	if h == nil {
@@ -140,13 +146,13 @@
 	return b
 }
 
-// Backends names those that are known.
+// Backends returns the names of the known backends in no particular order.
 func (x *Index) Backends() []string { return slices.Collect(maps.Keys(x.backends)) }
 
-// Forget drops a backend.
+// Remove removes a backend and its parts.
 func (x *Index) Remove(backend string) { delete(x.backends, backend) }
 
-// Len is the number of parts known, of all backends.
+// PartCount returns the number of cached parts over all backends.
 func (x *Index) PartCount() (n int) {
 	for _, h := range x.backends {
 		n += len(h.parts)
@@ -154,23 +160,25 @@
 	return n
 }
 
-// Held is how many tokens of a prompt a backend keeps, counted over the unbroken prefix only.
+// PrefixTokens returns the number of tokens of a prompt's longest prefix that a backend has cached.
+// The prefix ends at the first part that is missing or only partly cached; the cached tokens of that
+// part count.
 func (x *Index) PrefixTokens(backend string, keys []Key, parts []Part) (tokens int) {
 	h := x.backends[backend]
 	if h == nil {
 		return 0
 	}
 	for i, k := range keys {
-		kept := min(int(h.parts[k]), parts[i].Tokens)
-		tokens += kept
-		if kept < parts[i].Tokens {
+		cached := min(int(h.parts[k]), parts[i].Tokens)
+		tokens += cached
+		if cached < parts[i].Tokens {
 			break
 		}
 	}
 	return tokens
 }
 
-// Keys digests the parts of a prompt.
+// Keys returns the keys of a prompt's parts, in their order.
 func Keys(salt, model string, parts []Part) []Key {
 	keys := make([]Key, len(parts))
 	for i, p := range parts {
--- a/internal/trial/switched_test.go
+++ b/internal/trial/switches_test.go
@@ -9,17 +9,17 @@
 )
 
 func TestParseSwitches(t *testing.T) {
-	off, scales := parse("copy-price,attention=0.5")
-	require.True(t, off[CopyPenalty])
-	require.False(t, off[StoreSave])
+	disabled, scales := parse("copy-price,attention=0.5")
+	require.True(t, disabled[CopyPenalty])
+	require.False(t, disabled[StoreSave])
 	require.Equal(t, 0.5, scales[Attention])
 	require.Equal(t, 1.0, scales[RunningCost])
 }
 
 func TestParseEmptySwitches(t *testing.T) {
-	off, scales := parse("")
+	disabled, scales := parse("")
 	for _, m := range Mechanisms {
-		require.False(t, off[m], m)
+		require.False(t, disabled[m], m)
 	}
 	for _, c := range Constants {
 		require.Equal(t, 1.0, scales[c], c)
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -1,53 +1,83 @@
-// Package trial lets a trial build switch one mechanism of the fleet off, or multiply one constant, so that what it is worth can be measured by
-// playing the same days with and without it. A trial build has the build tag `trial` and names its switches at link time:
+// Package trial lets a trial build disable one mechanism of the fleet, or scale one constant, so that the
+// mechanism's effect can be measured by simulating the same days with and without it. A trial build has
+// the build tag `trial` and sets its switches at link time:
 //
 //	go build -tags trial -ldflags "-X nettlefold/internal/trial.switches=copy-price,attention=0.5" ./cmd/nettlefold
 //
-// Without the tag Off is always false and Scale always 1, which the compiler removes: no program that ships can switch anything off.
+// Without the tag, Disabled always returns false and Scale always returns 1. The compiler inlines both,
+// so a production build contains no switches.
 package trial
 
-// Mechanism is a part of a decision that can be switched off.
+// Mechanism is a part of a decision that can be disabled. Its value is the name of its switch.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms that can be disabled.
 const (
-	DuplicatePrefillWeight Mechanism = "reread-weight"       // reading shared parts again counts more than its time
-	ShortPrefillFirst      Mechanism = "priority-by-reading" // engines take first what is read soon
-	CostJitter             Mechanism = "unseen-noise"        // costs are drawn apart by what others have just sent
-	LearnedPrefillSpeed    Mechanism = "learned-speed"       // reading speed is learned from answers
-	StoreSave              Mechanism = "store-save"          // parts are saved to a store
-	PrefillInsteadOfFetch  Mechanism = "read-instead"        // a backend reads what it lacks where a fetch takes longer
-	SeparateLoadUpdates    Mechanism = "news-apart"          // loads are told apart from changes of kept prompts
-	NearestHolders         Mechanism = "nearest-holders"     // holders in the backend's zone are preferred
-	CopyPenalty            Mechanism = "copy-price"          // a second copy of a part takes memory
-	MemoryPressure         Mechanism = "memory-held"         // a request waits where memory is nearly full
-	OldVersionPenalty      Mechanism = "old-weights"         // what is read under old weights is dropped soon
-	AdmissionControl       Mechanism = "admission"           // a request that came too late is asked to come again
-	LearnWhenNearlyIdle    Mechanism = "quiet-learning"      // engines with little to do teach their speed too
-	SaveOnlyIfFaster       Mechanism = "save-by-links"       // parts are saved only where moving them is faster than reading
-	LinkQueue              Mechanism = "link-wait"           // what fetches wait for unseen moves is learned
-	SecondOwner            Mechanism = "second-owner"        // the second of a prompt's ranking may read it too
+	// DuplicatePrefillWeight weighs a prefill of shared parts that another backend holds more than its
+	// time.
+	DuplicatePrefillWeight Mechanism = "reread-weight"
+	// ShortPrefillFirst gives short prefills a higher priority at an engine.
+	ShortPrefillFirst Mechanism = "priority-by-reading"
+	// CostJitter adds noise to the costs of backends to account for requests of other mixers that are not
+	// reported yet.
+	CostJitter Mechanism = "unseen-noise"
+	// LearnedPrefillSpeed learns the prefill speed from response times.
+	LearnedPrefillSpeed Mechanism = "learned-speed"
+	// StoreSave saves prompt parts to a KV store.
+	StoreSave Mechanism = "store-save"
+	// PrefillInsteadOfFetch lets a backend prefill missing tokens where a fetch would take longer.
+	PrefillInsteadOfFetch Mechanism = "read-instead"
+	// SeparateLoadUpdates sends load updates separately from cache changes.
+	SeparateLoadUpdates Mechanism = "news-apart"
+	// NearestHolders prefers holders in the backend's zone.
+	NearestHolders Mechanism = "nearest-holders"
+	// CopyPenalty counts the memory that a second copy of a part takes.
+	CopyPenalty Mechanism = "copy-price"
+	// MemoryPressure counts the delay of requests at an engine whose KV cache is nearly full.
+	MemoryPressure Mechanism = "memory-held"
+	// OldVersionPenalty counts that a prefill under an old version of the weights is soon discarded.
+	OldVersionPenalty Mechanism = "old-weights"
+	// AdmissionControl refuses a request that would miss its target and asks the client to retry.
+	AdmissionControl Mechanism = "admission"
+	// LearnWhenNearlyIdle also learns from engines that have little work, not only from idle ones.
+	LearnWhenNearlyIdle Mechanism = "quiet-learning"
+	// SaveOnlyIfFaster saves parts only where transferring them is faster than prefilling them.
+	SaveOnlyIfFaster Mechanism = "save-by-links"
+	// LinkQueue learns how long fetches queue behind unreported transfers on a link.
+	LinkQueue Mechanism = "link-wait"
+	// SecondOwner lets the second backend in a prompt's rendezvous ranking prefill it at half the weight.
+	SecondOwner Mechanism = "second-owner"
 )
 
-// Mechanisms is all of them, in the order in which tables name them.
+// Mechanisms lists all mechanisms in the order in which tables show them.
 var Mechanisms = []Mechanism{
-	DuplicatePrefillWeight, ShortPrefillFirst, CostJitter, LearnedPrefillSpeed, StoreSave, PrefillInsteadOfFetch, SeparateLoadUpdates, NearestHolders, CopyPenalty,
-	MemoryPressure, OldVersionPenalty, AdmissionControl, SecondOwner, LearnWhenNearlyIdle, SaveOnlyIfFaster, LinkQueue,
+	DuplicatePrefillWeight, ShortPrefillFirst, CostJitter, LearnedPrefillSpeed, StoreSave, PrefillInsteadOfFetch,
+	SeparateLoadUpdates, NearestHolders, CopyPenalty, MemoryPressure, OldVersionPenalty, AdmissionControl, SecondOwner,
+	LearnWhenNearlyIdle, SaveOnlyIfFaster, LinkQueue,
 }
 
-// Constant is a figure of the estimate that can be multiplied.
+// Constant is a constant of the cost estimate that can be scaled. Its value is the name of its switch.
 type Constant string
 
-// The constants.
+// The constants that can be scaled.
 const (
-	Attention            Constant = "attention"  // ms of a million pairs of tokens
-	RunningCost          Constant = "running"    // ms that a running generation adds
-	MemoryPressureCost   Constant = "crowded"    // ms that a full memory adds
-	FetchBase            Constant = "fetch-base" // ms of any fetch
-	CopyCost             Constant = "copy-cost"  // what a second copy costs
-	RolloutConcurrency   Constant = "at-once"    // backends out of service at a time for new weights
-	DuplicatePrefillCost Constant = "reread"     // how much reading shared parts again counts
+	// Attention is the attention time in ms per million pairs of tokens.
+	Attention Constant = "attention"
+	// RunningCost is the delay in ms that each running request adds.
+	RunningCost Constant = "running"
+	// MemoryPressureCost is the delay in ms that a full KV cache adds.
+	MemoryPressureCost Constant = "crowded"
+	// FetchBase is the fixed time of a fetch in ms.
+	FetchBase Constant = "fetch-base"
+	// CopyCost is the cost of a second copy of a part.
+	CopyCost Constant = "copy-cost"
+	// RolloutConcurrency is the number of backends that load new weights at the same time.
+	RolloutConcurrency Constant = "at-once"
+	// DuplicatePrefillCost is the weight of prefilling shared parts that another backend holds.
+	DuplicatePrefillCost Constant = "reread"
 )
 
-// Constants is all of them, in the order in which tables name them.
-var Constants = []Constant{Attention, RunningCost, MemoryPressureCost, FetchBase, CopyCost, RolloutConcurrency, DuplicatePrefillCost}
+// Constants lists all constants in the order in which tables show them.
+var Constants = []Constant{
+	Attention, RunningCost, MemoryPressureCost, FetchBase, CopyCost, RolloutConcurrency, DuplicatePrefillCost,
+}
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDeployFilesDoNotUseTrialTag holds the deploy files to builds without the tag.
+// TestDeployFilesDoNotUseTrialTag checks that the deployment files build without the trial tag.
 func TestDeployFilesDoNotUseTrialTag(t *testing.T) {
 	for _, name := range []string{"../../deploy/system.toml", "../../deploy/balancer.toml", "../../deploy/build"} {
 		text, err := os.ReadFile(name)
--- a/internal/waterfill/waterfill.go
+++ b/internal/waterfill/waterfill.go
@@ -1,17 +1,19 @@
-// Package waterfill is the rule that picks a holder: of those that hold a block, the one with the least outstanding count, equals by
-// chance (the paper's Water-filling, for one block). The caller raises the count with the pick, before the next one.
+// Package waterfill implements water-filling selection for one block: among the holders of the block
+// it picks the one with the fewest outstanding requests and breaks ties at random. The caller must
+// increment the count of the picked holder before the next pick.
 package waterfill
 
-// Pick gives the index of a least count among n, equals drawn evenly by random (a number below its argument); -1 for n of 0.
+// Pick returns the index of a smallest count among n counts, -1 if n is 0. Ties are broken with equal
+// probability by random, which must return a uniform number in [0, n).
 func Pick(n int, count func(i int) int, random func(n int) int) int {
-	best, least, equals := -1, 0, 0
+	best, least, ties := -1, 0, 0
 	for i := range n {
 		switch c := count(i); {
 		case best < 0 || c < least:
-			best, least, equals = i, c, 1
+			best, least, ties = i, c, 1
 		case c == least:
-			equals++
-			if random(equals) == 0 {
+			ties++
+			if random(ties) == 0 {
 				best = i
 			}
 		}
--- a/internal/waterfill/waterfill_test.go
+++ b/internal/waterfill/waterfill_test.go
@@ -14,7 +14,7 @@
 	require.Equal(t, -1, Pick(0, nil, random))
 }
 
-// TestPickFillsEvenly picks as the paper does: raise, then pick again.
+// TestPickFillsEvenly increments each picked count before the next pick: the counts must level out.
 func TestPickFillsEvenly(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2)).IntN
 	counts := []int{0, 4, 0, 1}
@@ -26,11 +26,11 @@
 
 func TestPickBreaksTiesEvenly(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3)).IntN
-	drawn := [5]int{}
+	picks := [5]int{}
 	for range 5000 {
-		drawn[Pick(5, func(int) int { return 0 }, random)]++
+		picks[Pick(5, func(int) int { return 0 }, random)]++
 	}
-	for _, n := range drawn {
-		require.InDelta(t, 1000, n, 120)
+	for i, n := range picks {
+		require.InDelta(t, 1000, n, 120, "picks of index %d", i)
 	}
 }
