--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -1,6 +1,7 @@
-// Package dispatch decides, for one request at a time, which backend serves it and which holder of kept prompts it fetches from. It is
-// a plain table without I/O, clock or goroutine: whoever owns it feeds it what is in force, what is known of backends and what became
-// of requests. Times are by the owner's steady clock.
+// Package dispatch chooses, for each request, the backend that serves it and the holder from which that
+// backend fetches cached prompt parts. Its Table does no I/O, has no clock, starts no goroutine and is not
+// safe for concurrent use: its owner feeds it the configuration, the state of the backends and the
+// outcomes of requests. All times are readings of the owner's monotonic clock.
 package dispatch
 
 import (
@@ -12,14 +13,15 @@
 	"nettlefold/internal/trial"
 )
 
-// Phases of a backend that takes new weights.
+// Phases of a backend during a rollout of new weights.
 const (
 	PhaseNone     = ""
-	PhaseEmptying = "emptying" // it is to get nothing, as its order comes next
+	PhaseEmptying = "emptying" // gets no new requests, because its load order comes next
 	PhaseLoading  = "loading"
 )
 
-// Listed is a backend as the platform's list has it, with what the fleet knows beyond.
+// BackendInfo is a backend as listed by the platform's service discovery, with what the fleet knows in
+// addition.
 type BackendInfo struct {
 	ID       string           `cbor:"1,keyasint"`
 	Service  string           `cbor:"2,keyasint"`
@@ -27,25 +29,26 @@
 	Zone     string           `cbor:"4,keyasint"`
 	Slots    int              `cbor:"5,keyasint"`
 	Draining bool             `cbor:"6,keyasint,omitempty"`
-	ColdMS   float64          `cbor:"7,keyasint,omitempty"`
-	Versions map[string]int64 `cbor:"8,keyasint,omitempty"` // of models' weights
+	ColdMS   float64          `cbor:"7,keyasint,omitempty"` // remaining time for which the backend is cold
+	Versions map[string]int64 `cbor:"8,keyasint,omitempty"` // version of the loaded weights, by model
 }
 
-// Same tells whether two entries say the same.
+// Equal reports whether two entries are equal.
 func (l *BackendInfo) Equal(o *BackendInfo) bool {
 	return l.ID == o.ID && l.Service == o.Service && l.Addr == o.Addr && l.Zone == o.Zone && l.Slots == o.Slots &&
 		l.Draining == o.Draining && l.ColdMS == o.ColdMS && maps.Equal(l.Versions, o.Versions)
 }
 
-// Load is what a mixer has at a backend.
+// Load is the load that the requests of one or more mixers put on a backend.
 type Load struct {
 	_               struct{} `cbor:",toarray"`
-	Running         int
-	QueuedPrefillMS int // ms of reading, for requests that have not begun to answer
-	Tokens          int // that its requests hold in memory
+	Running         int      // requests in flight
+	QueuedPrefillMS int      // estimated prefill time of the requests that have no first byte yet
+	Tokens          int      // prompt tokens that the requests hold in the KV cache
 }
 
-// Minus takes a part out of a sum that may be older or newer than the part: nothing of it becomes negative.
+// Sub subtracts a part from a sum. The part may be older or newer than the sum, so no field of the result
+// is negative.
 func (l Load) Sub(o Load) Load {
 	return Load{
 		Running: max(0, l.Running-o.Running), QueuedPrefillMS: max(0, l.QueuedPrefillMS-o.QueuedPrefillMS),
@@ -53,33 +56,37 @@
 	}
 }
 
-// Plus adds loads.
+// Add returns the sum of two loads.
 func (l Load) Add(o Load) Load {
 	return Load{Running: l.Running + o.Running, QueuedPrefillMS: l.QueuedPrefillMS + o.QueuedPrefillMS, Tokens: l.Tokens + o.Tokens}
 }
 
-// Backend is one that requests may be sent to.
+// Backend is the state of a backend in a Table.
 type Backend struct {
 	BackendInfo
-	prefilling           map[kvindex.Key]time.Duration // parts that requests of ours are having read here, until when that is believed
-	coldUntil            time.Duration
-	phase                string
-	ownLoad              Load
-	otherLoad            Load
-	pendingFetches       int           // requests of ours that name it as holder and have not begun to answer
-	latencyMS            float64       // ms that an answer takes, moving mean; 0 if none is known
-	consecutiveFailures  int           // in a row
-	avoidUntil           time.Duration // until when it is avoided for them
-	probing              bool          // a request is out that shows whether it is back
-	awaitingFirstByte    int           // requests of ours that have not begun to answer
-	lastProgress         time.Duration // when it was last heard from, or the first of those sent
-	nextColdSend         time.Duration // when the next request may be sent to it while it is cold
-	coldInterval         time.Duration // between two of them, 0 if this mixer has no share; as of sharedIn
-	coldIntervalRevision uint64        // number of the shares that coldShare is of
+	// prefilling maps shared parts that requests of this mixer prefill here to the time after which that is
+	// no longer assumed.
+	prefilling          map[kvindex.Key]time.Duration
+	coldUntil           time.Duration
+	phase               string
+	ownLoad             Load          // of this mixer
+	otherLoad           Load          // of all other mixers
+	pendingFetches      int           // requests of this mixer that fetch from this holder and have no first byte yet
+	latencyMS           float64       // moving mean of the time to the first byte, 0 if not known
+	consecutiveFailures int           // failed requests since the last first byte
+	avoidUntil          time.Duration // end of the backoff after a failure or a refusal
+	probing             bool          // a probe request is in flight after failures
+	awaitingFirstByte   int           // requests of this mixer without a first byte
+	lastProgress        time.Duration // time of the last received byte, or of the first of the waiting requests
+	nextColdSend        time.Duration // earliest time of this mixer's next request while the backend is cold
+	// coldInterval is the time between two requests of this mixer while the backend is cold, 0 if this mixer
+	// may send none. It is cached for coldIntervalRevision.
+	coldInterval         time.Duration
+	coldIntervalRevision uint64 // Table.sharesRevision for which coldInterval was computed
 }
 
-// quiet reports whether a request is expected to wait so little at a backend that its answer tells how fast the backend is. In a busy fleet a
-// mixer hardly ever meets a backend with nothing at all to do.
+// nearlyIdle reports whether a request is expected to wait so briefly at a backend that its latency measures
+// the backend's speed. In a busy fleet a mixer hardly ever sees a completely idle backend.
 func (b *Backend) nearlyIdle(waitMS float64) bool {
 	if trial.Disabled(trial.LearnWhenNearlyIdle) {
 		return b.ownLoad.Running == 0 && b.otherLoad.Running == 0
@@ -87,13 +94,14 @@
 	return waitMS <= nearlyIdleWaitMS
 }
 
-// engine tells whether requests for a service are generations.
+// hasEngine reports whether the backends of a service are inference engines.
 func hasEngine(s *config.Service) bool { return s != nil && s.Engine != nil }
 
-// dead is the failures in a row from which a backend is avoided.
+// failureThreshold is the number of consecutive failures from which a backend is avoided.
 const failureThreshold = 1
 
-// avoidance is how long a backend is avoided after so many failures in a row.
+// failureBackoff returns the time for which a backend is avoided after consecutive failures: it doubles from
+// 500 ms up to 4 s.
 func failureBackoff(failures int) time.Duration {
 	if failures < failureThreshold {
 		return 0
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -10,17 +10,18 @@
 	"nettlefold/internal/trial"
 )
 
-// candidate is a backend's estimated cost of serving a request.
+// candidate is the estimated cost of serving a request at one backend.
 type candidate struct {
-	costMS    float64 // expected ms to the first token, and all other costs as ms
-	prefillMS float64 // expected ms of reading the prompt
-	waitMS    float64 // expected ms of waiting before that
-	version   int64
+	costMS    float64 // expected time to the first token, plus all other costs as ms
+	prefillMS float64 // expected time to prefill the prompt
+	waitMS    float64 // expected time in the queue before the prefill
+	version   int64   // of the backend's weights
 	prompt    *cachedPrompt
 	source    prefixSource
 }
 
-// noiseMS is by how much costs are drawn apart: by what answers took beyond what was expected, as that was sent by mixers that had not told yet.
+// costJitterMS returns the range of the random cost that is added to each backend. It is the mean delay beyond
+// the estimate, which comes from requests of other mixers that are not reported yet.
 func (l *engineEstimates) costJitterMS() float64 {
 	if trial.Disabled(trial.CostJitter) {
 		return 0
@@ -28,7 +29,8 @@
 	return l.unexpectedDelayMS
 }
 
-// beginBy is when requests may begin on a version no more, 0 if they may at any time.
+// firstByteDeadline returns the time after which no response may begin on a version of the weights, 0 if there
+// is no limit.
 func (t *Table) firstByteDeadline(model string, version int64) time.Duration {
 	since, superseded := t.versionTimes[model].Of(version)
 	if !superseded {
@@ -37,8 +39,8 @@
 	return since + time.Duration(versionFirstByteShare*float64(t.settings.VersionLimit))
 }
 
-// BeginBy is when the answer of a choice has to begin, as things are now; 0 if it may at any time. A version that is named while a request
-// waits limits it too.
+// FirstByteDeadline returns the time by which the response of a choice must begin, 0 if there is no limit. The
+// deadline may appear while a request waits, because a newer version of the weights is ordered.
 func (t *Table) FirstByteDeadline(c *Choice) time.Duration {
 	if c.gotFirstByte || c.ended || c.Version == 0 {
 		return 0
@@ -46,20 +48,23 @@
 	return t.firstByteDeadline(c.model, c.Version)
 }
 
-// rereadTokens weighs, in tokens, that shared parts would be read here although others are to have them: those that come first in the
-// prompt's ranking, by which all mixers send what nobody keeps yet to the same backend, and those that are reading them now.
-func (d *selection) duplicatePrefillTokens(now time.Duration, b *Backend, p *candidate, kept int) float64 {
-	if d.sharedTokens <= kept || slices.Contains(d.owners[:min(1, len(d.owners))], b.ID) || b.isPrefilling(now, p.prompt.keys, d.request) {
+// duplicatePrefillTokens returns the weighted number of shared tokens that the backend would prefill although
+// they belong on another one. It is 0 for the first backend in the prompt's rendezvous ranking, to which all
+// mixers send parts that are cached nowhere, and for a backend that prefills the parts already.
+func (s *selection) duplicatePrefillTokens(now time.Duration, b *Backend, p *candidate, prefixTokens int) float64 {
+	if s.sharedTokens <= prefixTokens || slices.Contains(s.owners[:min(1, len(s.owners))], b.ID) ||
+		b.isPrefilling(now, p.prompt.keys, s.request) {
 		return 0
 	}
 	weight := duplicatePrefillWeight()
-	if slices.Contains(d.owners, b.ID) && !trial.Disabled(trial.SecondOwner) {
+	if slices.Contains(s.owners, b.ID) && !trial.Disabled(trial.SecondOwner) {
 		weight /= 2
 	}
-	return weight * float64(d.sharedTokens-kept)
+	return weight * float64(s.sharedTokens-prefixTokens)
 }
 
-// rereadWeight is how many times its time reading shared parts again counts.
+// duplicatePrefillWeight returns the factor by which a duplicate prefill of shared parts costs more than its
+// time.
 func duplicatePrefillWeight() float64 {
 	if trial.Disabled(trial.DuplicatePrefillWeight) {
 		return 1
@@ -67,7 +72,7 @@
 	return duplicatePrefillFactor * trial.Scale(trial.DuplicatePrefillCost)
 }
 
-// shared is the tokens of the parts that other requests may share: all but the last.
+// sharedTokens returns the number of tokens in the parts that other requests may share: all but the last part.
 func (r *Request) sharedTokens() (tokens int) {
 	for i := range len(r.Parts) - 1 {
 		tokens += r.Parts[i].Tokens
@@ -75,19 +80,21 @@
 	return tokens
 }
 
-// owners ranks the backends that may serve for what the request shares.
-func (t *Table) rankOwners(r *Request, may []*Backend) []string {
+// rankOwners returns the first backends in the rendezvous ranking of the request's shared prefix, nil if the
+// request shares nothing.
+func (t *Table) rankOwners(r *Request, eligible []*Backend) []string {
 	if len(r.Parts) < 2 {
 		return nil
 	}
-	ids := make([]string, len(may))
-	for i, b := range may {
+	ids := make([]string, len(eligible))
+	for i, b := range eligible {
 		ids[i] = b.ID
 	}
 	return rendezvous.Top(r.IsolatedTenant+"/"+r.Parts[len(r.Parts)-2].ID, ids, ownersPerPrompt)
 }
 
-// expects tells whether the shared parts are being read at a backend for a request of ours.
+// isPrefilling reports whether the backend is assumed to prefill all shared parts of a request for another
+// request of this mixer.
 func (b *Backend) isPrefilling(now time.Duration, keys []kvindex.Key, r *Request) bool {
 	for i := range len(r.Parts) - 1 {
 		if b.prefilling[keys[i]] <= now {
@@ -97,7 +104,7 @@
 	return len(r.Parts) > 1
 }
 
-// expect notes that a request of ours has parts read here.
+// markPrefilling records that a request of this mixer makes the backend prefill parts.
 func (b *Backend) markPrefilling(now time.Duration, keys []kvindex.Key) {
 	if b.prefilling == nil {
 		b.prefilling = map[kvindex.Key]time.Duration{}
@@ -114,7 +121,7 @@
 	}
 }
 
-// crowded is what a request waits for memory that others hold.
+// memoryWaitMS estimates how long a request waits for KV cache memory that other requests hold.
 func memoryWaitMS(s *config.Service, load Load, r *Request) float64 {
 	over := float64(load.Tokens+r.PromptTokens) - memoryPressureShare*float64(s.Engine.KVCapacityTokens)
 	if over <= 0 || s.Engine.KVCapacityTokens == 0 || trial.Disabled(trial.MemoryPressure) {
@@ -123,12 +130,14 @@
 	return memoryPressureMS * trial.Scale(trial.MemoryPressureCost) * over / float64(s.Engine.KVCapacityTokens)
 }
 
-// behind tells whether a newer version of a model is wanted.
+// outdated reports whether a newer version of a model is ordered.
 func (t *Table) outdated(model string, version int64) bool {
 	return version < t.versionTimes[model].Newest()
 }
 
-// fitHolder tells whether a holder may be fetched from. Salts see to versions and walls.
+// mayFetchFrom reports whether a holder may be fetched from. It need not check versions and isolated tenants,
+// because these have separate cache salts.
 func (t *Table) mayFetchFrom(now time.Duration, b *Backend) bool {
-	return !b.Draining && t.evacuatedZones[b.Zone] == 0 && now >= b.avoidUntil && now >= b.coldUntil && b.phase != PhaseLoading
+	return !b.Draining && t.evacuatedZones[b.Zone] == 0 && now >= b.avoidUntil && now >= b.coldUntil &&
+		b.phase != PhaseLoading
 }
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -6,57 +6,63 @@
 	"nettlefold/internal/trial"
 )
 
-// learned is what is learned of the engines of a service. Its figures come from the answers of those that had nothing else to do, as far as
-// could be told. Work that nobody here knew of only ever makes an answer later: so the time before the reading is a low quantile, and the
-// tokens a ms are a high one.
+// engineEstimates are performance estimates of a service's engines, learned from the time to the first token.
+// The base latency and the prefill speed are learned from engines that seemed nearly idle. Work that this mixer
+// does not know of can only make a response later, so the base latency is estimated as a low quantile and the
+// speed as a high quantile of the samples.
 type engineEstimates struct {
-	tokensPerMS            float64
-	baseMS                 float64 // until the first token of a prompt of which nothing is read, 0 if not known yet
-	unexpectedDelayMS      float64 // that answers come later than expected, moving mean: what others sent that had not been told
-	unexpectedFetchDelayMS float64 // the same of answers that had a fetch before them
-	meanSharedTokens       float64 // tokens that prompts share with others, moving mean
-	meanEvictedTokens      float64 // of them those that nobody keeps any more
-	speedSamples           int     // answers that told the speed
-	baseSamples            int     // answers that told what comes before the reading
-	meanPrefillMS          float64 // that prompts are read for, moving mean
+	tokensPerMS            float64 // prefill speed
+	baseMS                 float64 // time to the first token without any prefill, 0 if not known yet
+	unexpectedDelayMS      float64 // moving mean of the delay beyond the estimate, from unreported requests of other mixers
+	unexpectedFetchDelayMS float64 // the same for responses that needed a fetch
+	meanSharedTokens       float64 // moving mean of the shared tokens of a prompt
+	meanEvictedTokens      float64 // moving mean of those that were evicted and are cached nowhere
+	speedSamples           int     // number of samples of tokensPerMS
+	baseSamples            int     // number of samples of baseMS
+	meanPrefillMS          float64 // moving mean of the prefill time of a prompt
 }
 
-// take takes how long a prompt took of which so many tokens were kept.
-func (l *engineEstimates) observeLatency(kept, prompt int, ms float64) {
-	read := float64(prompt - kept)
-	if read < maxBaseSampleTokens {
+// observeLatency updates the base latency or the prefill speed with the time to the first token of a prompt of
+// which a prefix was cached.
+func (l *engineEstimates) observeLatency(prefixTokens, promptTokens int, ms float64) {
+	prefilled := float64(promptTokens - prefixTokens)
+	if prefilled < maxBaseSampleTokens {
 		l.baseSamples++
-		l.baseMS = stepQuantile(l.baseMS, math.Max(ms-prefillTimeMS(kept, prompt, l.tokensPerMS), minSampleMS), 1-speedQuantile, quantileStep(l.baseSamples))
+		l.baseMS = stepQuantile(l.baseMS, math.Max(ms-prefillTimeMS(prefixTokens, promptTokens, l.tokensPerMS), minSampleMS),
+			1-speedQuantile, quantileStep(l.baseSamples))
 		return
 	}
-	if l.baseMS == 0 || read < minSpeedSampleTokens {
+	if l.baseMS == 0 || prefilled < minSpeedSampleTokens {
 		return
 	}
-	left := ms - l.baseMS - attentionTimeMS(kept, prompt)
+	linearMS := ms - l.baseMS - attentionTimeMS(prefixTokens, promptTokens)
 	l.speedSamples++
-	// What was kept there unknown to anybody seems to be read at any speed.
-	seen := math.Min(read/math.Max(left, minSampleMS), maxSpeedSampleFactor*l.tokensPerMS)
-	l.tokensPerMS = stepQuantile(l.tokensPerMS, seen, speedQuantile, quantileStep(l.speedSamples))
+	// Cap the sample: a prompt that was cached without being in the index seems to be prefilled at any speed.
+	sample := math.Min(prefilled/math.Max(linearMS, minSampleMS), maxSpeedSampleFactor*l.tokensPerMS)
+	l.tokensPerMS = stepQuantile(l.tokensPerMS, sample, speedQuantile, quantileStep(l.speedSamples))
 }
 
-// meanRead takes the reading time of another prompt, and gives the mean with it.
-func (l *engineEstimates) observePrefill(readMS float64) float64 {
-	l.meanPrefillMS = movingMean(l.meanPrefillMS, readMS)
+// observePrefill adds the estimated prefill time of a prompt to the moving mean and returns the new mean.
+func (l *engineEstimates) observePrefill(prefillMS float64) float64 {
+	l.meanPrefillMS = movingMean(l.meanPrefillMS, prefillMS)
 	return l.meanPrefillMS
 }
 
-// compare takes how much an answer took beyond what was expected of it.
-func (l *engineEstimates) observeDelay(expected, ms float64) {
-	l.unexpectedDelayMS += movingMeanWeight * (min(max(0, ms-expected-l.baseMS), maxUnexpectedDelayMS) - l.unexpectedDelayMS)
+// observeDelay updates the unexpected delay with the expected and the actual time to a first token.
+func (l *engineEstimates) observeDelay(expectedMS, ms float64) {
+	l.unexpectedDelayMS += movingMeanWeight *
+		(min(max(0, ms-expectedMS-l.baseMS), maxUnexpectedDelayMS) - l.unexpectedDelayMS)
 }
 
-// compareFetch takes how much an answer took beyond what was expected of it and its fetch.
-func (l *engineEstimates) observeFetchDelay(expected, ms float64) {
-	l.unexpectedFetchDelayMS += movingMeanWeight * (min(max(0, ms-expected-l.baseMS), maxUnexpectedFetchDelayMS) - l.unexpectedFetchDelayMS)
+// observeFetchDelay is observeDelay for a response that needed a fetch.
+func (l *engineEstimates) observeFetchDelay(expectedMS, ms float64) {
+	l.unexpectedFetchDelayMS += movingMeanWeight *
+		(min(max(0, ms-expectedMS-l.baseMS), maxUnexpectedFetchDelayMS) - l.unexpectedFetchDelayMS)
 }
 
-// linkWait is what a fetch waits for moves that nobody told of: those of other mixers in the last moments, those from the same holder, and saves.
-// It is what answers with a fetch take beyond what is expected of them, less what others do.
+// linkQueueMS returns the time that a fetch queues behind unreported transfers: the latest fetches of other
+// mixers, other fetches from the same holder, and saves. It is the unexpected delay of responses with a fetch
+// minus that of responses without.
 func (l *engineEstimates) linkQueueMS() float64 {
 	if trial.Disabled(trial.LinkQueue) {
 		return 0
@@ -64,13 +70,15 @@
 	return max(0, l.unexpectedFetchDelayMS-l.unexpectedDelayMS)
 }
 
-// lookedFor takes how many tokens of a prompt others may share, and how many of them nobody keeps any more, as they were displaced.
-func (l *engineEstimates) observeEvictions(shared, displaced int) {
-	l.meanSharedTokens += evictionMeanWeight * (float64(shared) - l.meanSharedTokens)
-	l.meanEvictedTokens += evictionMeanWeight * (float64(displaced) - l.meanEvictedTokens)
+// observeEvictions updates the eviction estimate with the shared tokens of a prompt and the number of them that
+// were evicted and are cached nowhere.
+func (l *engineEstimates) observeEvictions(sharedTokens, evictedTokens int) {
+	l.meanSharedTokens += evictionMeanWeight * (float64(sharedTokens) - l.meanSharedTokens)
+	l.meanEvictedTokens += evictionMeanWeight * (float64(evictedTokens) - l.meanEvictedTokens)
 }
 
-// displacedShare is the share of shared tokens that are asked for after they were displaced: how short the engines' memory is.
+// evictedShare returns the share of shared tokens that are requested again after their eviction. It measures
+// how short the engines are of KV cache memory.
 func (l *engineEstimates) evictedShare() float64 {
 	if l.meanSharedTokens <= 0 {
 		return 0
@@ -78,25 +86,26 @@
 	return l.meanEvictedTokens / l.meanSharedTokens
 }
 
-// copyPrice is what a second copy of so many tokens costs, in ms: it displaces others, which are read again as far as they are asked for.
+// copyCostMS returns the cost in ms of caching a second copy of tokens: it evicts other tokens, which must be
+// prefilled again when they are requested.
 func (l *engineEstimates) copyCostMS(tokens int) float64 {
 	if trial.Disabled(trial.CopyPenalty) {
 		return 0
 	}
-	read := duplicatePrefillWeight() * float64(tokens) / l.tokensPerMS
-	return trial.Scale(trial.CopyCost) * min(1, evictionCostFactor*l.evictedShare()) * read
+	prefillMS := duplicatePrefillWeight() * float64(tokens) / l.tokensPerMS
+	return trial.Scale(trial.CopyCost) * min(1, evictionCostFactor*l.evictedShare()) * prefillMS
 }
 
-// stepOf is how far the n-th answer moves an estimate: the first ones further.
+// quantileStep returns the relative step of a quantile estimate at its n-th sample. The first steps are larger.
 func quantileStep(n int) float64 { return max(minQuantileStep, 1/float64(n)) }
 
-// towards moves an estimate of a quantile by a step towards a value that was seen.
-func stepQuantile(estimate, seen, quantile, step float64) float64 {
+// stepQuantile moves an estimate of a quantile by a relative step toward a sample and returns the new estimate.
+func stepQuantile(estimate, sample, quantile, step float64) float64 {
 	switch {
 	case estimate == 0:
-		return seen
-	case seen > estimate:
-		return math.Min(seen, estimate+step*quantile*seen)
+		return sample
+	case sample > estimate:
+		return math.Min(sample, estimate+step*quantile*sample)
 	}
-	return math.Max(seen, estimate*(1-step*(1-quantile)))
+	return math.Max(sample, estimate*(1-step*(1-quantile)))
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Outcome is what became of a request at a backend.
+// Outcome is the result of a request at a backend.
 type Outcome int
 
 // The outcomes.
 const (
-	Completed     Outcome = iota // it answered, whatever it said
-	Refused                      // it said that it did not run the request
-	WrongInstance                // another instance or version is there
-	Failed                       // it could not be reached, or broke off
-	Cancelled                    // the client or its time ended it
+	Completed     Outcome = iota // the backend responded, with any status
+	Refused                      // the backend did not run the request and said so
+	WrongInstance                // another instance or version answered at the address
+	Failed                       // the backend was unreachable or broke off its response
+	Cancelled                    // the client or the deadline ended the request
 )
 
-// Began records the first byte of an answer: its prompt has been read, and the fetch from its holder is over.
+// RecordFirstByte records the first byte of a response: the prompt is prefilled, and the fetch from the holder
+// is complete.
 func (t *Table) RecordFirstByte(now time.Duration, c *Choice, service string) {
 	if c.gotFirstByte || c.ended {
 		return
@@ -41,7 +42,7 @@
 	c.Backend.consecutiveFailures, c.Backend.avoidUntil, c.Backend.probing = 0, 0, false
 }
 
-// unbook subtracts a part of a choice's load from its backend.
+// subtractLoad subtracts a part of a choice's load from the choice and its backend.
 func (c *Choice) subtractLoad(l Load) {
 	c.Backend.ownLoad = c.Backend.ownLoad.Sub(l)
 	c.load = c.load.Sub(l)
@@ -54,7 +55,7 @@
 	}
 }
 
-// End records the outcome of a choice. Only the first call has an effect.
+// End records the outcome of a choice. Only the first call for a choice has an effect.
 func (t *Table) End(now time.Duration, c *Choice, outcome Outcome) {
 	if c.ended {
 		return
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -9,93 +9,96 @@
 	"nettlefold/internal/waterfill"
 )
 
-// Request is what a decision needs of one.
+// Request is what the choice of a backend depends on.
 type Request struct {
 	Service           string
 	Model             string
-	Parts             []kvindex.Part
-	PromptTokens      int     // tokens
-	BodyBytes         int     // of the body
-	TargetMS          float64 // ms within which it earns its full worth, 0 if none is stated
-	RemainingMS       float64 // ms until its client gives it up
-	PreviouslyRefused bool    // it was refused before, as far as can be told
-	Rank              int     // of its route and tenant, 0 is the most urgent
-	IsolatedTenant    string  // the tenant's name if its prompts are shared with nobody
-	TriedBackends     []string
+	Parts             []kvindex.Part // of the prompt; other requests may share all but the last
+	PromptTokens      int
+	BodyBytes         int
+	TargetMS          float64  // time to the first token within which the response has its full value, 0 if none is set
+	RemainingMS       float64  // time until the client gives up
+	PreviouslyRefused bool     // the request seems to be a retry after a refusal
+	Rank              int      // priority rank of its route and tenant, 0 is the most urgent
+	IsolatedTenant    string   // name of the tenant if it shares cached prompts with no other, else ""
+	TriedBackends     []string // IDs of backends that must not be chosen again
 }
 
-// Choice is where a request goes. It must be ended once.
+// Choice is the chosen backend for a request. The caller must pass it to Table.End once, unless RetryAfterMS
+// is set.
 type Choice struct {
 	Backend   *Backend
 	ID        string
 	Addr      string
-	FetchAddr string // address of the holder to fetch from, "" for none
-	SaveAddr  string // address of the store to save to, "" for none
-	Salt      string
-	Version   int64   // of the weights that are expected, 0 if the request names no model
-	WaitMS    float64 // ms that it is expected to wait there
-	PrefillMS float64 // ms that it is expected to be read for
-	// Priority is how urgent it is at an engine, 0 the most.
+	FetchAddr string  // address of the holder to fetch from, "" for none
+	SaveAddr  string  // address of the store to save to, "" for none
+	Salt      string  // cache salt
+	Version   int64   // expected version of the weights, 0 if the request names no model
+	WaitMS    float64 // expected time in the backend's queue
+	PrefillMS float64 // expected time to prefill the prompt
+	// Priority is the priority of the request at an engine, 0 is the most urgent.
 	Priority int
 
-	// Later is set alone: the request is not taken now, and should come again in so many ms.
+	// RetryAfterMS is positive if the request is refused and should be retried after this delay. All other
+	// fields are zero in that case.
 	RetryAfterMS float64
 
 	CacheTrace
 
 	model        string
 	holder       *Backend
-	load         Load    // that is booked for it at the backend
-	promptTokens int     // tokens
-	prefixTokens int     // of them, with what is fetched
-	transferMS   float64 // ms that the fetch was expected to take
-	nearlyIdle   bool    // next to nothing else was known to be at the backend
+	load         Load // added to the backend's own load for this request
+	promptTokens int
+	prefixTokens int     // tokens that need no prefill, including fetched ones
+	transferMS   float64 // expected duration of the fetch
+	nearlyIdle   bool    // the backend was known to have next to no other work
 	sentAt       time.Duration
 	gotFirstByte bool
 	ended        bool
 }
 
-// Trace is what was known of a prompt's shared parts when a backend was chosen, in tokens.
+// CacheTrace is what the index knew of a prompt's shared parts when a backend was chosen, in tokens.
 type CacheTrace struct {
-	LastSharedPart    string // the last shared part, "" if nothing is shared
+	LastSharedPart    string // ID of the last shared part, "" if nothing is shared
 	SharedTokens      int
-	CachedTokens      int // by the backend, with what it fetches
-	LocalTokens       int // by the backend itself
-	FetchableTokens   int // by the holders of the longest prefix
-	UnfetchableTokens int // by a holder that may not be fetched from
+	CachedTokens      int // at the backend, including what it fetches
+	LocalTokens       int // at the backend before the fetch
+	FetchableTokens   int // at the holders of the longest prefix
+	UnfetchableTokens int // at most, at a holder that may not be fetched from
 }
 
-// Pick chooses the backend that should begin to answer first, by what it would have to read, what waits there and where it is, and the
-// holder that it fetches from. It gives nil if there is none that may get the request.
+// Pick chooses the backend with the earliest expected first token, by its prefill, its queue and its zone, and
+// the holder from which it fetches. It adds the request to the backend's own load. It returns nil if no backend
+// is eligible.
 func (t *Table) Pick(now time.Duration, r *Request) *Choice {
-	b, p, later := t.selectBackend(now, r)
+	b, p, retryAfterMS := t.selectBackend(now, r)
 	switch {
 	case b == nil:
 		return nil
-	case later > 0:
-		return &Choice{RetryAfterMS: later}
+	case retryAfterMS > 0:
+		return &Choice{RetryAfterMS: retryAfterMS}
 	}
 	return t.assign(now, r, b, p)
 }
 
-// Fits tells whether a request would be taken now. Nothing is booked for it.
+// WouldAdmit reports whether a request would be admitted now. It changes no load.
 func (t *Table) WouldAdmit(now time.Duration, r *Request) bool {
-	b, _, later := t.selectBackend(now, r)
-	return b != nil && later == 0
+	b, _, retryAfterMS := t.selectBackend(now, r)
+	return b != nil && retryAfterMS == 0
 }
 
-// best selects the backend with the least cost, nil if none may get the request. later is the delay in ms after which a request that is not
-// admitted now should be sent again, 0 if it is admitted.
-func (t *Table) selectBackend(now time.Duration, r *Request) (best *Backend, p candidate, later float64) {
+// selectBackend selects the backend with the lowest cost, nil if none is eligible. retryAfterMS is the delay
+// after which a refused request should be retried, 0 if the request is admitted.
+func (t *Table) selectBackend(now time.Duration, r *Request) (best *Backend, p candidate, retryAfterMS float64) {
 	for _, fallback := range []bool{false, true} {
-		may := t.eligibleBackends(now, r, fallback)
-		if len(may) == 0 {
+		eligible := t.eligibleBackends(now, r, fallback)
+		if len(eligible) == 0 {
 			continue
 		}
-		d := t.newSelection(r, may)
-		best, p = may[0], t.estimateCost(now, d, may[0])
-		for _, b := range may[1:] {
-			if other := t.estimateCost(now, d, b); other.costMS < p.costMS {
+		s := t.newSelection(r, eligible)
+		best, p = eligible[0], t.estimateCost(now, s, eligible[0])
+		for _, b := range eligible[1:] {
+			if other := t.estimateCost(now, s, b); other.costMS < p.costMS {
 				best, p = b, other
 			}
 		}
@@ -104,62 +107,67 @@
 	return nil, p, 0
 }
 
-// refuse returns the delay in ms after which a request should be sent again, because it would wait too long to meet its target; 0 if it is
-// admitted. A request that was refused before is refused again only if its client would give it up.
+// retryAfterMS implements admission control: it returns the delay after which a request that would wait too
+// long to meet its target should be retried, 0 if the request is admitted. A request that was refused before is
+// refused again only if its client would probably give up first.
 func (r *Request) retryAfterMS(p *candidate) float64 {
-	expected := p.waitMS + p.prefillMS
+	expectedMS := p.waitMS + p.prefillMS
 	if r.TargetMS <= 0 || r.RemainingMS <= 0 || trial.Disabled(trial.AdmissionControl) {
 		return 0
 	}
 	if r.PreviouslyRefused {
-		if expected > repeatedAdmitShare*r.RemainingMS && p.waitMS > minRefusalWaitShare*r.TargetMS {
+		if expectedMS > repeatedAdmitShare*r.RemainingMS && p.waitMS > minRefusalWaitShare*r.TargetMS {
 			return repeatedRetryAfterMS
 		}
 		return 0
 	}
-	if expected <= admitTargetFactor*r.TargetMS || p.waitMS <= minRefusalWaitShare*r.TargetMS {
+	if expectedMS <= admitTargetFactor*r.TargetMS || p.waitMS <= minRefusalWaitShare*r.TargetMS {
 		return 0
 	}
-	return min(max(expected-r.TargetMS, minRetryAfterMS), maxRetryAfterMS, r.RemainingMS*maxRetryAfterShare)
+	return min(max(expectedMS-r.TargetMS, minRetryAfterMS), maxRetryAfterMS, r.RemainingMS*maxRetryAfterShare)
 }
 
-func (t *Table) estimateCost(now time.Duration, d *selection, b *Backend) candidate {
-	r := d.request
+// estimateCost estimates the cost of serving a request at a backend. A random part of at most 1 ms breaks ties.
+func (t *Table) estimateCost(now time.Duration, s *selection, b *Backend) candidate {
+	r := s.request
 	p := candidate{costMS: t.random.Float64()}
 	if b.Zone != t.settings.Zone {
 		p.costMS += crossZoneMS + crossZoneMSPerKB*float64(r.BodyBytes)/1024
 	}
 	load := b.ownLoad.Add(b.otherLoad)
-	if !hasEngine(d.service) || r.Model == "" {
-		work := b.latencyMS
-		if work == 0 {
-			work = defaultLatencyMS
+	if !hasEngine(s.service) || r.Model == "" {
+		latencyMS := b.latencyMS
+		if latencyMS == 0 {
+			latencyMS = defaultLatencyMS
 		}
-		p.costMS += work * (1 + float64(load.Running)/float64(max(1, b.Slots)))
+		p.costMS += latencyMS * (1 + float64(load.Running)/float64(max(1, b.Slots)))
 		return p
 	}
-	p.costMS += t.random.Float64() * d.estimates.costJitterMS() // or all mixers would choose the same one until they hear of each other
+	// Jitter keeps all mixers from choosing the same backend before they learn of each other's requests.
+	p.costMS += t.random.Float64() * s.estimates.costJitterMS()
 	p.version = b.Versions[r.Model]
-	p.prompt = t.promptFor(now, d, p.version)
-	p.source = t.choosePrefixSource(d, &p, b)
-	kept := p.source.prefixTokens
+	p.prompt = t.promptFor(now, s, p.version)
+	p.source = t.choosePrefixSource(s, &p, b)
+	prefixTokens := p.source.prefixTokens
 	p.costMS += p.source.costMS
-	p.prefillMS = prefillTimeMS(kept, r.PromptTokens, d.tokensPerMS)
-	p.waitMS = float64(load.QueuedPrefillMS) + msPerRunningRequest*trial.Scale(trial.RunningCost)*float64(load.Running) + memoryWaitMS(d.service, load, r)
-	p.costMS += p.prefillMS + p.waitMS + d.duplicatePrefillTokens(now, b, &p, kept)/d.tokensPerMS
+	p.prefillMS = prefillTimeMS(prefixTokens, r.PromptTokens, s.tokensPerMS)
+	p.waitMS = float64(load.QueuedPrefillMS) + msPerRunningRequest*trial.Scale(trial.RunningCost)*float64(load.Running) +
+		memoryWaitMS(s.service, load, r)
+	p.costMS += p.prefillMS + p.waitMS + s.duplicatePrefillTokens(now, b, &p, prefixTokens)/s.tokensPerMS
 	if t.outdated(r.Model, p.version) && !trial.Disabled(trial.OldVersionPenalty) {
-		p.costMS += oldVersionPenalty * p.prefillMS // what is read there is dropped soon
+		p.costMS += oldVersionPenalty * p.prefillMS // the prefill is discarded with the old weights
 	}
 	return p
 }
 
-// take makes the choice for a candidate and adds the request to the backend's own load.
+// assign makes the choice of a candidate and adds the request to the backend's own load.
 func (t *Table) assign(now time.Duration, r *Request, b *Backend, p candidate) *Choice {
 	c := &Choice{
 		Backend: b, ID: b.ID, Addr: b.Addr, model: r.Model,
 		Version: p.version, WaitMS: p.waitMS, PrefillMS: p.prefillMS,
 		load:   Load{Running: 1, QueuedPrefillMS: int(p.prefillMS), Tokens: r.PromptTokens},
-		sentAt: now, promptTokens: r.PromptTokens, prefixTokens: p.source.prefixTokens, transferMS: p.source.transferMS, nearlyIdle: b.nearlyIdle(p.waitMS),
+		sentAt: now, promptTokens: r.PromptTokens, prefixTokens: p.source.prefixTokens,
+		transferMS: p.source.transferMS, nearlyIdle: b.nearlyIdle(p.waitMS),
 	}
 	if p.prompt != nil {
 		c.Priority = enginePriority(p.prefillMS, t.estimatesOf(r.Service).observePrefill(p.prefillMS), r.Rank)
@@ -183,11 +191,12 @@
 	return c
 }
 
-// trace records what the index knew of a prompt when its backend was chosen.
+// cacheTrace returns what the index knows of a prompt when its backend is chosen.
 func (r *Request) cacheTrace(b *Backend, index *kvindex.Index, p *candidate) CacheTrace {
 	shared := r.sharedTokens()
 	trace := CacheTrace{
-		SharedTokens: shared, CachedTokens: min(shared, p.source.prefixTokens), LocalTokens: min(shared, index.PrefixTokens(b.ID, p.prompt.keys, r.Parts)),
+		SharedTokens: shared, CachedTokens: min(shared, p.source.prefixTokens),
+		LocalTokens:     min(shared, index.PrefixTokens(b.ID, p.prompt.keys, r.Parts)),
 		FetchableTokens: min(shared, p.prompt.longestTokens), UnfetchableTokens: min(shared, p.prompt.unfetchableTokens),
 	}
 	if len(r.Parts) > 1 {
@@ -196,8 +205,9 @@
 	return trace
 }
 
-// fetchFrom names the holder to fetch from, picked by water-filling: the least own count among those of the longest prefix that are nearest to
-// the backend, raised before the next pick. What is read anew is saved to a store.
+// setTransfer sets the holder to fetch from, or the store to save to if the prompt is prefilled. The holder is
+// chosen by water-filling: among the nearest holders of the longest prefix, it has the fewest pending fetches of
+// this mixer.
 func (t *Table) setTransfer(c *Choice, r *Request, p candidate) {
 	if !p.source.fetch {
 		c.SaveAddr = t.saveAddr(r, p)
@@ -211,7 +221,8 @@
 	}
 }
 
-// saveTo returns the address of a store that lacks the shared parts of a prompt, "" if there is none or saving is not worth its transfer.
+// saveAddr returns the address of a store that lacks the shared parts of a prompt, "" if there is none or if
+// saving is not worth the transfer.
 func (t *Table) saveAddr(r *Request, p candidate) string {
 	if len(r.Parts) < 2 || trial.Disabled(trial.StoreSave) {
 		return ""
@@ -225,19 +236,19 @@
 	if !t.transferIsFaster(r.Service, tokens) {
 		return ""
 	}
-	for _, s := range t.stores {
-		if tokens-t.index.PrefixTokens(s.ID, keys, shared) >= minSaveTokens {
-			return s.Addr
+	for _, store := range t.stores {
+		if tokens-t.index.PrefixTokens(store.ID, keys, shared) >= minSaveTokens {
+			return store.Addr
 		}
 	}
 	return ""
 }
 
-// saltOf returns the cache salt that separates versions of the weights and isolated tenants.
-func cacheSalt(version int64, wall string) string {
+// cacheSalt returns the cache salt that separates versions of the weights and isolated tenants.
+func cacheSalt(version int64, isolatedTenant string) string {
 	salt := "v" + strconv.FormatInt(version, 10)
-	if wall != "" {
-		salt += "/" + wall
+	if isolatedTenant != "" {
+		salt += "/" + isolatedTenant
 	}
 	return salt
 }
--- a/internal/dispatch/shares.go
+++ b/internal/dispatch/shares.go
@@ -8,11 +8,13 @@
 	"nettlefold/internal/rendezvous"
 )
 
-// The retry budget and what a cold backend bears are sums over all mixers, also over lives of a process that ended. Each mixer keeps
-// to a share that it can tell without asking, and what is given out in all stays below the sum by the parts named in table.go.
+// The retry budget and the request rate of a cold backend are limits on the sum over all mixers, including
+// earlier processes of a mixer that was restarted. Each mixer keeps to a share that it computes without
+// coordination. coldAllowanceShare, retrySlackShare and retryRatioShare keep the sum of the shares below the
+// limits even while mixers disagree on the members.
 
-// coldShareOf tells how often this mixer may send to a cold backend, 0 if it may not. It is found when it is asked for, which it is of a
-// few: it takes a weight for each mixer.
+// coldInterval returns the time between two requests of this mixer to a cold backend, 0 if it may send none. The
+// interval is computed on demand, because ranking all mixers is expensive and few backends are cold.
 func (t *Table) coldInterval(b *Backend) time.Duration {
 	if b.coldIntervalRevision != t.sharesRevision {
 		b.coldInterval, b.coldIntervalRevision = t.computeColdInterval(b), t.sharesRevision
@@ -20,26 +22,28 @@
 	return b.coldInterval
 }
 
-// coldShare divides the allowance of a second among so many mixers, picked by rendezvous hashing, that each may send one.
+// computeColdInterval divides a backend's allowance for one second among as many mixers as may send one request
+// each. These mixers are selected by rendezvous hashing.
 func (t *Table) computeColdInterval(b *Backend) time.Duration {
 	service := t.service(b.Service)
 	if service == nil || len(t.members.All) == 0 {
 		return 0
 	}
 	allowed := service.ColdPerS*t.settings.ColdOvershoot + t.settings.ColdSlack
-	users := int(math.Floor(allowed * coldAllowanceShare))
-	if users < 1 {
+	senders := int(math.Floor(allowed * coldAllowanceShare))
+	if senders < 1 {
 		return 0
 	}
-	if users < len(t.members.All) && !slices.Contains(rendezvous.Top("cold/"+b.ID, t.members.All, users), t.members.Self) {
+	if senders < len(t.members.All) && !slices.Contains(rendezvous.Top("cold/"+b.ID, t.members.All, senders), t.members.Self) {
 		return 0
 	}
-	// Beyond one a second each, the steady rate is kept too: all users together send no more than the backend handles.
-	each := float64(min(users, len(t.members.All))) / max(service.ColdPerS, 0.1)
-	return max(time.Second, time.Duration(each*float64(time.Second)))
+	// Besides one request per second and sender, the senders together keep to the rate that the backend sustains.
+	intervalS := float64(min(senders, len(t.members.All))) / max(service.ColdPerS, 0.1)
+	return max(time.Second, time.Duration(intervalS*float64(time.Second)))
 }
 
-// coldAllows tells whether a cold backend may get a request now.
+// coldAdmits reports whether this mixer may send a request to a backend now, as far as the backend's limit while
+// it is cold is concerned.
 func (t *Table) coldAdmits(now time.Duration, b *Backend) bool {
 	if now >= b.coldUntil {
 		return true
@@ -47,22 +51,24 @@
 	return now >= b.nextColdSend && now-t.started >= coldStartupWaitMS*time.Millisecond && t.coldInterval(b) > 0
 }
 
-// budget counts a service's requests and repeats in the running window, by its tenths.
+// retryBudget counts a service's requests and retries in a sliding window that is divided into slots.
 type retryBudget struct {
-	slots      [retryBudgetSlots]struct{ requests, repeats int }
-	newestSlot int64 // number of the newest slot
+	slots      [retryBudgetSlots]struct{ requests, retries int }
+	newestSlot int64 // sequence number of the newest slot
 }
 
 const retryBudgetSlots = 10
 
+// advance clears the slots that left the window.
 func (b *retryBudget) advance(now, window time.Duration) {
-	at := int64(now / (window / retryBudgetSlots))
-	for i := max(b.newestSlot+1, at-retryBudgetSlots+1); i <= at; i++ {
-		b.slots[i%retryBudgetSlots] = struct{ requests, repeats int }{}
+	current := int64(now / (window / retryBudgetSlots))
+	for i := max(b.newestSlot+1, current-retryBudgetSlots+1); i <= current; i++ {
+		b.slots[i%retryBudgetSlots] = struct{ requests, retries int }{}
 	}
-	b.newestSlot = max(b.newestSlot, at)
+	b.newestSlot = max(b.newestSlot, current)
 }
 
+// retryBudget returns the retry budget of a service with its window advanced to now.
 func (t *Table) retryBudget(now time.Duration, service string) *retryBudget {
 	b := t.retryBudgets[service]
 	if b == nil {
@@ -73,30 +79,31 @@
 	return b
 }
 
-// Arrived books a client's request for a service.
+// RecordRequest adds a client's request for a service to the retry budget.
 func (t *Table) RecordRequest(now time.Duration, service string) {
 	b := t.retryBudget(now, service)
 	b.slots[b.newestSlot%retryBudgetSlots].requests++
 }
 
-// TakeRepeat books one sending beyond a request's first, if this mixer's share of the budget has room.
+// TakeRetry takes one attempt after the first from a service's retry budget. It reports whether this mixer's
+// share of the budget allowed it.
 func (t *Table) TakeRetry(now time.Duration, service string) bool {
 	if !t.RetryAllowed(now, service) {
 		return false
 	}
 	b := t.retryBudget(now, service)
-	b.slots[b.newestSlot%retryBudgetSlots].repeats++
+	b.slots[b.newestSlot%retryBudgetSlots].retries++
 	return true
 }
 
-// RepeatFits tells whether this mixer's share of the budget has room for one more sending.
+// RetryAllowed reports whether this mixer's share of a service's retry budget allows one more attempt.
 func (t *Table) RetryAllowed(now time.Duration, service string) bool {
 	b := t.retryBudget(now, service)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for _, s := range b.slots {
 		requests += s.requests
-		repeats += s.repeats
+		retries += s.retries
 	}
 	slack := t.settings.RetryBudgetSlack * retrySlackShare / float64(max(1, len(t.members.All)))
-	return float64(repeats+1) <= slack+retryRatioShare*t.settings.RetryBudgetRatio*float64(requests)
+	return float64(retries+1) <= slack+retryRatioShare*t.settings.RetryBudgetRatio*float64(requests)
 }
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -13,99 +13,119 @@
 	"nettlefold/internal/trial"
 )
 
-// Settings are what the rules and the machine's place say.
+// Settings are the fleet's limits and this mixer's zone.
 type Settings struct {
 	Zone              string
-	VersionLimit      time.Duration // after which a request may begin on an older version no more
-	ColdOvershoot     float64
-	ColdSlack         float64
-	RetryBudgetRatio  float64
-	RetryBudgetSlack  float64
+	VersionLimit      time.Duration // after which no response may begin on a superseded version of the weights
+	ColdOvershoot     float64       // allowed factor on the request rate that a cold backend sustains
+	ColdSlack         float64       // requests per second allowed beyond that
+	RetryBudgetRatio  float64       // allowed retries per request
+	RetryBudgetSlack  float64       // retries allowed beyond that ratio within a window
 	RetryBudgetWindow time.Duration
-	DiscoveryLag      time.Duration
+	DiscoveryLag      time.Duration // maximum delay with which the platform's list shows a change
 }
 
-// Figures of the estimate. The reading speed is where what is learned begins.
+// Constants of the cost estimate and of the limits.
 const (
-	initialTokensPerMS         = 40.0
-	crossZoneMS                = 4.0  // what a hop to another zone is taken for, in ms
-	crossZoneMSPerKB           = 1.5  // and each KB of the request that goes there: it is paid for
-	msPerRunningRequest        = 3.0  // what a running generation adds to the next one's start
-	minFetchTokens             = 256  // tokens from which a fetch is worth its risk
-	fetchBaseMS                = 3.0  // of any fetch
-	defaultLatencyMS           = 50.0 // of a request of whose service nothing is known
-	versionSendShare           = 0.8  // share of the version's limit after which older ones get nothing more
-	versionFirstByteShare      = 0.96 // share of it after which what has not begun there is taken back
-	attentionMSPerMillionPairs = 0.25 // of a million pairs of tokens, as engines with nothing else to do showed on two deployments
-	duplicatePrefillFactor     = 12.0 // by how much reading anew what others keep or read counts more than the time it takes
-	oldVersionPenalty          = 0.3  // what is added to the time to read at a backend whose memory is dropped soon
-	memoryPressureShare        = 0.85 // of an engine's memory, from which requests wait for others to end
-	memoryPressureMS           = 4000.0
-	ownersPerPrompt            = 2
-	prefillingTTL              = 3 * time.Second
-	maxPrefillingKeys          = 4096
-	stallTimeout               = 1200 * time.Millisecond // beyond what is expected, until a backend is taken for silent
-	stallWaitFactor            = 2
-	crossZoneTransferFactor    = 2    // by how much a move between zones takes longer
-	maxBaseSampleTokens        = 1500 // tokens read, below which an answer tells what comes before the reading
-	minSpeedSampleTokens       = 2500 // and from which it tells the speed
-	speedQuantile              = 0.8
-	minQuantileStep            = 0.05
-	nearlyIdleWaitMS           = 15.0 // that a request waits at the most where its answer tells the speed: five running generations
-	minSampleMS                = 1.0
-	maxSpeedSampleFactor       = 2      // times the speed that is believed, for which one answer counts at the most
-	maxUnexpectedDelayMS       = 500.0  // of what an answer takes beyond what was expected: more is a failure's
-	maxUnexpectedFetchDelayMS  = 1500.0 // likewise of an answer with a fetch: many moves may stand before it
-	admitTargetFactor          = 1.3    // of its target by which a request must be expected to begin, to be taken when others wait
-	minRefusalWaitShare        = 0.4    // of its target that a request waits before any is refused
-	repeatedAdmitShare         = 0.8    // of the time left, likewise for one that came again
-	minRetryAfterMS            = 200.0
-	maxRetryAfterMS            = 1500.0
-	maxRetryAfterShare         = 0.25 // of the time left
-	repeatedRetryAfterMS       = 300.0
-	movingMeanWeight           = 0.1   // of the newest figure in a moving mean
-	evictionMeanWeight         = 0.02  // of the newest prompt in the share of tokens that were displaced
-	evictionCostFactor         = 6.0   // by how much a copy costs more than what it displaces itself: what is read or fetched again displaces in turn
-	trackedEvictions           = 8192  // parts that engines dropped last, by which a miss is known for one of displacement
-	minSaveTokens              = 1024  // shared tokens from which a prompt is worth saving to the store
-	coldAllowanceShare         = 0.6   // of the rules' allowance that is given out, as members may differ on who they are
-	retrySlackShare            = 0.4   // likewise of the retry budget's slack, and room for processes that start anew
-	retryRatioShare            = 0.7   // likewise of its ratio
-	coldStartupWaitMS          = 1000. // after the start: what an earlier life of this process may have sent is over
+	// initialTokensPerMS is the prefill speed that is assumed before any is learned.
+	initialTokensPerMS = 40.0
+
+	// Cost of a request to another zone: its latency, and its traffic, which is billed.
+	crossZoneMS      = 4.0
+	crossZoneMSPerKB = 1.5
+
+	msPerRunningRequest        = 3.0                     // delay that each running request adds to the next one's first token
+	minFetchTokens             = 256                     // fewer tokens are not worth the risk of a fetch
+	fetchBaseMS                = 3.0                     // fixed time of a fetch
+	defaultLatencyMS           = 50.0                    // latency of a backend without an engine until one is measured
+	versionSendShare           = 0.8                     // share of VersionLimit after which a superseded version gets no new request
+	versionFirstByteShare      = 0.96                    // share of VersionLimit after which a request without a first byte is withdrawn
+	attentionMSPerMillionPairs = 0.25                    // attention time per million pairs of tokens
+	duplicatePrefillFactor     = 12.0                    // cost of prefilling shared parts that another backend holds, relative to its time
+	oldVersionPenalty          = 0.3                     // additional share of the prefill time at a backend whose cache is discarded soon
+	memoryPressureShare        = 0.85                    // share of an engine's KV cache from which requests wait for others to end
+	memoryPressureMS           = 4000.0                  // wait for memory when requests exceed that share by the whole KV cache
+	ownersPerPrompt            = 2                       // backends per prompt that prefill shared parts at a reduced duplicate cost
+	prefillingTTL              = 3 * time.Second         // how long a backend is assumed to prefill or cache assigned parts
+	maxPrefillingKeys          = 4096                    // per backend; expired keys are removed above this number
+	stallTimeout               = 1200 * time.Millisecond // beyond the expected wait
+	stallWaitFactor            = 2                       // of the expected wait
+	crossZoneTransferFactor    = 2                       // relative to a transfer within a zone
+
+	maxBaseSampleTokens       = 1500   // prefills below this size are samples of the base latency
+	minSpeedSampleTokens      = 2500   // prefills from this size are samples of the speed
+	speedQuantile             = 0.8    // of the speed samples; the base latency uses 1-speedQuantile
+	minQuantileStep           = 0.05   // relative to the estimate
+	nearlyIdleWaitMS          = 15.0   // the delay of five running requests
+	minSampleMS               = 1.0    // lower bound of the time in a sample
+	maxSpeedSampleFactor      = 2      // bound of one speed sample, relative to the estimate
+	maxUnexpectedDelayMS      = 500.0  // a longer delay is due to a failure
+	maxUnexpectedFetchDelayMS = 1500.0 // larger, because a fetch may queue behind many transfers
+
+	// Admission control. A request whose wait is above minRefusalWaitShare of its target is refused if its first
+	// token is expected after admitTargetFactor of its target. If it was refused before, it is refused again only
+	// if its first token is expected after repeatedAdmitShare of its remaining time.
+	admitTargetFactor    = 1.3
+	minRefusalWaitShare  = 0.4
+	repeatedAdmitShare   = 0.8
+	minRetryAfterMS      = 200.0
+	maxRetryAfterMS      = 1500.0
+	maxRetryAfterShare   = 0.25 // of the remaining time
+	repeatedRetryAfterMS = 300.0
+
+	movingMeanWeight   = 0.1  // weight of the newest sample in a moving mean
+	evictionMeanWeight = 0.02 // weight of the newest prompt in the means of shared and evicted tokens
+	// evictionCostFactor is the factor of a copy's cost over the tokens that it evicts directly: these are prefilled
+	// or fetched again later and evict others in turn.
+	evictionCostFactor = 6.0
+	trackedEvictions   = 8192 // evictions recorded to distinguish a miss after an eviction from a first use
+	minSaveTokens      = 1024 // fewer shared tokens are not worth a save to the store
+
+	// Shares of the fleet-wide limits that are given out, because mixers may differ on who the members are. The
+	// shares of the retry budget also leave room for restarted processes.
+	coldAllowanceShare = 0.6
+	retrySlackShare    = 0.4
+	retryRatioShare    = 0.7
+
+	// coldStartupWaitMS is the time after the start without requests to cold backends, after which requests that an
+	// earlier process of this mixer may have sent no longer count.
+	coldStartupWaitMS = 1000.0
 )
 
-// Table is what a mixer knows.
+// Table is a mixer's view of the backends, their loads and their cached prompts.
 type Table struct {
 	settings       Settings
 	config         *config.Table
 	evacuatedZones map[string]uint64
-	versionTimes   map[string]superseded.Times // since when versions are wanted
-	backends       map[string]*Backend
-	backendOrder   []string // identities, as the list has them
+	versionTimes   map[string]superseded.Times // by model: when versions of the weights were superseded
+	backends       map[string]*Backend         // by ID
+	backendOrder   []string                    // IDs in the order of the platform's list
 	byService      map[string][]*Backend
 	byAddr         map[string]*Backend
-	stores         map[string]*Backend // stores of kept prompts, by address; they serve nothing
+	stores         map[string]*Backend // KV stores by address; they serve no requests
 	index          *kvindex.Index
 	members        Members
-	retryBudgets   map[string]*retryBudget
-	estimates      map[string]*engineEstimates // of a service's engines
+	retryBudgets   map[string]*retryBudget     // by service
+	estimates      map[string]*engineEstimates // by service
 	random         *rand.Rand
 	started        time.Duration
-	// sharesNumber counts what the shares of cold backends follow from: members and configurations.
+	// sharesRevision is incremented when the members or the configuration change, from which the shares of cold
+	// backends are computed.
 	sharesRevision uint64
-	onFirstByte    func(c *Choice, ms float64) // sees what was expected and what came, if set
+	onFirstByte    func(c *Choice, ms float64) // nil if not set
 }
 
-// Observe has f see each choice as its answer begins, and the ms that it took.
+// OnFirstByte sets a function that is called at the first byte of each response, with the choice and the time to
+// the first byte in ms.
 func (t *Table) OnFirstByte(f func(c *Choice, ms float64)) { t.onFirstByte = f }
 
-// Members is who shares the sums with this mixer.
+// Members are the mixers that share the fleet-wide limits.
 type Members struct {
 	Self string
-	All  []string
+	All  []string // including Self
 }
 
-// New makes an empty table at a time.
+// New returns an empty table. now is the time at which this process started.
 func New(now time.Duration, settings Settings, random *rand.Rand) *Table {
 	return &Table{
 		settings:     settings,
@@ -128,10 +148,10 @@
 	return index
 }
 
-// Index is the index of kept prompts, for feeding it.
+// Index returns the index of cached prompt parts. The caller applies the updates to it.
 func (t *Table) Index() *kvindex.Index { return t.index }
 
-// SetConfig takes the configuration in force.
+// SetConfig sets the current configuration.
 func (t *Table) SetConfig(c *config.Table) {
 	t.config = c
 	t.sharesRevision++
@@ -149,10 +169,13 @@
 	t.stores = stores
 }
 
-// SetState takes what else the operator ordered. versions has since when, by this table's clock, those of models are known to be wanted.
-func (t *Table) SetState(now time.Duration, evacuated, restored map[string]uint64, models map[string]replicated.Model, versions map[string]superseded.Times) {
+// SetState sets the operator's evacuations and the ordered versions of the models. versions holds, by model, the
+// earliest times at which versions may have been ordered, by this table's clock. A zone that is no longer
+// evacuated is assumed to be cold.
+func (t *Table) SetState(now time.Duration, evacuated, restored map[string]uint64, models map[string]replicated.Model,
+	versions map[string]superseded.Times) {
 	for zone := range t.evacuatedZones {
-		if _, still := evacuated[zone]; !still {
+		if _, ok := evacuated[zone]; !ok {
 			t.markZoneCold(now, zone)
 		}
 	}
@@ -162,7 +185,8 @@
 	}
 }
 
-// chill takes the backends of a zone for cold that has just been given back: they may have become so unseen.
+// markZoneCold marks the backends of a restored zone as cold, because they may have become cold unnoticed during
+// the evacuation.
 func (t *Table) markZoneCold(now time.Duration, zone string) {
 	for _, b := range t.backends {
 		if b.Zone == zone {
@@ -171,6 +195,7 @@
 	}
 }
 
+// coldStartDuration returns how long a backend is cold after its start.
 func (t *Table) coldStartDuration(b *Backend) time.Duration {
 	if s := t.service(b.Service); s != nil {
 		return time.Duration(s.ColdStartS * float64(time.Second))
@@ -178,6 +203,7 @@
 	return 0
 }
 
+// service returns the configuration of a service, nil if there is none.
 func (t *Table) service(name string) *config.Service {
 	if t.config == nil {
 		return nil
@@ -185,14 +211,15 @@
 	return t.config.Service(name)
 }
 
-// SetMembers takes who shares the sums.
+// SetMembers sets the mixers that share the fleet-wide limits.
 func (t *Table) SetMembers(m Members) {
 	t.members = m
 	t.sharesRevision++
 }
 
-// SetBackends takes the platform's list and the phases that the owners of orders tell. It gives the identities that are gone.
-func (t *Table) SetBackends(now time.Duration, list []BackendInfo, phases map[string]string) (gone []string) {
+// SetBackends replaces the list of backends and their phases, which are keyed by ID. It returns the IDs of the
+// backends that are no longer listed.
+func (t *Table) SetBackends(now time.Duration, list []BackendInfo, phases map[string]string) (removed []string) {
 	listed := make(map[string]bool, len(list))
 	order := make([]string, 0, len(list))
 	for i := range list {
@@ -201,46 +228,47 @@
 	}
 	for id := range t.backends {
 		if !listed[id] {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	t.UpdateBackends(now, list, phases, gone)
+	t.UpdateBackends(now, list, phases, removed)
 	t.backendOrder = order
 	t.rebuildLookups()
-	return gone
+	return removed
 }
 
-// ChangeBackends takes the entries of the list that changed or are new, with their phases, and drops those that are gone.
-func (t *Table) UpdateBackends(now time.Duration, changed []BackendInfo, phases map[string]string, gone []string) {
+// UpdateBackends applies new and changed entries of the list with their phases, and removes backends.
+func (t *Table) UpdateBackends(now time.Duration, changed []BackendInfo, phases map[string]string, removed []string) {
 	first := len(t.backends) == 0
 	for _, l := range changed {
 		t.setBackend(now, l, phases[l.ID], first)
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		delete(t.backends, id)
 	}
 	t.rebuildLookups()
 }
 
-// setBackend takes an entry of the list; first tells that the list is the first one, of backends that were there before this mixer.
+// setBackend adds or updates a backend. first is set for the first list, whose backends were running before this
+// mixer started.
 func (t *Table) setBackend(now time.Duration, l BackendInfo, phase string, first bool) {
-	cold := now + time.Duration(l.ColdMS*float64(time.Millisecond))
+	coldUntil := now + time.Duration(l.ColdMS*float64(time.Millisecond))
 	b := t.backends[l.ID]
 	if b == nil {
 		b = &Backend{}
 		t.backends[l.ID] = b
 		t.backendOrder = append(t.backendOrder, l.ID)
-		if !first { // it started during traffic
-			b.coldUntil = cold
+		if !first { // the backend has just started
+			b.coldUntil = coldUntil
 		}
 	}
 	if l.ColdMS > 0 {
-		b.coldUntil = max(b.coldUntil, cold)
+		b.coldUntil = max(b.coldUntil, coldUntil)
 	}
 	b.BackendInfo, b.phase = l, phase
 }
 
-// arrange sorts the backends by service and address, in the list's order.
+// rebuildLookups rebuilds byService and byAddr in the order of the list.
 func (t *Table) rebuildLookups() {
 	clear(t.byService)
 	clear(t.byAddr)
@@ -252,14 +280,14 @@
 	}
 }
 
-// SetLoads takes what the other mixers have at backends.
+// SetOtherLoads sets the loads of all other mixers, keyed by backend ID.
 func (t *Table) SetOtherLoads(loads map[string]Load) {
 	for id, b := range t.backends {
 		b.otherLoad = loads[id]
 	}
 }
 
-// Loads gives what this mixer has at backends, those with nothing left out.
+// OwnLoads returns this mixer's loads that are not zero, keyed by backend ID.
 func (t *Table) OwnLoads() map[string]Load {
 	loads := map[string]Load{}
 	for id, b := range t.backends {
@@ -270,10 +298,11 @@
 	return loads
 }
 
-// Size is how many backends are listed.
+// BackendCount returns the number of listed backends.
 func (t *Table) BackendCount() int { return len(t.backends) }
 
-// Avoided counts the backends that get nothing now because of failures.
+// AvoidedCount returns the number of backends that are avoided now after a failure, a refusal or an
+// unexpected instance.
 func (t *Table) AvoidedCount(now time.Duration) (n int) {
 	for _, b := range t.backends {
 		if now < b.avoidUntil {
@@ -283,10 +312,10 @@
 	return n
 }
 
-// Backend finds a backend by its identity, nil if it is gone.
+// Backend returns a backend by its ID, nil if it is not listed.
 func (t *Table) Backend(id string) *Backend { return t.backends[id] }
 
-// readSpeed is how many tokens of a prompt an engine of the service reads in a ms.
+// prefillTokensPerMS returns the prefill speed of a service's engines.
 func (t *Table) prefillTokensPerMS(service string) float64 {
 	if trial.Disabled(trial.LearnedPrefillSpeed) {
 		return initialTokensPerMS
@@ -294,6 +323,7 @@
 	return t.estimatesOf(service).tokensPerMS
 }
 
+// estimatesOf returns the estimates of a service's engines and creates them if needed.
 func (t *Table) estimatesOf(service string) *engineEstimates {
 	l := t.estimates[service]
 	if l == nil {
@@ -303,9 +333,10 @@
 	return l
 }
 
-func movingMean(old, new float64) float64 {
-	if old == 0 || math.IsNaN(old) {
-		return new
+// movingMean returns an exponential moving mean after a sample. A mean of 0 or NaN is replaced by the sample.
+func movingMean(mean, sample float64) float64 {
+	if mean == 0 || math.IsNaN(mean) {
+		return sample
 	}
-	return old + movingMeanWeight*(new-old)
+	return mean + movingMeanWeight*(sample-mean)
 }
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// lowestPriority is what an engine takes for the least urgent, 0 for the most.
+	// lowestPriority is the least urgent priority of an engine; 0 is the most urgent.
 	lowestPriority = 9
-	// middlePriority is that of a prompt which takes as long to read as the mean one, of the first rank; one that takes twice as long is one less
-	// urgent.
+	// middlePriority is the priority of a prompt of rank 0 with the mean prefill time. Twice the prefill time
+	// makes a prompt less urgent by 1.
 	middlePriority = 4.5
-	// rankFactor is how many times as long a prompt of the next rank counts.
+	// rankFactor is the factor on the prefill time for each rank.
 	rankFactor = 1.5
 )
 
-// priority is how urgent a prompt is at an engine. What is read soon goes first: it holds the others up for little, and stands behind them for many
-// times what it takes itself. Ranks of routes and tenants make a prompt count as longer, so that of two alike the more urgent is first.
-func enginePriority(readMS, meanMS float64, rank int) int {
-	if meanMS <= 0 || readMS <= 0 || trial.Disabled(trial.ShortPrefillFirst) {
+// enginePriority returns the priority of a prompt at an engine, from 0 (most urgent) to lowestPriority. Short
+// prefills come first: they delay others little, while waiting behind a long prefill takes many times their own
+// duration. The rank of the route and tenant scales the prefill time, so of two equal prompts the one with the
+// more urgent rank comes first.
+func enginePriority(prefillMS, meanPrefillMS float64, rank int) int {
+	if meanPrefillMS <= 0 || prefillMS <= 0 || trial.Disabled(trial.ShortPrefillFirst) {
 		return min(max(0, rank), lowestPriority)
 	}
-	counts := readMS * math.Pow(rankFactor, float64(max(0, rank)))
-	return min(max(0, int(math.Round(middlePriority+math.Log2(counts/meanMS)))), lowestPriority)
+	rankedMS := prefillMS * math.Pow(rankFactor, float64(max(0, rank)))
+	return min(max(0, int(math.Round(middlePriority+math.Log2(rankedMS/meanPrefillMS)))), lowestPriority)
 }
