--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -274,7 +274,7 @@
 	later := table.Pick(0, r).RetryAfterMS
 	require.Positive(t, later)
 	require.LessOrEqual(t, later, 1500.0)
-	r.PreviouslyRefused = true
+	r.Retried = true
 	require.Zero(t, table.Pick(0, r).RetryAfterMS, "who comes again is taken while its time suffices")
 	r.RemainingMS = 3000
 	require.Positive(t, table.Pick(0, r).RetryAfterMS)
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -11,17 +11,17 @@
 
 // Request is what the choice of a backend depends on.
 type Request struct {
-	Service           string
-	Model             string
-	Parts             []kvindex.Part // of the prompt; other requests may share all but the last
-	PromptTokens      int
-	BodyBytes         int
-	TargetMS          float64  // time to the first token within which the response has its full value, 0 if none is set
-	RemainingMS       float64  // time until the client gives up
-	PreviouslyRefused bool     // the request seems to be a retry after a refusal
-	Rank              int      // priority rank of its route and tenant, 0 is the most urgent
-	IsolatedTenant    string   // name of the tenant if it shares cached prompts with no other, else ""
-	TriedBackends     []string // IDs of backends that must not be chosen again
+	Service        string
+	Model          string
+	Parts          []kvindex.Part // of the prompt; other requests may share all but the last
+	PromptTokens   int
+	BodyBytes      int
+	TargetMS       float64  // time to the first token within which the response has its full value, 0 if none is set
+	RemainingMS    float64  // time until the client gives up
+	Retried        bool     // the request was refused or sent to a backend before, as far as known
+	Rank           int      // priority rank of its route and tenant, 0 is the most urgent
+	IsolatedTenant string   // name of the tenant if it shares cached prompts with no other, else ""
+	TriedBackends  []string // IDs of backends that must not be chosen again
 }
 
 // Choice is the chosen backend for a request. The caller must pass it to Table.End once, unless RetryAfterMS
@@ -108,16 +108,16 @@
 }
 
 // retryAfterMS implements admission control: it returns the delay after which a request that would wait too
-// long to meet its target should be retried, 0 if the request is admitted. A request that was refused before is
-// refused again only if its client would probably give up first.
+// long to meet its target should be retried, 0 if the request is admitted. A retried request is
+// refused only if its client would probably give up first.
 func (r *Request) retryAfterMS(p *candidate) float64 {
 	expectedMS := p.waitMS + p.prefillMS
 	if r.TargetMS <= 0 || r.RemainingMS <= 0 || trial.Disabled(trial.AdmissionControl) {
 		return 0
 	}
-	if r.PreviouslyRefused {
-		if expectedMS > repeatedAdmitShare*r.RemainingMS && p.waitMS > minRefusalWaitShare*r.TargetMS {
-			return repeatedRetryAfterMS
+	if r.Retried {
+		if expectedMS > retriedAdmitShare*r.RemainingMS && p.waitMS > minRefusalWaitShare*r.TargetMS {
+			return retriedRetryAfterMS
 		}
 		return 0
 	}
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -63,15 +63,15 @@
 	maxUnexpectedFetchDelayMS = 1500.0 // larger, because a fetch may queue behind many transfers
 
 	// Admission control. A request whose wait is above minRefusalWaitShare of its target is refused if its first
-	// token is expected after admitTargetFactor of its target. If it was refused before, it is refused again only
-	// if its first token is expected after repeatedAdmitShare of its remaining time.
-	admitTargetFactor    = 1.3
-	minRefusalWaitShare  = 0.4
-	repeatedAdmitShare   = 0.8
-	minRetryAfterMS      = 200.0
-	maxRetryAfterMS      = 1500.0
-	maxRetryAfterShare   = 0.25 // of the remaining time
-	repeatedRetryAfterMS = 300.0
+	// token is expected after admitTargetFactor of its target. If it was refused or sent before, it is refused only
+	// if its first token is expected after retriedAdmitShare of its remaining time.
+	admitTargetFactor   = 1.3
+	minRefusalWaitShare = 0.4
+	retriedAdmitShare   = 0.8
+	minRetryAfterMS     = 200.0
+	maxRetryAfterMS     = 1500.0
+	maxRetryAfterShare  = 0.25 // of the remaining time
+	retriedRetryAfterMS = 300.0
 
 	movingMeanWeight   = 0.1  // weight of the newest sample in a moving mean
 	evictionMeanWeight = 0.02 // weight of the newest prompt in the means of shared and evicted tokens
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -101,7 +101,7 @@
 // decision is what choosing a backend needs to know of a request that was sent to some already.
 func (q *request) decision(tried []string) *dispatch.Request {
 	return &dispatch.Request{
-		TargetMS: q.route.TargetMS, Rank: q.rank, RemainingMS: float64(time.Until(q.deadline).Milliseconds()), PreviouslyRefused: q.again || len(tried) > 0,
+		TargetMS: q.route.TargetMS, Rank: q.rank, RemainingMS: float64(time.Until(q.deadline).Milliseconds()), Retried: q.again || len(tried) > 0,
 		Service: q.service, Model: q.model, Parts: q.parts, PromptTokens: q.prompt, BodyBytes: len(q.body), IsolatedTenant: q.wall(), TriedBackends: tried,
 	}
 }
