--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -8,7 +8,7 @@
 	"github.com/ansel1/merry/v2"
 
 	"nettlefold/internal/distribute"
-	"nettlefold/internal/duty"
+	"nettlefold/internal/leases"
 	"nettlefold/internal/replicated"
 )
 
@@ -17,7 +17,7 @@
 	duty      string
 	inherited bool // somebody else may have held it before
 	mu        sync.Mutex
-	state     *duty.Lease
+	state     *leases.Lease
 }
 
 func (l *lease) fence() uint64 {
@@ -45,7 +45,7 @@
 	return max(0, l.state.From()-now)
 }
 
-func (l *lease) confirmed(c duty.Confirmation) bool {
+func (l *lease) confirmed(c leases.Confirmation) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.Inherited = l.inherited
@@ -54,8 +54,8 @@
 
 // orderTerms are the times of the duty to give orders. Engines that refuse lower tokens need no time between two holders: what the former one
 // sent has arrived by then or is refused.
-func (a *Agent) orderTerms() duty.Terms {
-	terms := duty.Terms{Act: confirmFor, Flight: orderLimit}
+func (a *Agent) orderTerms() leases.Terms {
+	terms := leases.Terms{Act: confirmFor, Flight: orderLimit}
 	if !a.settings.Bounds.Fenced {
 		terms.Apart = a.settings.Bounds.Lease
 	}
@@ -68,7 +68,7 @@
 	if err := a.ask(ctx, func() { before = a.snapshot.Duties[name] }); err != nil {
 		return nil, err
 	}
-	l := &lease{duty: name, inherited: before.Holder != "" && before.Holder != a.self.ID, state: duty.New(a.orderTerms(), before.Fence)}
+	l := &lease{duty: name, inherited: before.Holder != "" && before.Holder != a.self.ID, state: leases.New(a.orderTerms(), before.Fence)}
 	if err := a.confirm(ctx, l); err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 			continue
 		}
 		quiet := time.Duration(reply.QuietMS) * time.Millisecond
-		if reply.Outcome == distribute.Taken && l.confirmed(duty.Confirmation{Asked: asked, Now: a.now(), Fence: reply.Fence, Quiet: quiet}) {
+		if reply.Outcome == distribute.Taken && l.confirmed(leases.Confirmation{Asked: asked, Now: a.now(), Fence: reply.Fence, Quiet: quiet}) {
 			return nil
 		}
 		err = merry.New("the duty " + l.duty + " is another's: " + reply.Reason)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -13,8 +13,8 @@
 	"github.com/ansel1/merry/v2"
 
 	"nettlefold/internal/dispatch"
-	"nettlefold/internal/duty"
 	"nettlefold/internal/feed"
+	"nettlefold/internal/leases"
 	"nettlefold/internal/trial"
 )
 
@@ -43,7 +43,7 @@
 // ownsOrders tells whether a model's orders are this agent's to give.
 func (a *Agent) ownsOrders(model string) bool {
 	key := ordersDuty(model)
-	return duty.Owner(key, a.snapshot.Duties[key].Holder, a.memberIDs()) == a.self.ID
+	return leases.Owner(key, a.snapshot.Duties[key].Holder, a.memberIDs()) == a.self.ID
 }
 
 // dutyOrders starts a rollout of each model whose version is not everywhere, where that falls to this agent.
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -12,8 +12,8 @@
 
 	"nettlefold/internal/dispatch"
 	"nettlefold/internal/distribute"
-	"nettlefold/internal/duty"
 	"nettlefold/internal/feed"
+	"nettlefold/internal/leases"
 	"nettlefold/internal/rendezvous"
 	"nettlefold/internal/replicated"
 )
@@ -134,7 +134,7 @@
 	l.Addr = backend.Listener.Addr().String()
 	a := fleetOf(1, 1)[0]
 	a.list = []dispatch.Listed{l}
-	r := &rollout{agent: a, model: "m", lease: &lease{state: duty.New(duty.Terms{}, 7)}, finished: make(chan string, 1)}
+	r := &rollout{agent: a, model: "m", lease: &lease{state: leases.New(leases.Terms{}, 7)}, finished: make(chan string, 1)}
 	r.one(context.Background(), l, 2)
 	(<-a.commands)() // the phase
 	require.Empty(t, a.behind("m", 2))
@@ -159,8 +159,8 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { orders.Add(1) }))
 	defer backend.Close()
 	a := fleetOf(1, 1)[0]
-	l := &lease{inherited: true, state: duty.New(duty.Terms{Act: time.Hour, Flight: time.Hour}, 7)}
-	require.True(t, l.confirmed(duty.Confirmation{Now: a.now(), Fence: 8}))
+	l := &lease{inherited: true, state: leases.New(leases.Terms{Act: time.Hour, Flight: time.Hour}, 7)}
+	require.True(t, l.confirmed(leases.Confirmation{Now: a.now(), Fence: 8}))
 	require.Greater(t, l.opensIn(a.now()), time.Hour)
 	require.False(t, l.mayAct(a.now()))
 	r := &rollout{agent: a, model: "m", lease: l}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,7 +15,7 @@
 	"nettlefold/internal/chain"
 	"nettlefold/internal/distribute"
 	"nettlefold/internal/durable"
-	"nettlefold/internal/duty"
+	"nettlefold/internal/leases"
 	"nettlefold/internal/replicated"
 	"nettlefold/internal/rpc"
 	"nettlefold/internal/settings/local"
@@ -62,7 +62,7 @@
 	shown         []*distribute.MemberSet // before those shown now, the newest last
 	inTouch       time.Duration           // when it last had the newest state for sure
 	leaving       time.Time               // when it was told to end, zero before
-	duties        duty.Register           // who asked for confirmations here
+	duties        leases.Register         // who asked for confirmations here
 	spread        spread                  // of committed numbers among the agents
 	work          ownerWork               // of the last second at most
 	worked        ownerWork               // before
--- a/internal/duty/duty.go
+++ b/internal/leases/lease.go
@@ -1,7 +1,7 @@
-// Package duty decides who holds a duty and when its holder may act. Ownership is agreed on in the control state, under a fencing token. Here is
+// Package leases decides who holds a duty and when its holder may act. Ownership is agreed on in the control state, under a fencing token. Here is
 // what agents and controllers make of it, by their own steady clocks: who should hold a duty (Owner), how long a confirmation lasts and how
 // long a successor waits (Lease), and what the head of the chain remembers of confirmations (Register). It has no I/O and no clock.
-package duty
+package leases
 
 import (
 	"slices"
--- a/internal/duty/duty_test.go
+++ b/internal/leases/lease_test.go
@@ -1,4 +1,4 @@
-package duty
+package leases
 
 import (
 	"cmp"
@@ -207,7 +207,7 @@
 
 func (w *world) Check() error { return w.broken }
 
-// mostStates bounds the search in CI; go test ./internal/duty -run OrdersOf -timeout 0 -states 3000000 has that of two holders whole.
+// mostStates bounds the search in CI; go test ./internal/leases -run OrdersOf -timeout 0 -states 3000000 has that of two holders whole.
 const mostStates = 60000
 
 var statesFlag = flag.Int("states", mostStates, "states that a search through orders may see")
--- a/internal/duty/register.go
+++ b/internal/leases/renewals.go
@@ -1,4 +1,4 @@
-package duty
+package leases
 
 import "time"
 
