--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -52,8 +52,8 @@
 
 	// What follows is the owner's.
 	snapshot    *distribute.Snapshot
-	versions    map[string]superseded.Times // since when models' versions are known to be wanted
-	inTouch     time.Duration               // when a call was made that a controller in touch answered, the last one
+	versions    map[string]superseded.History // since when models' versions are known to be wanted
+	inTouch     time.Duration                 // when a call was made that a controller in touch answered, the last one
 	controllers []string
 	epoch       uint64 // of the view that controllers are of
 	members     *distribute.MemberSet
@@ -78,7 +78,7 @@
 	readersAt  time.Time
 	wholes     wholes
 
-	eventOwners *rendezvous.Owners // of the backends' events
+	eventOwners *rendezvous.OwnerCache // of the backends' events
 
 	news      *exchange
 	newsBytes uint64 // of news that was sent
@@ -114,12 +114,12 @@
 		members:  &distribute.MemberSet{},
 		suspects: map[string]bool{},
 		phases:   map[string]phaseNews{},
-		versions: map[string]superseded.Times{},
-		inTouch:  superseded.Always,
+		versions: map[string]superseded.History{},
+		inTouch:  superseded.DistantPast,
 		index:    kvindex.New(),
 		readers:  map[string]context.CancelFunc{},
 
-		eventOwners: rendezvous.NewOwners(),
+		eventOwners: rendezvous.NewOwnerCache(),
 		wholes:      wholes{wanted: map[string]bool{}},
 		listFeed:    listFeed{changedIn: map[string]uint64{}},
 		rollouts:    map[string]bool{},
@@ -213,15 +213,15 @@
 // handlePeer serves other machines.
 func (a *Agent) handlePeer(ctx context.Context, kind string, body []byte) (any, error) {
 	switch kind {
-	case feed.KindNews:
-		news := new(feed.News)
+	case feed.KindGossip:
+		news := new(feed.GossipMessage)
 		if err := cbor.Unmarshal(body, news); err != nil {
 			return nil, err
 		}
 		a.enqueue(func() { a.news.take(news) })
 		return nil, nil
-	case feed.KindWhole:
-		request := new(feed.WholeRequest)
+	case feed.KindBackendIndex:
+		request := new(feed.BackendIndexRequest)
 		if err := cbor.Unmarshal(body, request); err != nil {
 			return nil, err
 		}
@@ -289,29 +289,29 @@
 // feedReply makes the answer to a call of the proxy that came at a time, and tells whether there is something in it that it lacks.
 func (a *Agent) feedReply(began time.Duration, request *feed.Request) (reply *feed.Reply, fresh bool) {
 	a.proxyAt = time.Now()
-	a.applied = max(a.applied, request.Applied)
-	same := request.Agent == a.self.ID
-	reply = &feed.Reply{Agent: a.self.ID, Index: a.batchCount, LoadsAt: a.news.number}
-	if !same || request.Loads != a.news.number {
+	a.applied = max(a.applied, request.SnapshotSeq)
+	same := request.AgentID == a.self.ID
+	reply = &feed.Reply{AgentID: a.self.ID, BatchCount: a.batchCount, LoadsRevision: a.news.number}
+	if !same || request.LoadsRevision != a.news.number {
 		reply.Loads, fresh = a.news.others(), true
 	}
-	if a.snapshot != nil && a.snapshot.Seq > request.Applied {
+	if a.snapshot != nil && a.snapshot.Seq > request.SnapshotSeq {
 		snapshot := *a.snapshot
-		if snapshot.ConfigSeq == request.Config {
+		if snapshot.ConfigSeq == request.ConfigSeq {
 			snapshot.Config = nil
 		}
-		reply.Snapshot, reply.Ages, fresh = &snapshot, a.currentAges(), true
-		reply.HeldMS = (a.now() - began).Milliseconds()
+		reply.Snapshot, reply.VersionAges, fresh = &snapshot, a.currentAges(), true
+		reply.LongPollMS = (a.now() - began).Milliseconds()
 	}
 	a.noteApplied(same, request)
 	switch {
 	case a.list == nil:
 	case !same:
 		reply.List, fresh = a.listFor(), true
-	case request.List != a.listFeed.number:
-		reply.List, fresh = a.listAfter(request.List), true
+	case request.ListRevision != a.listFeed.number:
+		reply.List, fresh = a.listAfter(request.ListRevision), true
 	}
-	if !same || request.Members != a.members.Digest {
+	if !same || request.MembersDigest != a.members.Digest {
 		reply.Members, fresh = a.members, true
 	}
 	return reply, a.feedIndex(request, reply, reply.Snapshot != nil) || fresh
@@ -321,26 +321,26 @@
 // that it has to begin anew. The list and the members come with it: while weights are exchanged the list changes with each call. It tells
 // whether it added something.
 func (a *Agent) feedIndex(request *feed.Request, reply *feed.Reply, urgent bool) (fresh bool) {
-	behind := a.batchCount - request.Index
-	if request.Agent != a.self.ID || behind > uint64(len(a.batches)) {
-		reply.Reset, reply.Known = true, a.index.Backends()
+	behind := a.batchCount - request.BatchCount
+	if request.AgentID != a.self.ID || behind > uint64(len(a.batches)) {
+		reply.Reset, reply.KnownBackends = true, a.index.Backends()
 		return true
 	}
-	reply.Index = request.Index
+	reply.BatchCount = request.BatchCount
 	if urgent {
 		return false
 	}
 	changes := 0
 	for _, b := range a.batches[uint64(len(a.batches))-behind:] {
-		if changes >= feed.MostChanges {
+		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
 		changes += len(b.Changes)
 		reply.Batches = append(reply.Batches, b)
-		reply.Index++
+		reply.BatchCount++
 	}
-	for _, id := range request.Want {
-		if changes >= feed.MostChanges {
+	for _, id := range request.ResyncBackends {
+		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
 		whole := a.index.Whole(id)
--- a/internal/agent/applied.go
+++ b/internal/agent/applied.go
@@ -37,12 +37,12 @@
 // noteApplied notes what a proxy's call tells that it has in force; same tells whether its numbers are of this agent's life.
 func (a *Agent) noteApplied(same bool, request *feed.Request) {
 	now := time.Now()
-	if a.snapshot != nil && a.snapshot.Seq > request.Applied {
+	if a.snapshot != nil && a.snapshot.Seq > request.SnapshotSeq {
 		a.snapshotApplied.changed(a.snapshot.Seq, now)
 	}
-	a.tellLate("snapshot applied", a.snapshotApplied.has(request.Applied, now))
+	a.tellLate("snapshot applied", a.snapshotApplied.has(request.SnapshotSeq, now))
 	if same {
-		a.tellLate("list applied", a.listApplied.has(request.List, now))
+		a.tellLate("list applied", a.listApplied.has(request.ListRevision, now))
 	}
 }
 
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -110,7 +110,7 @@
 	a.readersOf, a.readersAt = from, time.Now()
 	sources := a.sources()
 	a.eventOwners.SetCandidates(a.memberIDs())
-	a.eventOwners.Keep(func(duty string) bool {
+	a.eventOwners.Retain(func(duty string) bool {
 		_, there := sources[strings.TrimPrefix(duty, eventsDutyPrefix)]
 		return there
 	})
@@ -244,7 +244,7 @@
 	}
 	b.Sum = a.index.Sum(b.Backend)
 	a.keepBatch(b)
-	a.news.tell(&feed.News{Batches: []*kvindex.Batch{b}})
+	a.news.tell(&feed.GossipMessage{Batches: []*kvindex.Batch{b}})
 }
 
 // takeBatch takes one that was read elsewhere; after a gap the whole is fetched.
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -56,24 +56,24 @@
 	require.NotNil(t, reply.Snapshot)
 	require.Empty(t, reply.Batches)
 	require.True(t, reply.Reset)
-	require.Len(t, reply.Known, 140)
-	request := &feed.Request{Agent: a.self.ID, Applied: 5, Config: 5, Index: reply.Index, Members: a.members.Digest, Loads: reply.LoadsAt, Want: reply.Known}
+	require.Len(t, reply.KnownBackends, 140)
+	request := &feed.Request{AgentID: a.self.ID, SnapshotSeq: 5, ConfigSeq: 5, BatchCount: reply.BatchCount, MembersDigest: a.members.Digest, LoadsRevision: reply.LoadsRevision, ResyncBackends: reply.KnownBackends}
 	reply, fresh = a.feedReply(0, request)
 	require.True(t, fresh)
 	require.NotEmpty(t, reply.Batches)
-	require.LessOrEqual(t, changes(reply), feed.MostChanges+300)
+	require.LessOrEqual(t, changes(reply), feed.MaxChangesPerReply+300)
 	a.snapshot = &distribute.Snapshot{Seq: 6, ConfigSeq: 6, Config: []byte("{}")}
 	reply, _ = a.feedReply(0, request)
 	require.NotNil(t, reply.Snapshot, "another one comes between the pieces")
 	require.Empty(t, reply.Batches)
-	require.Equal(t, request.Index, reply.Index)
+	require.Equal(t, request.BatchCount, reply.BatchCount)
 }
 
 // TestAListThatChangesHoldsNothingUp: while the list, or the members, change with each call the index comes all the same.
 func TestAListThatChangesHoldsNothingUp(t *testing.T) {
 	a := indexed(10, 10)
 	a.list = []dispatch.Listed{{ID: "i-0"}}
-	request := &feed.Request{Agent: a.self.ID}
+	request := &feed.Request{AgentID: a.self.ID}
 	for number := uint64(1); number <= 5; number++ {
 		a.listFeed.number = number
 		a.members = &distribute.MemberSet{Digest: number}
@@ -83,7 +83,7 @@
 		require.NotNil(t, reply.List)
 		require.NotNil(t, reply.Members)
 		require.Len(t, reply.Batches, 1)
-		request.List, request.Members, request.Index = reply.List.Number, reply.Members.Digest, reply.Index
+		request.ListRevision, request.MembersDigest, request.BatchCount = reply.List.Revision, reply.Members.Digest, reply.BatchCount
 	}
 }
 
@@ -92,7 +92,7 @@
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		a, proxy := indexed(60, 200), kvindex.New()
-		request := &feed.Request{Members: a.members.Digest}
+		request := &feed.Request{MembersDigest: a.members.Digest}
 		for round := 0; ; round++ {
 			if round < 20 {
 				for range random.IntN(40) {
@@ -103,9 +103,9 @@
 			if random.IntN(4) == 0 {
 				continue // it did not come in time
 			}
-			request.Agent, request.Loads = reply.Agent, reply.LoadsAt
-			request.TakeIndex(proxy, reply)
-			if round >= 20 && len(request.Want) == 0 && request.Index == a.batchCount {
+			request.AgentID, request.LoadsRevision = reply.AgentID, reply.LoadsRevision
+			request.ApplyIndex(proxy, reply)
+			if round >= 20 && len(request.ResyncBackends) == 0 && request.BatchCount == a.batchCount {
 				break
 			}
 			require.Less(t, round, 200)
@@ -125,7 +125,7 @@
 		require.GreaterOrEqual(t, len(a.batches), min(i+1, keptBatches))
 		require.Equal(t, int64(i), a.batches[len(a.batches)-1].To.Next)
 	}
-	reply, _ := a.feedReply(0, &feed.Request{Agent: a.self.ID, Index: a.batchCount - keptBatches})
+	reply, _ := a.feedReply(0, &feed.Request{AgentID: a.self.ID, BatchCount: a.batchCount - keptBatches})
 	require.False(t, reply.Reset)
 }
 
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -264,11 +264,11 @@
 	f.mu.Lock()
 	members := f.members
 	f.mu.Unlock()
-	reply := &distribute.WatchReply{Current: true}
-	if request.Have == 0 {
+	reply := &distribute.WatchReply{HasQuorum: true}
+	if request.ReceivedSeq == 0 {
 		reply.Snapshot = &distribute.Snapshot{Seq: 1, ConfigSeq: 1, Config: []byte("{}")}
 	}
-	if request.Members == members.Digest {
+	if request.MembersDigest == members.Digest {
 		time.Sleep(350 * time.Millisecond)
 	} else {
 		reply.Members = members
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -23,52 +23,52 @@
 func (l *lease) fence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state.Fence()
+	return l.state.FencingToken()
 }
 
 func (l *lease) mayAct(now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state.MayAct(now)
+	return l.state.Valid(now)
 }
 
 func (l *lease) over(now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state.Over(now)
+	return l.state.Expired(now)
 }
 
 // opensIn is how long it is until the lease begins.
 func (l *lease) opensIn(now time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.state.From()-now)
+	return max(0, l.state.ValidFrom()-now)
 }
 
-func (l *lease) confirmed(c leases.Confirmation) bool {
+func (l *lease) confirmed(c leases.Renewal) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.Inherited = l.inherited
-	return l.state.Confirmed(c)
+	c.HadPredecessor = l.inherited
+	return l.state.Renew(c)
 }
 
 // orderTerms are the times of the duty to give orders. Engines that refuse lower tokens need no time between two holders: what the former one
 // sent has arrived by then or is refused.
-func (a *Agent) orderTerms() leases.Terms {
-	terms := leases.Terms{Act: confirmFor, Flight: orderLimit}
+func (a *Agent) orderTerms() leases.Timing {
+	terms := leases.Timing{HoldFor: confirmFor, MaxTransit: orderLimit}
 	if !a.settings.Bounds.Fenced {
-		terms.Apart = a.settings.Bounds.Lease
+		terms.MinSeparation = a.settings.Bounds.Lease
 	}
 	return terms
 }
 
 // acquire takes a duty over, and waits until shortly before whoever had it has stopped: its lease may begin emptyAhead later.
 func (a *Agent) acquire(ctx context.Context, name string) (*lease, error) {
-	var before replicated.Duty
-	if err := a.ask(ctx, func() { before = a.snapshot.Duties[name] }); err != nil {
+	var before replicated.LeaseRecord
+	if err := a.ask(ctx, func() { before = a.snapshot.Leases[name] }); err != nil {
 		return nil, err
 	}
-	l := &lease{duty: name, inherited: before.Holder != "" && before.Holder != a.self.ID, state: leases.New(a.orderTerms(), before.Fence)}
+	l := &lease{duty: name, inherited: before.Holder != "" && before.Holder != a.self.ID, state: leases.New(a.orderTerms(), before.FencingToken)}
 	if err := a.confirm(ctx, l); err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 func (a *Agent) confirm(ctx context.Context, l *lease) error {
 	asked := a.now()
 	request := &distribute.SubmitRequest{Operation: replicated.Operation{
-		Kind: replicated.KindDuty, Duty: l.duty, Holder: a.self.ID, Fence: l.fence(),
+		Kind: replicated.KindLease, LeaseName: l.duty, Holder: a.self.ID, FencingToken: l.fence(),
 	}}
 	var controllers []string
 	if err := a.ask(ctx, func() { controllers = a.controllers }); err != nil {
@@ -101,12 +101,12 @@
 			err = callErr
 			continue
 		}
-		quiet := time.Duration(reply.QuietMS) * time.Millisecond
-		if reply.Outcome == distribute.Taken && l.confirmed(leases.Confirmation{Asked: asked, Now: a.now(), Fence: reply.Fence, Quiet: quiet}) {
+		quiet := time.Duration(reply.PredecessorIdleMS) * time.Millisecond
+		if reply.Outcome == distribute.OutcomeCommitted && l.confirmed(leases.Renewal{RequestedAt: asked, ReceivedAt: a.now(), FencingToken: reply.FencingToken, PredecessorIdle: quiet}) {
 			return nil
 		}
 		err = merry.New("the duty " + l.duty + " is another's: " + reply.Reason)
-		if reply.Outcome != distribute.Unclear {
+		if reply.Outcome != distribute.OutcomeUnknown {
 			return err
 		}
 	}
--- a/internal/agent/listfeed.go
+++ b/internal/agent/listfeed.go
@@ -44,12 +44,12 @@
 // listAfter is what changed of it after a number, all of it where that is not known any more.
 func (a *Agent) listAfter(number uint64) *feed.List {
 	f := &a.listFeed
-	out := &feed.List{Number: f.number, Backends: []dispatch.Listed{}, Phases: map[string]string{}}
+	out := &feed.List{Revision: f.number, Backends: []dispatch.Listed{}, Phases: map[string]string{}}
 	if number >= f.wholeFrom {
-		out.Since = number
+		out.BaseRevision = number
 	}
 	for _, l := range a.list {
-		if out.Since > 0 && f.changedIn[l.ID] <= number {
+		if out.BaseRevision > 0 && f.changedIn[l.ID] <= number {
 			continue
 		}
 		if p, ok := a.phases[l.ID]; ok {
@@ -60,8 +60,8 @@
 		}
 		out.Backends = append(out.Backends, l)
 	}
-	if out.Since > 0 {
-		out.Gone = a.goneAfter(number)
+	if out.BaseRevision > 0 {
+		out.Removed = a.goneAfter(number)
 	}
 	return out
 }
--- a/internal/agent/listfeed_test.go
+++ b/internal/agent/listfeed_test.go
@@ -24,10 +24,10 @@
 
 // take applies a list as the proxy does.
 func (p *proxyList) take(t *testing.T, list *feed.List) {
-	if list.Since == 0 {
+	if list.BaseRevision == 0 {
 		p.backends, p.phases = map[string]dispatch.Listed{}, map[string]string{}
 	} else {
-		require.Equal(t, p.number, list.Since)
+		require.Equal(t, p.number, list.BaseRevision)
 	}
 	for _, l := range list.Backends {
 		p.backends[l.ID] = l
@@ -36,11 +36,11 @@
 			p.phases[l.ID] = phase
 		}
 	}
-	for _, id := range list.Gone {
+	for _, id := range list.Removed {
 		delete(p.backends, id)
 		delete(p.phases, id)
 	}
-	p.number = list.Number
+	p.number = list.Revision
 }
 
 // randomChange changes the agent's list or phases in some way.
@@ -48,9 +48,9 @@
 	id := func() string { return fmt.Sprint("i-", random.IntN(40)) }
 	switch random.IntN(5) {
 	case 0:
-		a.takePhases(map[string]feed.Phase{id(): {Name: dispatch.PhaseLoading, Number: uint64(round)}})
+		a.takePhases(map[string]feed.Phase{id(): {Name: dispatch.PhaseLoading, Seq: uint64(round)}})
 	case 1:
-		a.takePhases(map[string]feed.Phase{id(): {Model: "m", Version: int64(round), Number: uint64(round)}})
+		a.takePhases(map[string]feed.Phase{id(): {Model: "m", Version: int64(round), Seq: uint64(round)}})
 	case 2:
 		for known, p := range a.phases {
 			p.at = time.Now().Add(-time.Minute)
@@ -106,7 +106,7 @@
 		list = append(list, dispatch.Listed{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("10.0.0.1:", i), Versions: map[string]int64{"m": 1}})
 	}
 	a.spreadList(time.Now(), list)
-	request := &feed.Request{Agent: a.self.ID, List: a.listFor().Number}
+	request := &feed.Request{AgentID: a.self.ID, ListRevision: a.listFor().Revision}
 	a.takePhases(map[string]feed.Phase{"i-7": {Name: dispatch.PhaseLoading}})
 	reply, fresh := a.feedReply(0, request)
 	require.True(t, fresh)
--- a/internal/agent/listplan_test.go
+++ b/internal/agent/listplan_test.go
@@ -76,12 +76,12 @@
 	require.Equal(t, reader.self.Addr, other.lists.missing)
 	require.Equal(t, reader.self.Addr, other.listPeer())
 	news := reader.listSince(other.lists.sum)
-	require.False(t, news.Whole)
+	require.False(t, news.Full)
 	other.hearList(news, reader.self.Addr)
 	require.ElementsMatch(t, list, other.list)
 	require.Equal(t, reader.lists.sum, other.lists.sum)
 	require.Empty(t, other.lists.missing)
-	require.True(t, reader.listSince(12345).Whole, "a list that nobody here knows")
+	require.True(t, reader.listSince(12345).Full, "a list that nobody here knows")
 }
 
 // TestAnOlderReadingIsNotTaken: news that waited on its way, as at a hub that stood still, does not undo what came by another.
@@ -94,5 +94,5 @@
 	other.toldList(reader.listSince(0), reader.self.Addr)
 	other.toldList(old, reader.self.Addr)
 	require.True(t, other.list[0].Draining)
-	require.Equal(t, &feed.ReadList{Sum: reader.lists.sum}, &feed.ReadList{Sum: other.lists.sum})
+	require.Equal(t, &feed.ListUpdate{Digest: reader.lists.sum}, &feed.ListUpdate{Digest: other.lists.sum})
 }
--- a/internal/agent/lists.go
+++ b/internal/agent/lists.go
@@ -40,34 +40,34 @@
 	asked   int
 	hubLost bool // the hub of this zone did not answer when it was asked last, and told nothing since
 
-	history []*feed.ReadList // the newest changes, each to the list before, oldest first
+	history []*feed.ListUpdate // the newest changes, each to the list before, oldest first
 }
 
 // spreadList takes a list that was read here from a time on, and tells the others what changed.
 func (a *Agent) spreadList(read time.Time, list []dispatch.Listed) {
-	news := feed.WholeList(list)
+	news := feed.NewFullListUpdate(list)
 	if a.list != nil {
-		news = feed.ListChanges(a.list, a.lists.sum, list)
+		news = feed.NewListDelta(a.list, a.lists.sum, list)
 	}
 	a.lists.number++
 	a.lists.toldAt = time.Now()
 	a.lists.readAt, a.lists.heardAt = read, time.Now()
-	news.Number, news.AgeMS = a.lists.number, time.Since(read).Milliseconds()
+	news.Revision, news.AgeMS = a.lists.number, time.Since(read).Milliseconds()
 	a.setList(news, list)
-	a.news.tell(&feed.News{List: news})
+	a.news.tell(&feed.GossipMessage{List: news})
 }
 
 // toldList takes what another agent tells of the list without being asked.
-func (a *Agent) toldList(news *feed.ReadList, from string) {
-	if news != nil && news.Number >= a.lists.number {
+func (a *Agent) toldList(news *feed.ListUpdate, from string) {
+	if news != nil && news.Revision >= a.lists.number {
 		a.lists.toldAt, a.lists.hubLost = time.Now(), false
 		a.hearList(news, from)
 	}
 }
 
 // hearList takes what another agent tells of the list. Changes to another list than the one in hand are noted as missing, to be asked for.
-func (a *Agent) hearList(news *feed.ReadList, from string) {
-	if news.Number < a.lists.number || news.Number == a.lists.number && news.Sum == a.lists.sum {
+func (a *Agent) hearList(news *feed.ListUpdate, from string) {
+	if news.Revision < a.lists.number || news.Revision == a.lists.number && news.Digest == a.lists.sum {
 		return
 	}
 	list, ok := news.Apply(a.list, a.lists.sum)
@@ -78,23 +78,23 @@
 	age := time.Duration(news.AgeMS) * time.Millisecond
 	a.listArrivals.Observe(age)
 	a.tellLate("list heard from "+from, age)
-	a.lists.number, a.lists.missing = news.Number, ""
+	a.lists.number, a.lists.missing = news.Revision, ""
 	a.lists.heardAt = time.Now()
 	a.lists.readAt = a.lists.heardAt.Add(-age)
-	if news.Whole && a.list != nil {
-		news = feed.ListChanges(a.list, a.lists.sum, list)
+	if news.Full && a.list != nil {
+		news = feed.NewListDelta(a.list, a.lists.sum, list)
 	}
 	a.setList(news, list)
 }
 
 // setList puts a list in force, and keeps the news that led to it.
-func (a *Agent) setList(news *feed.ReadList, list []dispatch.Listed) {
-	if news.Sum == a.lists.sum {
+func (a *Agent) setList(news *feed.ListUpdate, list []dispatch.Listed) {
+	if news.Digest == a.lists.sum {
 		return
 	}
-	a.list, a.lists.sum = list, news.Sum
-	a.log.Debug().Str("step", "list").Dur("age", time.Since(a.lists.readAt)).Int("changed", len(news.Changed)).Int("gone", len(news.Gone)).Msg("the list changed")
-	if news.Whole {
+	a.list, a.lists.sum = list, news.Digest
+	a.log.Debug().Str("step", "list").Dur("age", time.Since(a.lists.readAt)).Int("changed", len(news.Changed)).Int("gone", len(news.Removed)).Msg("the list changed")
+	if news.Full {
 		a.lists.history = nil
 		a.listReplaced()
 		return
@@ -103,7 +103,7 @@
 	if over := len(a.lists.history) - listHistory; over > 0 {
 		a.lists.history = slices.Delete(a.lists.history, 0, over)
 	}
-	changed := slices.Clone(news.Gone)
+	changed := slices.Clone(news.Removed)
 	for i := range news.Changed {
 		changed = append(changed, news.Changed[i].ID)
 	}
@@ -111,31 +111,31 @@
 }
 
 // listSince is what leads from a list that another agent has to the one in hand, nil if there is none.
-func (a *Agent) listSince(sum uint64) *feed.ReadList {
+func (a *Agent) listSince(sum uint64) *feed.ListUpdate {
 	if a.list == nil {
 		return nil
 	}
-	news := &feed.ReadList{Sum: a.lists.sum}
+	news := &feed.ListUpdate{Digest: a.lists.sum}
 	if sum != a.lists.sum {
 		news = a.historySince(sum)
 	}
 	out := *news
-	out.Number, out.AgeMS = a.lists.number, time.Since(a.lists.readAt).Milliseconds()
+	out.Revision, out.AgeMS = a.lists.number, time.Since(a.lists.readAt).Milliseconds()
 	return &out
 }
 
-func (a *Agent) historySince(sum uint64) *feed.ReadList {
+func (a *Agent) historySince(sum uint64) *feed.ListUpdate {
 	for i, changes := range a.lists.history {
-		if changes.Base != sum {
+		if changes.BaseDigest != sum {
 			continue
 		}
 		joined := changes
 		for _, later := range a.lists.history[i+1:] {
-			joined = joined.Then(later)
+			joined = joined.Merge(later)
 		}
 		return joined
 	}
-	return feed.WholeList(a.list)
+	return feed.NewFullListUpdate(a.list)
 }
 
 // askForList asks another agent for the list when news of it is missing, or none came for a while: at first whoever told of it, then the
@@ -152,9 +152,9 @@
 	}
 	a.lists.asking, a.lists.missing = true, ""
 	a.lists.asked++
-	request := &feed.ListRequest{Sum: a.lists.sum}
+	request := &feed.ListRequest{Digest: a.lists.sum}
 	go func() {
-		news := new(feed.ReadList)
+		news := new(feed.ListUpdate)
 		err := a.pool.Call(ctx, listAskLimit, peer, feed.KindList, request, news)
 		a.enqueue(func() {
 			a.lists.asking = false
@@ -191,8 +191,8 @@
 }
 
 // answerList serves another agent that asks for the list.
-func (a *Agent) answerList(ctx context.Context, request *feed.ListRequest) (news *feed.ReadList, err error) {
-	if err := a.ask(ctx, func() { news = a.listSince(request.Sum) }); err != nil {
+func (a *Agent) answerList(ctx context.Context, request *feed.ListRequest) (news *feed.ListUpdate, err error) {
+	if err := a.ask(ctx, func() { news = a.listSince(request.Digest) }); err != nil {
 		return nil, err
 	}
 	if news == nil {
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -38,7 +38,7 @@
 	set.Add("agent_rollouts", float64(len(a.rollouts)))
 	set.Add("agent_news_sent_bytes_total", float64(a.newsBytes))
 	set.Add("agent_news_interval_seconds", a.news.interval().Seconds())
-	if a.inTouch != superseded.Always {
+	if a.inTouch != superseded.DistantPast {
 		set.Add("agent_in_touch_age_seconds", (a.now() - a.inTouch).Seconds())
 	}
 	if a.list != nil {
--- a/internal/agent/news.go
+++ b/internal/agent/news.go
@@ -38,7 +38,7 @@
 // loads run out and are told whole each second, a batch leaves a gap, the list is asked for by those that miss it.
 type exchange struct {
 	agent  *Agent
-	send   func(to []string, n *feed.News) (bytes int)
+	send   func(to []string, n *feed.GossipMessage) (bytes int)
 	sent   time.Time // when news was last sent
 	told   int       // bytes that the hub of this zone, if this is it, told its agents then, without what is bulky
 	bulkAt time.Time // when changes of kept prompts were last sent on, as a hub
@@ -60,15 +60,15 @@
 
 // outgoing is what comes together until it is sent.
 type outgoing struct {
-	list    *feed.ReadList
+	list    *feed.ListUpdate
 	read    time.Time // when the list's reading began
 	batches []*kvindex.Batch
 	phases  map[string]feed.Phase
 }
 
-func (o *outgoing) add(n *feed.News) {
+func (o *outgoing) add(n *feed.GossipMessage) {
 	if n.List != nil {
-		o.list = o.list.Then(n.List)
+		o.list = o.list.Merge(n.List)
 		o.read = time.Now().Add(-time.Duration(n.List.AgeMS) * time.Millisecond)
 	}
 	o.batches = append(o.batches, n.Batches...)
@@ -81,7 +81,7 @@
 }
 
 // listNow is the list as it is to be sent now, nil if there is none.
-func (o *outgoing) listNow() *feed.ReadList {
+func (o *outgoing) listNow() *feed.ListUpdate {
 	if o.list == nil {
 		return nil
 	}
@@ -103,7 +103,7 @@
 
 // take puts told loads in force.
 func (s *sums) take(l *feed.Loads) {
-	if l.All || s.loads == nil {
+	if l.Full || s.loads == nil {
 		s.loads = map[feed.BackendKey]dispatch.Load{}
 	}
 	for id, load := range l.Changed {
@@ -127,10 +127,10 @@
 	l := &feed.Loads{Changed: changedLoads(s.loads, now)}
 	if time.Since(s.allAt) >= allEvery {
 		s.allAt = time.Now()
-		l.Changed, l.All = now, true
+		l.Changed, l.Full = now, true
 	}
 	s.loads = now
-	if !l.All && len(l.Changed) == 0 {
+	if !l.Full && len(l.Changed) == 0 {
 		return nil
 	}
 	return l
@@ -152,7 +152,7 @@
 }
 
 // tell adds news of this agent's own.
-func (x *exchange) tell(n *feed.News) { x.up.add(n) }
+func (x *exchange) tell(n *feed.GossipMessage) { x.up.add(n) }
 
 // interval is the time between two pieces of news of one agent.
 func (x *exchange) interval() time.Duration {
@@ -174,9 +174,9 @@
 	x.own.loads = keyed(a.ownLoads)
 	mine := x.said.next(x.own.loads)
 	if hub == a.self.Addr {
-		x.take(&feed.News{From: a.self.Addr, Hop: feed.ToHub, Loads: mine, List: x.up.listNow(), Batches: x.up.batches, Phases: x.up.phases})
+		x.take(&feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: mine, List: x.up.listNow(), Batches: x.up.batches, Phases: x.up.phases})
 	} else if mine != nil || !x.up.empty() {
-		x.send([]string{hub}, &feed.News{From: a.self.Addr, Hop: feed.ToHub, Loads: mine, List: x.up.listNow(), Batches: x.up.batches, Phases: x.up.phases})
+		x.send([]string{hub}, &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: mine, List: x.up.listNow(), Batches: x.up.batches, Phases: x.up.phases})
 	}
 	x.up = outgoing{}
 	x.flushHub(hub == a.self.Addr)
@@ -190,13 +190,13 @@
 	a := x.agent
 	zone := total(x.zone)
 	if loads := x.across.next(zone); loads != nil || x.cross.urgent() {
-		news := &feed.News{From: a.self.Addr, Hop: feed.HubToHub, Loads: loads, List: x.cross.listNow(), Phases: x.cross.phases}
+		news := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopHubToHub, Loads: loads, List: x.cross.listNow(), Phases: x.cross.phases}
 		x.cross.withBulk(news)
 		x.send(slices.Collect(maps.Keys(x.otherZones())), news)
 	}
 	all := plus(zone, total(x.zones))
 	if loads := x.below.next(all); loads != nil || x.down.urgent() {
-		news := &feed.News{From: a.self.Addr, Hop: feed.FromHub, Loads: loads, List: x.down.listNow(), Phases: x.down.phases}
+		news := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopFromHub, Loads: loads, List: x.down.listNow(), Phases: x.down.phases}
 		x.down.withBulk(news)
 		x.told = x.tellZone(news)
 		if loads != nil {
@@ -210,7 +210,7 @@
 }
 
 // withBulk puts changes of kept prompts into news of loads, in trial builds that do not tell them apart.
-func (o *outgoing) withBulk(n *feed.News) {
+func (o *outgoing) withBulk(n *feed.GossipMessage) {
 	if trial.Off(trial.NewsApart) {
 		n.Batches, o.batches = o.batches, nil
 	}
@@ -221,10 +221,10 @@
 	from := x.agent.self.Addr
 	x.bulkAt, x.bulk = x.sent, 0
 	if len(x.cross.batches) > 0 {
-		x.send(slices.Collect(maps.Keys(x.otherZones())), &feed.News{From: from, Hop: feed.HubToHub, Batches: x.cross.batches})
+		x.send(slices.Collect(maps.Keys(x.otherZones())), &feed.GossipMessage{From: from, Hop: feed.HopHubToHub, Batches: x.cross.batches})
 	}
 	if len(x.down.batches) > 0 {
-		x.bulk = x.tellZone(&feed.News{From: from, Hop: feed.FromHub, Batches: x.down.batches})
+		x.bulk = x.tellZone(&feed.GossipMessage{From: from, Hop: feed.HopFromHub, Batches: x.down.batches})
 	}
 	x.cross.batches, x.down.batches = nil, nil
 }
@@ -244,11 +244,11 @@
 }
 
 // postNews sends news to some agents, and encodes it once: a hub's machine would spend a quarter of its processor on doing so for each.
-func (a *Agent) postNews(to []string, n *feed.News) (bytes int) {
+func (a *Agent) postNews(to []string, n *feed.GossipMessage) (bytes int) {
 	if len(to) == 0 {
 		return 0
 	}
-	encoded, err := rpc.NewOneWay(feed.KindNews, n)
+	encoded, err := rpc.NewOneWay(feed.KindGossip, n)
 	if err != nil {
 		a.log.Error().Err(err).Str("step", "news").Msg("news cannot be encoded")
 		return 0
@@ -283,7 +283,7 @@
 }
 
 // take takes news, and keeps what it has to send on.
-func (x *exchange) take(n *feed.News) {
+func (x *exchange) take(n *feed.GossipMessage) {
 	a := x.agent
 	if n.From != a.self.Addr { // its own is in force already
 		a.toldList(n.List, n.From)
@@ -293,7 +293,7 @@
 		a.takePhases(n.Phases)
 	}
 	switch n.Hop {
-	case feed.ToHub:
+	case feed.HopToHub:
 		if n.Loads != nil {
 			s := x.zone[n.From]
 			s.take(n.Loads)
@@ -301,14 +301,14 @@
 		}
 		x.cross.add(n)
 		x.down.add(n)
-	case feed.HubToHub:
+	case feed.HopHubToHub:
 		if n.Loads != nil {
 			s := x.zones[n.From]
 			s.take(n.Loads)
 			x.zones[n.From] = s
 		}
 		x.down.add(n)
-	case feed.FromHub:
+	case feed.HopFromHub:
 		x.passOn(n)
 		if n.Loads != nil {
 			x.takeAll(n.Loads)
@@ -341,7 +341,7 @@
 func (x *exchange) others() map[string]dispatch.Load {
 	others := make(map[string]dispatch.Load, len(x.all.loads))
 	for _, l := range x.agent.list {
-		key := feed.KeyOf(l.ID)
+		key := feed.BackendKeyOf(l.ID)
 		if load := x.all.loads[key].Minus(x.own.loads[key]); load != (dispatch.Load{}) {
 			others[l.ID] = load
 		}
@@ -353,7 +353,7 @@
 func keyed(loads map[string]dispatch.Load) map[feed.BackendKey]dispatch.Load {
 	byKey := make(map[feed.BackendKey]dispatch.Load, len(loads))
 	for id, l := range loads {
-		byKey[feed.KeyOf(id)] = l
+		byKey[feed.BackendKeyOf(id)] = l
 	}
 	return byKey
 }
--- a/internal/agent/news_test.go
+++ b/internal/agent/news_test.go
@@ -38,7 +38,7 @@
 	for _, a := range agents {
 		byAddr[a.self.Addr] = a
 	}
-	deliver := func(to []string, n *feed.News) int {
+	deliver := func(to []string, n *feed.GossipMessage) int {
 		for _, addr := range to {
 			messages++
 			byAddr[addr].news.take(n)
@@ -61,7 +61,7 @@
 	first := agents[0]
 	batch := &kvindex.Batch{Backend: "b", To: kvindex.Cursor{Epoch: 1, Next: 5}, Changes: []kvindex.Change{{Key: 7, Tokens: 100}}}
 	first.ownBatch(batch)
-	first.news.tell(&feed.News{Phases: map[string]feed.Phase{"b": {Name: dispatch.PhaseLoading}}})
+	first.news.tell(&feed.GossipMessage{Phases: map[string]feed.Phase{"b": {Name: dispatch.PhaseLoading}}})
 	first.spreadList(time.Now(), []dispatch.Listed{{ID: "b", Service: "s", Versions: map[string]int64{"m": 1}}})
 	for i, a := range agents {
 		a.ownLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
@@ -158,7 +158,7 @@
 	}
 	for _, a := range agents {
 		told := 0
-		a.news.send = func(to []string, _ *feed.News) int {
+		a.news.send = func(to []string, _ *feed.GossipMessage) int {
 			told = 100 * len(to)
 			return told
 		}
@@ -183,7 +183,7 @@
 	}
 	hub.settings.LinkMbps = 10
 	var loads, batches int
-	hub.news.send = func(to []string, n *feed.News) int {
+	hub.news.send = func(to []string, n *feed.GossipMessage) int {
 		if len(to) == 0 {
 			return 0 // there are no other zones
 		}
@@ -199,7 +199,7 @@
 	}
 	for i := range 3 {
 		hub.ownLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
-		hub.news.tell(&feed.News{Batches: []*kvindex.Batch{{Backend: "b", From: kvindex.Cursor{Next: int64(i)}, To: kvindex.Cursor{Next: int64(i + 1)}}}})
+		hub.news.tell(&feed.GossipMessage{Batches: []*kvindex.Batch{{Backend: "b", From: kvindex.Cursor{Next: int64(i)}, To: kvindex.Cursor{Next: int64(i + 1)}}}})
 		hub.news.flush()
 	}
 	require.Equal(t, 3, loads)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -43,7 +43,7 @@
 // ownsOrders tells whether a model's orders are this agent's to give.
 func (a *Agent) ownsOrders(model string) bool {
 	key := ordersDuty(model)
-	return leases.Owner(key, a.snapshot.Duties[key].Holder, a.memberIDs()) == a.self.ID
+	return leases.PreferredHolder(key, a.snapshot.Leases[key].Holder, a.memberIDs()) == a.self.ID
 }
 
 // dutyOrders starts a rollout of each model whose version is not everywhere, where that falls to this agent.
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -50,9 +50,9 @@
 	holds := func(holder string, members *distribute.MemberSet) (owners []string) {
 		for _, a := range agents {
 			a.members = members
-			a.snapshot = &distribute.Snapshot{Duties: map[string]replicated.Duty{}}
+			a.snapshot = &distribute.Snapshot{Leases: map[string]replicated.LeaseRecord{}}
 			if holder != "" {
-				a.snapshot.Duties[key] = replicated.Duty{Holder: holder, Fence: 7}
+				a.snapshot.Leases[key] = replicated.LeaseRecord{Holder: holder, FencingToken: 7}
 			}
 			if a.ownsOrders("m") {
 				owners = append(owners, a.self.ID)
@@ -81,8 +81,8 @@
 // TestAFormerHoldersPhasesAreOver: whoever held the orders before goes on telling what it knew of its backends. That does not take the place of
 // what their holder now has told, whichever comes last: a backend with new weights would be ordered again.
 func TestAFormerHoldersPhasesAreOver(t *testing.T) {
-	former := feed.Phase{Name: dispatch.PhaseLoading, Fence: 6, Number: 9}
-	now := feed.Phase{Model: "m", Version: 2, Fence: 7, Number: 3}
+	former := feed.Phase{Name: dispatch.PhaseLoading, FencingToken: 6, Seq: 9}
+	now := feed.Phase{Model: "m", Version: 2, FencingToken: 7, Seq: 3}
 	for _, order := range [][]feed.Phase{{former, now}, {now, former}, {former, now, former}, {now, former, now}} {
 		a := fleetOf(1, 1)[0]
 		a.list = backends(1, "b")
@@ -98,8 +98,8 @@
 func TestPhasesOfOneHolderKeepTheirOrder(t *testing.T) {
 	a := fleetOf(1, 1)[0]
 	a.list = backends(1, "b")
-	a.takePhases(map[string]feed.Phase{"b": {Model: "m", Version: 2, Fence: 6, Number: 3}})
-	a.takePhases(map[string]feed.Phase{"b": {Name: dispatch.PhaseEmptying, Fence: 6, Number: 1}})
+	a.takePhases(map[string]feed.Phase{"b": {Model: "m", Version: 2, FencingToken: 6, Seq: 3}})
+	a.takePhases(map[string]feed.Phase{"b": {Name: dispatch.PhaseEmptying, FencingToken: 6, Seq: 1}})
 	require.Empty(t, a.behind("m", 2))
 }
 
@@ -108,7 +108,7 @@
 func TestAHolderBelievesWhatItTells(t *testing.T) {
 	a := fleetOf(1, 1)[0]
 	a.list = backends(1, "b")
-	loaded := feed.Phase{Model: "m", Version: 2, Fence: 6, Number: 3}
+	loaded := feed.Phase{Model: "m", Version: 2, FencingToken: 6, Seq: 3}
 	a.takePhases(map[string]feed.Phase{"b": loaded})
 	old := time.Now().Add(-phasesKeep - time.Second)
 	a.ownPhases["b"] = ownPhase{loaded, old, old}
@@ -134,7 +134,7 @@
 	l.Addr = backend.Listener.Addr().String()
 	a := fleetOf(1, 1)[0]
 	a.list = []dispatch.Listed{l}
-	r := &rollout{agent: a, model: "m", lease: &lease{state: leases.New(leases.Terms{}, 7)}, finished: make(chan string, 1)}
+	r := &rollout{agent: a, model: "m", lease: &lease{state: leases.New(leases.Timing{}, 7)}, finished: make(chan string, 1)}
 	r.one(context.Background(), l, 2)
 	(<-a.commands)() // the phase
 	require.Empty(t, a.behind("m", 2))
@@ -159,8 +159,8 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { orders.Add(1) }))
 	defer backend.Close()
 	a := fleetOf(1, 1)[0]
-	l := &lease{inherited: true, state: leases.New(leases.Terms{Act: time.Hour, Flight: time.Hour}, 7)}
-	require.True(t, l.confirmed(leases.Confirmation{Now: a.now(), Fence: 8}))
+	l := &lease{inherited: true, state: leases.New(leases.Timing{HoldFor: time.Hour, MaxTransit: time.Hour}, 7)}
+	require.True(t, l.confirmed(leases.Renewal{ReceivedAt: a.now(), FencingToken: 8}))
 	require.Greater(t, l.opensIn(a.now()), time.Hour)
 	require.False(t, l.mayAct(a.now()))
 	r := &rollout{agent: a, model: "m", lease: l}
--- a/internal/agent/phases.go
+++ b/internal/agent/phases.go
@@ -14,14 +14,14 @@
 
 // phase tells everyone at once what a backend is at.
 func (r *rollout) phase(id string, p feed.Phase) {
-	p.Fence = r.lease.fence()
+	p.FencingToken = r.lease.fence()
 	r.agent.enqueue(func() {
 		r.agent.phaseCount++
-		p.Number = r.agent.phaseCount
+		p.Seq = r.agent.phaseCount
 		told := map[string]feed.Phase{id: p}
 		r.agent.takePhases(told)
 		r.agent.ownPhases[id] = ownPhase{p, time.Now(), time.Now()}
-		r.agent.news.tell(&feed.News{Phases: told})
+		r.agent.news.tell(&feed.GossipMessage{Phases: told})
 	})
 }
 
@@ -70,7 +70,7 @@
 			a.ownPhases[id] = p
 			told := map[string]feed.Phase{id: p.Phase}
 			a.takePhases(told)
-			a.news.tell(&feed.News{Phases: told})
+			a.news.tell(&feed.GossipMessage{Phases: told})
 		}
 	}
 }
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -12,14 +12,14 @@
 const directMost = 12
 
 // tellZone sends news to the agents of this hub's zone, and gives the bytes that this machine sent.
-func (x *exchange) tellZone(n *feed.News) (bytes int) {
+func (x *exchange) tellZone(n *feed.GossipMessage) (bytes int) {
 	fellows := x.fellows()
 	if len(fellows) <= directMost {
 		return x.send(fellows, n)
 	}
 	for _, group := range relayGroups(fellows) {
 		relayed := *n
-		relayed.Relay = group[1:]
+		relayed.RelayTo = group[1:]
 		bytes += x.send(group[:1], &relayed)
 	}
 	return bytes
@@ -33,11 +33,11 @@
 }
 
 // passOn sends news of a hub on to the group that it named.
-func (x *exchange) passOn(n *feed.News) {
-	if len(n.Relay) == 0 {
+func (x *exchange) passOn(n *feed.GossipMessage) {
+	if len(n.RelayTo) == 0 {
 		return
 	}
 	passed := *n
-	passed.Relay = nil
-	x.send(n.Relay, &passed)
+	passed.RelayTo = nil
+	x.send(n.RelayTo, &passed)
 }
--- a/internal/agent/relay_test.go
+++ b/internal/agent/relay_test.go
@@ -63,7 +63,7 @@
 		for _, a := range agents {
 			byAddr[a.self.Addr] = a
 			sent := 0
-			a.news.send = func(to []string, news *feed.News) int {
+			a.news.send = func(to []string, news *feed.GossipMessage) int {
 				sent += len(to)
 				most = max(most, sent)
 				for _, addr := range to {
@@ -73,7 +73,7 @@
 				return 0
 			}
 		}
-		hub.news.tellZone(&feed.News{From: hub.self.Addr, Hop: feed.FromHub})
+		hub.news.tellZone(&feed.GossipMessage{From: hub.self.Addr, Hop: feed.HopFromHub})
 		require.Len(t, told, n)
 		for addr, times := range told {
 			require.Equal(t, 1, times, addr)
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -49,7 +49,7 @@
 		asked := a.now()
 		err := a.pool.Call(ctx, watchLimit, addr, distribute.KindWatch, &request, reply)
 		a.logSlowWatch(asked-began, a.now()-asked, addr, err)
-		if err != nil || !reply.Current {
+		if err != nil || !reply.HasQuorum {
 			if err != nil {
 				a.log.Debug().Err(err).Str("step", "watch").Str("peer", addr).Msg("controller does not answer")
 			}
@@ -113,11 +113,11 @@
 }
 
 func (a *Agent) watchRequest() distribute.WatchRequest {
-	request := distribute.WatchRequest{Agent: a.self, Seq: a.applied, Members: a.members.Digest, Epoch: a.epoch}
+	request := distribute.WatchRequest{Agent: a.self, AppliedSeq: a.applied, MembersDigest: a.members.Digest, Epoch: a.epoch}
 	if a.snapshot != nil {
-		request.Have, request.ConfigSeq = a.snapshot.Seq, a.snapshot.ConfigSeq
+		request.ReceivedSeq, request.ConfigSeq = a.snapshot.Seq, a.snapshot.ConfigSeq
 		if time.Since(a.proxyAt) > proxySilence {
-			request.Seq = request.Have // no proxy is there that could lag
+			request.AppliedSeq = request.ReceivedSeq // no proxy is there that could lag
 		}
 	}
 	for id := range a.suspects {
@@ -160,8 +160,8 @@
 // takeMembers takes the members whole, or what changed of them. A change that does not fit has the next call ask for the whole.
 func (a *Agent) takeMembers(reply *distribute.WatchReply) {
 	members := reply.Members
-	if members == nil && reply.Change != nil {
-		if members = a.members.Apply(reply.Change); members == nil {
+	if members == nil && reply.MembersDelta != nil {
+		if members = a.members.Apply(reply.MembersDelta); members == nil {
 			a.members = &distribute.MemberSet{Agents: a.members.Agents}
 		}
 	}
@@ -196,14 +196,14 @@
 // takeVersions brings together what a controller tells of when versions were named and what this agent knows: one that it did not hear of
 // while it was last in touch was named since.
 func (a *Agent) takeVersions(asked time.Duration, s *distribute.Snapshot, reply *distribute.WatchReply) {
-	written := asked + time.Duration(reply.HeldMS)*time.Millisecond
+	written := asked + time.Duration(reply.LongPollMS)*time.Millisecond
 	for model, wanted := range s.Models {
 		known := a.versions[model]
 		named := known.Newest() < wanted.Version
 		if a.snapshot != nil {
 			known = known.With(wanted.Version, a.inTouch)
 		}
-		a.versions[model] = known.Heard(wanted.Version, written, reply.Ages[model])
+		a.versions[model] = known.MergeAges(wanted.Version, written, reply.VersionAges[model])
 		if named {
 			a.log.Info().Str("step", "weights").Str("model", model).Int64("version", wanted.Version).Uint64("seq", s.Seq).
 				Interface("ages", a.versions[model].Ages(a.now())).Msg("version wanted")
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -75,9 +75,9 @@
 		c.mu.Lock()
 		number, inTouch, changed := c.known[ip], c.inTouch[ip], c.changed
 		c.mu.Unlock()
-		if over || number > request.Have || !inTouch {
-			reply := &distribute.WatchReply{Current: inTouch}
-			if number > request.Have {
+		if over || number > request.ReceivedSeq || !inTouch {
+			reply := &distribute.WatchReply{HasQuorum: inTouch}
+			if number > request.ReceivedSeq {
 				reply.Snapshot = &distribute.Snapshot{Seq: number, ConfigSeq: number, Config: []byte(fmt.Sprint(number))}
 			}
 			return reply, nil
@@ -224,10 +224,10 @@
 	two := distribute.NewMemberSet([]distribute.Agent{{ID: "f/1"}, {ID: "g/1"}})
 	other := distribute.NewMemberSet([]distribute.Agent{{ID: "h/1"}})
 	a.takeMembers(&distribute.WatchReply{Members: one})
-	a.takeMembers(&distribute.WatchReply{Change: one.Delta(two)})
+	a.takeMembers(&distribute.WatchReply{MembersDelta: one.DeltaTo(two)})
 	require.Equal(t, two, a.members)
-	a.takeMembers(&distribute.WatchReply{Change: other.Delta(one)})
+	a.takeMembers(&distribute.WatchReply{MembersDelta: other.DeltaTo(one)})
 	require.Equal(t, two.Agents, a.members.Agents)
 	request := a.watchRequest()
-	require.Zero(t, request.Members)
+	require.Zero(t, request.MembersDigest)
 }
--- a/internal/agent/web_test.go
+++ b/internal/agent/web_test.go
@@ -134,8 +134,8 @@
 		}
 	}()
 	a := New(&local.Settings{NodeName: "f", IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
-	held := &lease{state: leases.New(leases.Terms{Act: time.Hour, Apart: time.Second, Flight: time.Second}, 0)}
-	require.True(t, held.confirmed(leases.Confirmation{Now: a.now(), Fence: 7}))
+	held := &lease{state: leases.New(leases.Timing{HoldFor: time.Hour, MinSeparation: time.Second, MaxTransit: time.Second}, 0)}
+	require.True(t, held.confirmed(leases.Renewal{ReceivedAt: a.now(), FencingToken: 7}))
 	r := &rollout{agent: a, model: "m", lease: held}
 	backend := dispatch.Listed{ID: "i-1", Addr: listener.Addr().String()}
 	if kept {
--- a/internal/agent/wholes.go
+++ b/internal/agent/wholes.go
@@ -67,7 +67,7 @@
 func (a *Agent) callForWhole(backend string, peers []string) *kvindex.Batch {
 	for _, peer := range peers {
 		whole := new(kvindex.Batch)
-		err := a.pool.Call(context.Background(), wholeLimit, peer, feed.KindWhole, &feed.WholeRequest{Backend: backend}, whole)
+		err := a.pool.Call(context.Background(), wholeLimit, peer, feed.KindBackendIndex, &feed.BackendIndexRequest{Backend: backend}, whole)
 		if err == nil {
 			return whole
 		}
--- a/internal/chain/history_test.go
+++ b/internal/chain/history_test.go
@@ -13,9 +13,9 @@
 		h := simtest.Call{Start: c.began, End: c.ended}
 		switch {
 		case c.operation == nil && c.outcome == outcomeTaken:
-			h.Version, h.Body = c.state.Version, string(c.state.Config)
+			h.Version, h.Body = c.state.ConfigVersion, string(c.state.Config)
 		case c.operation != nil && c.operation.Kind == replicated.KindConfig:
-			h.Write, h.Base, h.Version, h.Body = true, c.operation.Base, c.version, string(c.operation.Body)
+			h.Write, h.Base, h.Version, h.Body = true, c.operation.BaseVersion, c.version, string(c.operation.Body)
 		default:
 			continue
 		}
@@ -41,6 +41,6 @@
 // put has the operator write a configuration.
 func (s *simulation) put(contact string, base, version int64, mark string) *call {
 	c := &call{contact: contact, version: version}
-	c.operation = &replicated.Operation{Kind: replicated.KindConfig, Base: base, Body: configuration(version, mark)}
+	c.operation = &replicated.Operation{Kind: replicated.KindConfig, BaseVersion: base, Body: configuration(version, mark)}
 	return s.call(c)
 }
--- a/internal/chain/membership_test.go
+++ b/internal/chain/membership_test.go
@@ -336,7 +336,7 @@
 	}
 	require.LessOrEqual(t, without, 6, "the others go on, but for the change of the view")
 	requireWritable(t, s, time.Second, "whole again")
-	require.Equal(t, int64(1), s.nodes["c"].replica.State().Version)
+	require.Equal(t, int64(1), s.nodes["c"].replica.State().ConfigVersion)
 	require.LessOrEqual(t, s.epoch(), settled+2)
 	require.Less(t, s.pieces, size+size/4, "what had come was not sent again")
 }
--- a/internal/chain/random_runs_test.go
+++ b/internal/chain/random_runs_test.go
@@ -225,8 +225,8 @@
 		tr.submit(addr, &replicated.Operation{Kind: kind, Zone: "x"})
 	}
 	for i, c := range tr.calls {
-		if c.operation == nil && c.outcome == outcomeTaken && c.state.Version > tr.newest && i >= len(tr.calls)-8 {
-			tr.newest = c.state.Version
+		if c.operation == nil && c.outcome == outcomeTaken && c.state.ConfigVersion > tr.newest && i >= len(tr.calls)-8 {
+			tr.newest = c.state.ConfigVersion
 		}
 	}
 }
@@ -264,8 +264,8 @@
 		if c.outcome != outcomeTaken || c.operation == nil {
 			continue
 		}
-		if c.operation.Kind == replicated.KindConfig && state.Version < c.version {
-			return fmt.Errorf("configuration %d was acknowledged, %d is in force", c.version, state.Version)
+		if c.operation.Kind == replicated.KindConfig && state.ConfigVersion < c.version {
+			return fmt.Errorf("configuration %d was acknowledged, %d is in force", c.version, state.ConfigVersion)
 		}
 	}
 	return nil
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -241,7 +241,7 @@
 	}
 	verdict, err := r.state.Check(o)
 	switch verdict {
-	case replicated.Already:
+	case replicated.AlreadyApplied:
 		return r.state.Seq, nil
 	case replicated.Conflict, replicated.Invalid, replicated.Outdated:
 		return 0, &RefusedError{verdict, err}
--- a/internal/chain/simulation_calls_test.go
+++ b/internal/chain/simulation_calls_test.go
@@ -141,7 +141,7 @@
 	}
 	o := *c.operation
 	if s.fault == ordersUnbased {
-		o.Based = n.replica.State().ZoneSeq(o.Zone)
+		o.BaseZoneSeq = n.replica.State().ZoneSeq(o.Zone)
 	}
 	seq, out, err := n.replica.Propose(s.now, &o)
 	s.perform(n, out)
@@ -179,7 +179,7 @@
 		}
 		if !c.based {
 			stamped := *c.operation
-			stamped.Based = state.ZoneSeq(stamped.Zone)
+			stamped.BaseZoneSeq = state.ZoneSeq(stamped.Zone)
 			c.operation, c.based = &stamped, true
 		}
 		again()
--- a/internal/chain/worst_days_test.go
+++ b/internal/chain/worst_days_test.go
@@ -113,7 +113,7 @@
 			}
 			requireWritable(t, s, recoveredWithin, "power is back")
 			if acknowledged {
-				require.Equal(t, int64(1), requireRead(t, s).Version, "%v after it was sent, seed %d", at, seed)
+				require.Equal(t, int64(1), requireRead(t, s).ConfigVersion, "%v after it was sent, seed %d", at, seed)
 			}
 			again := s.call(&call{operation: c.operation, contact: contact, version: 1})
 			s.run(time.Second)
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -69,7 +69,7 @@
 		c := w.machines[head].controller
 		take := func(holder string, fence uint64) *distribute.SubmitReply {
 			return c.submit(w.t.Context(), &distribute.SubmitRequest{Operation: replicated.Operation{
-				Kind: replicated.KindDuty, Duty: "orders/m", Holder: holder, Fence: fence,
+				Kind: replicated.KindLease, LeaseName: "orders/m", Holder: holder, FencingToken: fence,
 			}})
 		}
 		fences := map[uint64]string{}
@@ -79,20 +79,20 @@
 			replies := make(chan *distribute.SubmitReply)
 			go func() { replies <- take(first, previous) }()
 			var overtaking *distribute.SubmitReply
-			for overtaking == nil || overtaking.Outcome != distribute.Taken {
-				held := c.public.Load().state.Duties["orders/m"]
+			for overtaking == nil || overtaking.Outcome != distribute.OutcomeCommitted {
+				held := c.public.Load().state.Leases["orders/m"]
 				if held.Holder != first {
 					time.Sleep(100 * time.Microsecond)
 					continue
 				}
-				overtaking = take(second, held.Fence)
+				overtaking = take(second, held.FencingToken)
 			}
 			for holder, reply := range map[string]*distribute.SubmitReply{first: <-replies, second: overtaking} {
-				require.Equal(t, distribute.Taken, reply.Outcome)
-				require.Empty(t, fences[reply.Fence], "token %d", reply.Fence)
-				fences[reply.Fence] = holder
+				require.Equal(t, distribute.OutcomeCommitted, reply.Outcome)
+				require.Empty(t, fences[reply.FencingToken], "token %d", reply.FencingToken)
+				fences[reply.FencingToken] = holder
 			}
-			previous = overtaking.Fence
+			previous = overtaking.FencingToken
 		}
 	})
 }
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -62,7 +62,7 @@
 			return ctx.JSON(http.StatusBadRequest, problem{"If-Match is no version: " + match})
 		}
 	}
-	return c.order(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindConfig, Body: body, Base: base})
+	return c.order(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindConfig, Body: body, BaseVersion: base})
 }
 
 // order submits an operation and answers for it.
@@ -70,11 +70,11 @@
 	reply := c.submit(limited, &distribute.SubmitRequest{Operation: o})
 	c.log.Debug().Str("step", "order").Str("kind", o.Kind).Int("outcome", reply.Outcome).Uint64("seq", reply.Seq).Str("reason", reply.Reason).Msg("order")
 	switch reply.Outcome {
-	case distribute.Taken:
+	case distribute.OutcomeCommitted:
 		return ctx.JSON(http.StatusOK, struct{}{})
-	case distribute.Conflict:
+	case distribute.OutcomeConflict:
 		return ctx.JSON(http.StatusPreconditionFailed, problem{reply.Reason})
-	case distribute.Invalid:
+	case distribute.OutcomeInvalid:
 		return ctx.JSON(http.StatusBadRequest, problem{reply.Reason})
 	}
 	return ctx.JSON(http.StatusServiceUnavailable, problem{reply.Reason})
@@ -104,7 +104,7 @@
 	if err != nil {
 		return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
 	}
-	return c.order(ctx, limited, replicated.Operation{Kind: kind, Zone: zone, Based: newest.ZoneSeq})
+	return c.order(ctx, limited, replicated.Operation{Kind: kind, Zone: zone, BaseZoneSeq: newest.ZoneSeq})
 }
 
 func (c *Controller) putVersion(ctx echo.Context) error {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -62,7 +62,7 @@
 	shown         []*distribute.MemberSet // before those shown now, the newest last
 	inTouch       time.Duration           // when it last had the newest state for sure
 	leaving       time.Time               // when it was told to end, zero before
-	duties        leases.Register         // who asked for confirmations here
+	duties        leases.RenewalTracker   // who asked for confirmations here
 	spread        spread                  // of committed numbers among the agents
 	work          ownerWork               // of the last second at most
 	worked        ownerWork               // before
@@ -86,7 +86,7 @@
 	seeds       []string
 	members     *distribute.MemberSet
 	deltas      memberDeltas
-	named       map[string]superseded.Times // since when models' versions are known to be wanted
+	named       map[string]superseded.History // since when models' versions are known to be wanted
 	changed     chan struct{}
 }
 
@@ -109,7 +109,7 @@
 		readers:   map[uint64]chan struct{}{},
 		sessions:  map[string]*session{},
 		elsewhere: map[string]*remoteTable{},
-		inTouch:   superseded.Always,
+		inTouch:   superseded.DistantPast,
 		work:      ownerWork{since: time.Now()},
 	}
 	if settings.HasContract(contractTallies) {
@@ -160,7 +160,7 @@
 	if c.broken.IsZero() {
 		c.store.Mark() // a disk that fails shows at the next write
 	}
-	c.duties.InEpoch(c.now(), c.replica.View().Epoch)
+	c.duties.SetEpoch(c.now(), c.replica.View().Epoch)
 	if c.replica.Current(c.now()) {
 		c.inTouch = c.now()
 	}
@@ -203,11 +203,11 @@
 
 // namedVersions notes when versions that are wanted came to be so: not before this program last knew that they were not, which it
 // does while it is in touch.
-func namedVersions(old *public, state *replicated.State, inTouch time.Duration) map[string]superseded.Times {
-	named := map[string]superseded.Times{}
+func namedVersions(old *public, state *replicated.State, inTouch time.Duration) map[string]superseded.History {
+	named := map[string]superseded.History{}
 	for model, wanted := range state.Models {
 		if old == nil {
-			named[model] = superseded.Times{}.With(wanted.Version, superseded.Always)
+			named[model] = superseded.History{}.With(wanted.Version, superseded.DistantPast)
 			continue
 		}
 		named[model] = old.named[model].With(wanted.Version, inTouch)
@@ -313,5 +313,5 @@
 
 // unclear tells that an operation may have been taken or not.
 func unclear(reasons ...string) *distribute.SubmitReply {
-	return &distribute.SubmitReply{Outcome: distribute.Unclear, Reason: strings.Join(reasons, ": ")}
+	return &distribute.SubmitReply{Outcome: distribute.OutcomeUnknown, Reason: strings.Join(reasons, ": ")}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -219,13 +219,13 @@
 	require.NoError(t, err)
 	defer c.store.Close()
 	agent := func(life, addr string) distribute.Agent { return distribute.Agent{ID: life, Addr: addr, Zone: "a"} }
-	c.touch(&distribute.WatchRequest{Agent: agent("f1/1", "10.0.0.1:1"), Seq: 5})
-	c.touch(&distribute.WatchRequest{Agent: agent("f2/1", "10.0.0.2:1"), Seq: 9})
+	c.touch(&distribute.WatchRequest{Agent: agent("f1/1", "10.0.0.1:1"), AppliedSeq: 5})
+	c.touch(&distribute.WatchRequest{Agent: agent("f2/1", "10.0.0.2:1"), AppliedSeq: 9})
 	c.takeTable(&distribute.AgentTable{Controller: "x", Agents: []distribute.Agent{agent("f1/0", "10.0.0.1:1"), agent("f3/1", "10.0.0.3:1")}})
 	require.Equal(t, []distribute.Agent{agent("f1/1", "10.0.0.1:1"), agent("f2/1", "10.0.0.2:1"), agent("f3/1", "10.0.0.3:1")}, c.members().Agents)
 	require.True(t, c.replica.AppliedEverywhere(c.now(), 5))
 	require.False(t, c.replica.AppliedEverywhere(c.now(), 6))
-	c.touch(&distribute.WatchRequest{Agent: agent("f1/2", "10.0.0.1:1"), Seq: 9})
+	c.touch(&distribute.WatchRequest{Agent: agent("f1/2", "10.0.0.1:1"), AppliedSeq: 9})
 	require.True(t, c.replica.AppliedEverywhere(c.now(), 9))
 	require.Equal(t, "f1/2", c.members().Agents[0].ID)
 }
--- a/internal/controller/fleet_load_test.go
+++ b/internal/controller/fleet_load_test.go
@@ -64,7 +64,7 @@
 	for at := 0; ctx.Err() == nil; {
 		addr := rendezvous.Top("session/"+self.Addr, known, len(known))[at%len(known)]
 		reply := new(distribute.WatchReply)
-		if err := pool.Call(ctx, loadCallLimit, addr, distribute.KindWatch, &request, reply); err != nil || !reply.Current {
+		if err := pool.Call(ctx, loadCallLimit, addr, distribute.KindWatch, &request, reply); err != nil || !reply.HasQuorum {
 			at++
 			continue
 		}
@@ -72,13 +72,13 @@
 		f.replies.Add(1)
 		if reply.Members != nil {
 			f.memberSets.Add(1)
-			request.Members = reply.Members.Digest
+			request.MembersDigest = reply.Members.Digest
 		}
 		if len(reply.Controllers) > 0 {
 			known, request.Epoch = reply.Controllers, reply.Epoch
 		}
 		if reply.Snapshot != nil {
-			request.Seq, request.Have, request.ConfigSeq = reply.Snapshot.Seq, reply.Snapshot.Seq, reply.Snapshot.ConfigSeq
+			request.AppliedSeq, request.ReceivedSeq, request.ConfigSeq = reply.Snapshot.Seq, reply.Snapshot.Seq, reply.Snapshot.ConfigSeq
 		}
 	}
 }
--- a/internal/controller/lives_test.go
+++ b/internal/controller/lives_test.go
@@ -21,7 +21,7 @@
 
 // call has a life call a controller, as its session does, and waits for the reply.
 func (w *world) call(ip string, l life) {
-	request := &distribute.WatchRequest{Agent: l.agent, Seq: l.applied}
+	request := &distribute.WatchRequest{Agent: l.agent, AppliedSeq: l.applied}
 	_, err := w.machines[ip].controller.watch(context.Background(), request)
 	require.NoError(w.t, err)
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -63,13 +63,13 @@
 // count counts a reply.
 func (r *replyCounts) count(reply *distribute.WatchReply) {
 	r.replies.Add(1)
-	if !reply.Current {
+	if !reply.HasQuorum {
 		r.outOfTouch.Add(1)
 	}
 	if reply.Members != nil {
 		r.members.Add(1)
 	}
-	if reply.Change != nil {
+	if reply.MembersDelta != nil {
 		r.changes.Add(1)
 	}
 	if reply.Snapshot != nil {
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -40,7 +40,7 @@
 	}
 	deltas := memberDeltas{}
 	for _, set := range c.shown {
-		if delta := set.Delta(next); len(delta.Added)+len(delta.Removed) < len(next.Agents) {
+		if delta := set.DeltaTo(next); len(delta.Added)+len(delta.Removed) < len(next.Agents) {
 			deltas[set.Digest] = delta
 		}
 	}
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -35,8 +35,8 @@
 	defer held.Stop()
 	for {
 		now := c.public.Load()
-		fresh := now.state.Seq > request.Have
-		if fresh || !now.current || now.members.Digest != request.Members {
+		fresh := now.state.Seq > request.ReceivedSeq
+		if fresh || !now.current || now.members.Digest != request.MembersDigest {
 			return c.replyTo(began, now, request), nil
 		}
 		select {
@@ -52,17 +52,17 @@
 // replyTo answers a call that came at a time with what its caller lacks.
 func (c *Controller) replyTo(began time.Duration, now *public, request *distribute.WatchRequest) *distribute.WatchReply {
 	written := c.now()
-	reply := &distribute.WatchReply{Current: now.current, Epoch: now.view.Epoch, HeldMS: (written - began).Milliseconds()}
+	reply := &distribute.WatchReply{HasQuorum: now.current, Epoch: now.view.Epoch, LongPollMS: (written - began).Milliseconds()}
 	if now.view.Epoch != request.Epoch {
 		reply.Controllers = now.controllers
 	}
-	if now.state.Seq > request.Have { // committed is committed, also where this replica is out of touch
-		reply.Snapshot = distribute.SnapshotOf(now.state, request.ConfigSeq)
-		reply.Ages = ages(now.named, written)
+	if now.state.Seq > request.ReceivedSeq { // committed is committed, also where this replica is out of touch
+		reply.Snapshot = distribute.NewSnapshot(now.state, request.ConfigSeq)
+		reply.VersionAges = ages(now.named, written)
 	}
-	if now.current && now.members.Digest != request.Members { // else the caller turns elsewhere and takes none
-		reply.Change = now.deltas[request.Members]
-		if reply.Change == nil {
+	if now.current && now.members.Digest != request.MembersDigest { // else the caller turns elsewhere and takes none
+		reply.MembersDelta = now.deltas[request.MembersDigest]
+		if reply.MembersDelta == nil {
 			reply.Members = now.members
 		}
 	}
@@ -70,7 +70,7 @@
 	return reply
 }
 
-func ages(named map[string]superseded.Times, now time.Duration) map[string][]superseded.Age {
+func ages(named map[string]superseded.History, now time.Duration) map[string][]superseded.Age {
 	ages := map[string][]superseded.Age{}
 	for model, times := range named {
 		ages[model] = times.Ages(now)
@@ -86,7 +86,7 @@
 		s = &session{agent: request.Agent}
 		c.sessions[request.Agent.Addr] = s
 	}
-	s.has, s.applied, s.heard, s.suspects = request.Have, request.Seq, time.Now(), request.Suspects
+	s.has, s.applied, s.heard, s.suspects = request.ReceivedSeq, request.AppliedSeq, time.Now(), request.Suspects
 	if added {
 		c.tableChanged()
 		c.publish(false)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,21 +11,21 @@
 
 // Status is what a controller knows of the fleet: where it stands itself, the view, and each agent that has a session here.
 type Status struct {
-	Controller string                      `json:"controller"`
-	Current    bool                        `json:"current"` // in touch with the core's majority
-	DiskFails  bool                        `json:"disk_fails"`
-	Epoch      uint64                      `json:"epoch"`
-	Chain      []string                    `json:"chain"` // head first
-	Acceptors  []string                    `json:"acceptors"`
-	Learners   []string                    `json:"learners,omitempty"` // of the chain, without a vote
-	Seq        uint64                      `json:"seq"`                // of the newest committed operation known here
-	Version    int64                       `json:"config_version"`     // of the configuration in force
-	Evacuated  []string                    `json:"evacuated"`
-	Models     map[string]replicated.Model `json:"models"`
-	Duties     map[string]replicated.Duty  `json:"duties"`
-	Mixers     int                         `json:"mixers"` // with a session anywhere
-	Sessions   []SessionStatus             `json:"sessions"`
-	Tallies    *TallyStatus                `json:"tallies,omitempty"` // where they are kept
+	Controller string                             `json:"controller"`
+	Current    bool                               `json:"current"` // in touch with the core's majority
+	DiskFails  bool                               `json:"disk_fails"`
+	Epoch      uint64                             `json:"epoch"`
+	Chain      []string                           `json:"chain"` // head first
+	Acceptors  []string                           `json:"acceptors"`
+	Learners   []string                           `json:"learners,omitempty"` // of the chain, without a vote
+	Seq        uint64                             `json:"seq"`                // of the newest committed operation known here
+	Version    int64                              `json:"config_version"`     // of the configuration in force
+	Evacuated  []string                           `json:"evacuated"`
+	Models     map[string]replicated.ModelVersion `json:"models"`
+	Duties     map[string]replicated.LeaseRecord  `json:"duties"`
+	Mixers     int                                `json:"mixers"` // with a session anywhere
+	Sessions   []SessionStatus                    `json:"sessions"`
+	Tallies    *TallyStatus                       `json:"tallies,omitempty"` // where they are kept
 }
 
 // SessionStatus is an agent that has its session here.
@@ -56,8 +56,8 @@
 	now := c.public.Load()
 	s := Status{
 		Controller: string(now.self), Current: now.current, DiskFails: !c.broken.IsZero(),
-		Epoch: now.view.Epoch, Seq: now.state.Seq, Version: now.state.Version,
-		Models: now.state.Models, Duties: now.state.Duties, Mixers: len(now.members.Agents),
+		Epoch: now.view.Epoch, Seq: now.state.Seq, Version: now.state.ConfigVersion,
+		Models: now.state.Models, Duties: now.state.Leases, Mixers: len(now.members.Agents),
 	}
 	for _, id := range now.view.Chain {
 		s.Chain = append(s.Chain, string(id))
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -68,7 +68,7 @@
 	if err := c.pool.Client(head.Addr).Call(ctx, distribute.KindSubmit, forwarded, reply); err != nil {
 		return nil, err
 	}
-	if reply.Outcome == distribute.Unclear {
+	if reply.Outcome == distribute.OutcomeUnknown {
 		return nil, merry.New(reply.Reason)
 	}
 	return reply, nil
@@ -91,9 +91,9 @@
 		checked := c.replica.State()
 		var out chain.Output
 		seq, out, refused = c.replica.Propose(c.now(), &request.Operation)
-		fence = checked.FenceOf(&request.Operation, seq)
-		if refused == nil && request.Operation.Kind == replicated.KindDuty {
-			quiet = c.duties.Asked(c.now(), at.epoch, request.Operation.Duty, request.Operation.Holder)
+		fence = checked.FencingTokenAfter(&request.Operation, seq)
+		if refused == nil && request.Operation.Kind == replicated.KindLease {
+			quiet = c.duties.RecordRenewal(c.now(), at.epoch, request.Operation.LeaseName, request.Operation.Holder)
 		}
 		c.perform(out)
 	})
@@ -113,10 +113,10 @@
 	if _, err := c.confirm(ctx, at); err != nil { // what was taken before is told only while this is the head in force
 		return nil, err
 	}
-	reply := &distribute.SubmitReply{Outcome: distribute.Taken, Seq: seq}
-	if request.Operation.Kind == replicated.KindDuty {
-		reply.QuietMS = quiet.Milliseconds()
-		reply.Fence = fence // not the state's by now: another holder may have it already
+	reply := &distribute.SubmitReply{Outcome: distribute.OutcomeCommitted, Seq: seq}
+	if request.Operation.Kind == replicated.KindLease {
+		reply.PredecessorIdleMS = quiet.Milliseconds()
+		reply.FencingToken = fence // not the state's by now: another holder may have it already
 		return reply, nil
 	}
 	c.applied(ctx, seq)
@@ -134,14 +134,14 @@
 // refuse answers that an operation cannot come into force, once it is sure that the state it was held against is the newest.
 func (c *Controller) refuse(ctx context.Context, refusal *chain.RefusedError, at service) (*distribute.SubmitReply, error) {
 	if refusal.Verdict == replicated.Outdated {
-		return &distribute.SubmitReply{Outcome: distribute.Outdated, Reason: refusal.Error()}, nil
+		return &distribute.SubmitReply{Outcome: distribute.OutcomeOutdated, Reason: refusal.Error()}, nil
 	}
 	if _, err := c.confirm(ctx, at); err != nil {
 		return nil, err
 	}
-	reply := &distribute.SubmitReply{Outcome: distribute.Conflict, Reason: refusal.Error()}
+	reply := &distribute.SubmitReply{Outcome: distribute.OutcomeConflict, Reason: refusal.Error()}
 	if refusal.Verdict == replicated.Invalid {
-		reply.Outcome = distribute.Invalid
+		reply.Outcome = distribute.OutcomeInvalid
 	}
 	return reply, nil
 }
@@ -228,7 +228,7 @@
 	if request.Zone != "" {
 		return &distribute.ReadReply{Seq: state.Seq, ZoneSeq: state.ZoneSeq(request.Zone)}, nil
 	}
-	return &distribute.ReadReply{Seq: state.Seq, Config: state.Config, Duties: state.Duties}, nil
+	return &distribute.ReadReply{Seq: state.Seq, Config: state.Config, Leases: state.Leases}, nil
 }
 
 // read gives the newest state, from the tail.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -152,7 +152,7 @@
 // TestOldWeightsGetNothingNearTheirLimit goes through the time of a version.
 func TestOldWeightsGetNothingNearTheirLimit(t *testing.T) {
 	table := newTable(t, backend(1, 1), backend(2, 2))
-	table.SetState(time.Second, nil, nil, map[string]replicated.Model{"m": {Version: 2}}, map[string]superseded.Times{"m": superseded.Times{}.With(2, time.Second)})
+	table.SetState(time.Second, nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, map[string]superseded.History{"m": superseded.History{}.With(2, time.Second)})
 	only := &Request{Service: "llm", Model: "m", Tried: []string{"b2"}}
 	c := table.Pick(2*time.Second, only)
 	require.NotNil(t, c)
@@ -160,7 +160,7 @@
 	require.Less(t, table.BeginBy(c), 11*time.Second, "what has not begun is taken back before the limit")
 	require.Nil(t, table.Pick(10*time.Second, only))
 	fresh := newTable(t, backend(1, 1), backend(2, 2))
-	fresh.SetState(0, nil, nil, map[string]replicated.Model{"m": {Version: 2}}, nil)
+	fresh.SetState(0, nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, nil)
 	require.Nil(t, fresh.Pick(0, only), "who cannot tell its age takes it for overdue")
 }
 
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -30,7 +30,7 @@
 
 // beginBy is when requests may begin on a version no more, 0 if they may at any time.
 func (t *Table) beginBy(model string, version int64) time.Duration {
-	since, superseded := t.models[model].Of(version)
+	since, superseded := t.models[model].Since(version)
 	if !superseded {
 		return 0
 	}
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -139,6 +139,6 @@
 
 // tooOld reports whether a version of the weights was superseded so long ago that a new request might begin after its limit.
 func (t *Table) tooOld(now time.Duration, model string, version int64) bool {
-	since, superseded := t.models[model].Of(version)
+	since, superseded := t.models[model].Since(version)
 	return superseded && now-since > time.Duration(versionMargin*float64(t.settings.VersionLimit))
 }
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -79,7 +79,7 @@
 	settings  Settings
 	config    *config.Table
 	evacuated map[string]uint64
-	models    map[string]superseded.Times // since when versions are wanted
+	models    map[string]superseded.History // since when versions are wanted
 	backends  map[string]*Backend
 	order     []string // identities, as the list has them
 	byService map[string][]*Backend
@@ -116,7 +116,7 @@
 		index:     newIndex(),
 		budgets:   map[string]*budget{},
 		learned:   map[string]*learned{},
-		models:    map[string]superseded.Times{},
+		models:    map[string]superseded.History{},
 		random:    random,
 		started:   now,
 	}
@@ -150,7 +150,7 @@
 }
 
 // SetState takes what else the operator ordered. versions has since when, by this table's clock, those of models are known to be wanted.
-func (t *Table) SetState(now time.Duration, evacuated, restored map[string]uint64, models map[string]replicated.Model, versions map[string]superseded.Times) {
+func (t *Table) SetState(now time.Duration, evacuated, restored map[string]uint64, models map[string]replicated.ModelVersion, versions map[string]superseded.History) {
 	for zone := range t.evacuated {
 		if _, still := evacuated[zone]; !still {
 			t.chill(now, zone)
@@ -158,7 +158,7 @@
 	}
 	t.evacuated = evacuated
 	for name, m := range models {
-		t.models[name] = t.models[name].Merge(versions[name].With(m.Version, superseded.Always))
+		t.models[name] = t.models[name].Merge(versions[name].With(m.Version, superseded.DistantPast))
 	}
 }
 
--- a/internal/dispatch/versions_test.go
+++ b/internal/dispatch/versions_test.go
@@ -13,10 +13,10 @@
 // TestEachSupersededVersionHasALimitOfItsOwn: a version that is named does not give the ones before its predecessor more time.
 func TestEachSupersededVersionHasALimitOfItsOwn(t *testing.T) {
 	table := newTable(t, backend(1, 1), backend(2, 2))
-	var times superseded.Times
+	var times superseded.History
 	name := func(now time.Duration, version int64) {
 		times = times.With(version, now)
-		table.SetState(now, nil, nil, map[string]replicated.Model{"m": {Version: version}}, map[string]superseded.Times{"m": times})
+		table.SetState(now, nil, nil, map[string]replicated.ModelVersion{"m": {Version: version}}, map[string]superseded.History{"m": times})
 	}
 	name(0, 2)
 	name(7*time.Second, 3)
--- a/internal/distribute/members.go
+++ b/internal/distribute/members.go
@@ -24,11 +24,11 @@
 // NewMemberSet makes a set of agents in any order. It keeps the slice.
 func NewMemberSet(agents []Agent) *MemberSet {
 	slices.SortFunc(agents, func(a, b Agent) int { return cmp.Compare(a.ID, b.ID) })
-	return &MemberSet{Digest: digestOf(agents), Agents: agents}
+	return &MemberSet{Digest: membersDigest(agents), Agents: agents}
 }
 
 // digestOf tells sets of agents apart by their IDs, which are in order.
-func digestOf(agents []Agent) uint64 {
+func membersDigest(agents []Agent) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	for i := range agents {
@@ -39,7 +39,7 @@
 }
 
 // Delta gives what makes another set of this one.
-func (s *MemberSet) Delta(next *MemberSet) *MemberDelta {
+func (s *MemberSet) DeltaTo(next *MemberSet) *MemberDelta {
 	delta := &MemberDelta{Base: s.Digest, Digest: next.Digest}
 	old, now := s.Agents, next.Agents
 	for len(old) > 0 || len(now) > 0 {
--- a/internal/distribute/members_test.go
+++ b/internal/distribute/members_test.go
@@ -24,11 +24,11 @@
 	for seed := uint64(1); seed <= 500; seed++ {
 		random := rand.New(rand.NewPCG(seed, seed))
 		old, next, third := NewMemberSet(someAgents(random)), NewMemberSet(someAgents(random)), NewMemberSet(someAgents(random))
-		require.Equal(t, next, old.Apply(old.Delta(next)))
+		require.Equal(t, next, old.Apply(old.DeltaTo(next)))
 		if third.Digest != old.Digest {
-			require.Nil(t, third.Apply(old.Delta(next)))
+			require.Nil(t, third.Apply(old.DeltaTo(next)))
 		}
-		damaged := old.Delta(next)
+		damaged := old.DeltaTo(next)
 		damaged.Added = append(damaged.Added, Agent{ID: "g/1"})
 		require.Nil(t, old.Apply(damaged))
 	}
--- a/internal/feed/index.go
+++ b/internal/feed/index.go
@@ -8,22 +8,22 @@
 
 // TakeIndex applies what a reply tells of the prompts that backends keep, and notes in the next request how far it got and of which backends
 // the whole is wanted. The request's earlier copies keep their own.
-func (r *Request) TakeIndex(index *kvindex.Index, reply *Reply) {
+func (r *Request) ApplyIndex(index *kvindex.Index, reply *Reply) {
 	if reply.Reset {
 		for _, id := range index.Backends() {
 			index.Forget(id)
 		}
-		r.Want = reply.Known
+		r.ResyncBackends = reply.KnownBackends
 	}
-	r.Index = reply.Index
+	r.BatchCount = reply.BatchCount
 	for _, b := range reply.Batches {
 		applied := index.Apply(b)
-		wanted := slices.Index(r.Want, b.Backend)
+		wanted := slices.Index(r.ResyncBackends, b.Backend)
 		switch {
 		case applied && b.Whole && wanted >= 0:
-			r.Want = slices.Delete(slices.Clone(r.Want), wanted, wanted+1)
+			r.ResyncBackends = slices.Delete(slices.Clone(r.ResyncBackends), wanted, wanted+1)
 		case !applied && wanted < 0:
-			r.Want = append(slices.Clone(r.Want), b.Backend)
+			r.ResyncBackends = append(slices.Clone(r.ResyncBackends), b.Backend)
 		}
 	}
 }
@@ -31,5 +31,5 @@
 // ForgetBackend drops what is known of a backend that is gone.
 func (r *Request) ForgetBackend(index *kvindex.Index, id string) {
 	index.Forget(id)
-	r.Want = slices.DeleteFunc(slices.Clone(r.Want), func(wanted string) bool { return wanted == id })
+	r.ResyncBackends = slices.DeleteFunc(slices.Clone(r.ResyncBackends), func(wanted string) bool { return wanted == id })
 }
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -11,40 +11,40 @@
 
 // ReadList is the platform's list as it was read: the whole list, or the changes to the list whose digest is Base, or nothing but its digest
 // where it did not change. Receivers share it and do not change it.
-type ReadList struct {
-	Sum      uint64            `cbor:"1,keyasint"` // digest of the list
-	Whole    bool              `cbor:"3,keyasint,omitempty"`
-	Backends []dispatch.Listed `cbor:"2,keyasint,omitempty"` // all of them, if Whole
-	Base     uint64            `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
-	Changed  []dispatch.Listed `cbor:"5,keyasint,omitempty"`
-	Gone     []string          `cbor:"6,keyasint,omitempty"` // identities
+type ListUpdate struct {
+	Digest     uint64            `cbor:"1,keyasint"` // digest of the list
+	Full       bool              `cbor:"3,keyasint,omitempty"`
+	Backends   []dispatch.Listed `cbor:"2,keyasint,omitempty"` // all of them, if Whole
+	BaseDigest uint64            `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
+	Changed    []dispatch.Listed `cbor:"5,keyasint,omitempty"`
+	Removed    []string          `cbor:"6,keyasint,omitempty"` // identities
 	// Number orders readings: each reader adds one to the highest that it knows.
-	Number uint64 `cbor:"8,keyasint"`
-	AgeMS  int64  `cbor:"7,keyasint,omitempty"` // between the beginning of the reading and the sending of this message
+	Revision uint64 `cbor:"8,keyasint"`
+	AgeMS    int64  `cbor:"7,keyasint,omitempty"` // between the beginning of the reading and the sending of this message
 }
 
 // ListRequest asks an agent for its list, by the digest of the caller's.
 type ListRequest struct {
-	Sum uint64 `cbor:"1,keyasint"` // 0 if it has none
+	Digest uint64 `cbor:"1,keyasint"` // 0 if it has none
 }
 
 // emptyListSum is the digest of a list without entries; 0 is that of no list.
-const emptyListSum = 1
+const emptyListDigest = 1
 
 // sorted encodes maps in one order.
-var sorted, _ = cbor.CoreDetEncOptions().EncMode()
+var canonicalCBOR, _ = cbor.CoreDetEncOptions().EncMode()
 
 // ListSum digests a list. The order of its entries does not matter, so the digest can be kept up to date by its changes.
-func ListSum(list []dispatch.Listed) uint64 {
-	sum := uint64(emptyListSum)
+func ListDigest(list []dispatch.Listed) uint64 {
+	sum := uint64(emptyListDigest)
 	for i := range list {
-		sum ^= entrySum(&list[i])
+		sum ^= entryDigest(&list[i])
 	}
 	return sum
 }
 
-func entrySum(entry *dispatch.Listed) uint64 {
-	encoded, err := sorted.Marshal(entry)
+func entryDigest(entry *dispatch.Listed) uint64 {
+	encoded, err := canonicalCBOR.Marshal(entry)
 	if err != nil {
 		return 0
 	}
@@ -52,13 +52,13 @@
 }
 
 // WholeList makes news of a whole list.
-func WholeList(list []dispatch.Listed) *ReadList {
-	return &ReadList{Sum: ListSum(list), Whole: true, Backends: list}
+func NewFullListUpdate(list []dispatch.Listed) *ListUpdate {
+	return &ListUpdate{Digest: ListDigest(list), Full: true, Backends: list}
 }
 
 // ListChanges makes news of what leads from one list, whose digest is given, to another.
-func ListChanges(from []dispatch.Listed, fromSum uint64, to []dispatch.Listed) *ReadList {
-	changes := &ReadList{Sum: fromSum, Base: fromSum}
+func NewListDelta(from []dispatch.Listed, fromSum uint64, to []dispatch.Listed) *ListUpdate {
+	changes := &ListUpdate{Digest: fromSum, BaseDigest: fromSum}
 	before := make(map[string]*dispatch.Listed, len(from))
 	for i := range from {
 		before[from[i].ID] = &from[i]
@@ -69,35 +69,35 @@
 		delete(before, entry.ID)
 		switch {
 		case old == nil:
-			changes.Sum ^= entrySum(entry)
+			changes.Digest ^= entryDigest(entry)
 		case old.Same(entry):
 			continue
 		default:
-			changes.Sum ^= entrySum(old) ^ entrySum(entry)
+			changes.Digest ^= entryDigest(old) ^ entryDigest(entry)
 		}
 		changes.Changed = append(changes.Changed, *entry)
 	}
 	for id, old := range before {
-		changes.Sum ^= entrySum(old)
-		changes.Gone = append(changes.Gone, id)
+		changes.Digest ^= entryDigest(old)
+		changes.Removed = append(changes.Removed, id)
 	}
-	if !changes.brings() {
-		changes.Base = 0
+	if !changes.hasChanges() {
+		changes.BaseDigest = 0
 	}
 	return changes
 }
 
 // brings tells whether there are changes.
-func (r *ReadList) brings() bool { return len(r.Changed) > 0 || len(r.Gone) > 0 }
+func (r *ListUpdate) hasChanges() bool { return len(r.Changed) > 0 || len(r.Removed) > 0 }
 
 // Apply gives the list that follows from the one whose digest is given. It fails where the news is of changes to another list.
-func (r *ReadList) Apply(list []dispatch.Listed, sum uint64) (next []dispatch.Listed, ok bool) {
+func (r *ListUpdate) Apply(list []dispatch.Listed, sum uint64) (next []dispatch.Listed, ok bool) {
 	switch {
-	case r.Whole:
+	case r.Full:
 		return r.Backends, true
-	case r.Sum == sum:
+	case r.Digest == sum:
 		return list, true
-	case r.Base != sum || r.Base == 0:
+	case r.BaseDigest != sum || r.BaseDigest == 0:
 		return nil, false
 	}
 	replaced := make(map[string]*dispatch.Listed, len(r.Changed))
@@ -110,7 +110,7 @@
 		if entry := replaced[id]; entry != nil {
 			next = append(next, *entry)
 			delete(replaced, id)
-		} else if !slices.Contains(r.Gone, id) {
+		} else if !slices.Contains(r.Removed, id) {
 			next = append(next, list[i])
 		}
 	}
@@ -124,40 +124,40 @@
 
 // Then joins news with what came after it, for a receiver that has neither. Where the two do not follow each other that of the later reading
 // stands alone.
-func (r *ReadList) Then(later *ReadList) *ReadList {
+func (r *ListUpdate) Merge(later *ListUpdate) *ListUpdate {
 	if r == nil {
 		return later
 	}
-	if later.Number < r.Number {
+	if later.Revision < r.Revision {
 		return r
 	}
-	out := *r.before(later)
-	out.Number = later.Number
+	out := *r.compose(later)
+	out.Revision = later.Revision
 	return &out
 }
 
 // before is what r and later bring together.
-func (r *ReadList) before(later *ReadList) *ReadList {
+func (r *ListUpdate) compose(later *ListUpdate) *ListUpdate {
 	switch {
-	case later.Sum == r.Sum && !later.Whole:
+	case later.Digest == r.Digest && !later.Full:
 		return r
-	case later.Whole || later.Base != r.Sum || r.Base == 0 && !r.Whole:
+	case later.Full || later.BaseDigest != r.Digest || r.BaseDigest == 0 && !r.Full:
 		return later
-	case r.Whole:
-		backends, _ := later.Apply(r.Backends, r.Sum)
-		return &ReadList{Sum: later.Sum, Whole: true, Backends: backends}
+	case r.Full:
+		backends, _ := later.Apply(r.Backends, r.Digest)
+		return &ListUpdate{Digest: later.Digest, Full: true, Backends: backends}
 	}
-	return r.joined(later)
+	return r.mergeChanges(later)
 }
 
 // joined is the changes of both, of which the second follow the first.
-func (r *ReadList) joined(later *ReadList) *ReadList {
-	out := &ReadList{Sum: later.Sum, Base: r.Base, Changed: slices.Clone(later.Changed), Gone: slices.Clone(later.Gone)}
+func (r *ListUpdate) mergeChanges(later *ListUpdate) *ListUpdate {
+	out := &ListUpdate{Digest: later.Digest, BaseDigest: r.BaseDigest, Changed: slices.Clone(later.Changed), Removed: slices.Clone(later.Removed)}
 	told := map[string]bool{}
 	for i := range later.Changed {
 		told[later.Changed[i].ID] = true
 	}
-	for _, id := range later.Gone {
+	for _, id := range later.Removed {
 		told[id] = true
 	}
 	for i := range r.Changed {
@@ -165,9 +165,9 @@
 			out.Changed = append(out.Changed, r.Changed[i])
 		}
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Removed {
 		if !told[id] {
-			out.Gone = append(out.Gone, id)
+			out.Removed = append(out.Removed, id)
 		}
 	}
 	return out
--- a/internal/feed/list_test.go
+++ b/internal/feed/list_test.go
@@ -41,23 +41,23 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		first := nextList(random, nil)
-		from, fromSum := first, ListSum(first)
-		var joined *ReadList
+		from, fromSum := first, ListDigest(first)
+		var joined *ListUpdate
 		for range 1 + random.IntN(6) {
 			to := nextList(random, from)
-			news := ListChanges(from, fromSum, to)
-			require.Equal(t, ListSum(to), news.Sum)
+			news := NewListDelta(from, fromSum, to)
+			require.Equal(t, ListDigest(to), news.Digest)
 			next, ok := news.Apply(from, fromSum)
 			require.True(t, ok)
 			require.ElementsMatch(t, to, next)
-			joined = joined.Then(news)
-			from, fromSum = to, news.Sum
+			joined = joined.Merge(news)
+			from, fromSum = to, news.Digest
 		}
-		next, ok := joined.Apply(first, ListSum(first))
+		next, ok := joined.Apply(first, ListDigest(first))
 		require.True(t, ok)
 		require.ElementsMatch(t, from, next)
-		require.Equal(t, fromSum, ListSum(next))
-		whole := WholeList(first).Then(joined)
+		require.Equal(t, fromSum, ListDigest(next))
+		whole := NewFullListUpdate(first).Merge(joined)
 		next, ok = whole.Apply(nil, 0)
 		require.True(t, ok)
 		require.ElementsMatch(t, from, next)
@@ -67,14 +67,14 @@
 // TestChangesToAnotherListAreNotTaken: they are asked for instead.
 func TestChangesToAnotherListAreNotTaken(t *testing.T) {
 	one, two := []dispatch.Listed{{ID: "a"}}, []dispatch.Listed{{ID: "a"}, {ID: "b"}}
-	news := ListChanges(one, ListSum(one), two)
-	_, ok := news.Apply(two[1:], ListSum(two[1:]))
+	news := NewListDelta(one, ListDigest(one), two)
+	_, ok := news.Apply(two[1:], ListDigest(two[1:]))
 	require.False(t, ok)
 	_, ok = news.Apply(nil, 0)
 	require.False(t, ok)
-	_, ok = (&ReadList{Sum: ListSum(two)}).Apply(nil, 0)
+	_, ok = (&ListUpdate{Digest: ListDigest(two)}).Apply(nil, 0)
 	require.False(t, ok, "a digest alone brings nothing")
-	next, ok := news.Apply(two, ListSum(two))
+	next, ok := news.Apply(two, ListDigest(two))
 	require.True(t, ok, "it is there already")
 	require.Equal(t, two, next)
 }
--- a/internal/leases/lease_test.go
+++ b/internal/leases/lease_test.go
@@ -40,13 +40,13 @@
 }
 
 type world struct {
-	terms    Terms
+	terms    Timing
 	now      time.Duration
 	fence    uint64 // of the control state
 	owner    int
 	epoch    uint64
 	head     int
-	register [heads]Register
+	register [heads]RenewalTracker
 	leases   [holders]Lease
 	replies  []confirmation
 	flights  []act                  // sent, not arrived
@@ -67,16 +67,16 @@
 // newWorld is one of so many holders, in which the head may change so many times.
 func newWorld(among, views int, fenced bool) *world {
 	w := &world{
-		terms: Terms{Act: tick, Apart: 2 * tick, Flight: tick},
+		terms: Timing{HoldFor: tick, MinSeparation: 2 * tick, MaxTransit: tick},
 		owner: -1, epoch: 1, among: among, acts: 3, takeover: among, views: views,
 	}
 	if fenced {
-		w.terms.Apart = 0
+		w.terms.MinSeparation = 0
 	}
 	for h := range holders {
 		w.leases[h], w.latest[h] = *New(w.terms, 0), never
 	}
-	w.register[0].InEpoch(0, 1)
+	w.register[0].SetEpoch(0, 1)
 	return w
 }
 
@@ -85,7 +85,7 @@
 	c.replies = slices.Clone(w.replies)
 	c.flights = slices.Clone(w.flights)
 	for i := range c.register {
-		c.register[i].holders = maps.Clone(w.register[i].holders)
+		c.register[i].renewals = maps.Clone(w.register[i].renewals)
 	}
 	return &c
 }
@@ -106,7 +106,7 @@
 		if w.owner == h || w.takeover > 0 {
 			steps = append(steps, step{fmt.Sprint("asks ", h), func(w *world) { w.ask(h) }})
 		}
-		if w.acts > 0 && w.leases[h].MayAct(w.now) {
+		if w.acts > 0 && w.leases[h].Valid(w.now) {
 			steps = append(steps, step{fmt.Sprint("acts ", h), func(w *world) { w.send(h) }})
 		}
 	}
@@ -126,21 +126,21 @@
 	w.views--
 	w.epoch++
 	w.head = (w.head + 1) % heads
-	if w.forgetful && w.register[w.head].holders != nil {
+	if w.forgetful && w.register[w.head].renewals != nil {
 		w.register[w.head].epoch = w.epoch
 	}
-	w.register[w.head].InEpoch(w.now, w.epoch)
+	w.register[w.head].SetEpoch(w.now, w.epoch)
 }
 
 func (w *world) send(h int) {
 	w.acts--
-	w.flights = append(w.flights, act{h, w.leases[h].Fence(), w.now})
+	w.flights = append(w.flights, act{h, w.leases[h].FencingToken(), w.now})
 }
 
 // arrive books an act's arrival. Of the other holders' only the newest matters: earlier ones are further apart.
 func (w *world) arrive(a act) {
 	for other, at := range w.latest {
-		if apart := w.now - at; other != a.holder && w.broken == nil && apart < w.terms.Apart {
+		if apart := w.now - at; other != a.holder && w.broken == nil && apart < w.terms.MinSeparation {
 			w.broken = fmt.Errorf("acts of two holders arrive %v apart", apart)
 		}
 	}
@@ -154,7 +154,7 @@
 // overdue tells whether something sent has to arrive before time goes on.
 func (w *world) overdue() bool {
 	for _, f := range w.flights {
-		if w.now-f.at >= w.terms.Flight {
+		if w.now-f.at >= w.terms.MaxTransit {
 			return true
 		}
 	}
@@ -167,7 +167,7 @@
 		w.fence++
 		w.takeover--
 	}
-	quiet := w.register[w.head].Asked(w.now, w.epoch, "orders", fmt.Sprint(h))
+	quiet := w.register[w.head].RecordRenewal(w.now, w.epoch, "orders", fmt.Sprint(h))
 	if len(w.replies) < 2 {
 		w.replies = append(w.replies, confirmation{h, w.now, w.fence, quiet})
 	}
@@ -176,14 +176,14 @@
 func (w *world) confirm(i int) {
 	r := w.replies[i]
 	w.replies = append(w.replies[:i:i], w.replies[i+1:]...)
-	c := Confirmation{Asked: r.asked, Now: w.now, Fence: r.fence, Inherited: r.fence > 1 && !w.hasty, Quiet: r.quiet}
+	c := Renewal{RequestedAt: r.asked, ReceivedAt: w.now, FencingToken: r.fence, HadPredecessor: r.fence > 1 && !w.hasty, PredecessorIdle: r.quiet}
 	if w.sleepy {
-		c.Asked = w.now
+		c.RequestedAt = w.now
 	}
 	if w.late {
-		c.Quiet += w.now - r.asked + 2*tick
+		c.PredecessorIdle += w.now - r.asked + 2*tick
 	}
-	w.leases[r.holder].Confirmed(c)
+	w.leases[r.holder].Renew(c)
 }
 
 func (w *world) Choices() int           { return len(w.steps()) }
@@ -251,10 +251,10 @@
 
 // TestASuccessorWaitsForWhatHasNotPassed: no longer than the rules ask, counted from the former holder's last confirmation.
 func TestASuccessorWaitsForWhatHasNotPassed(t *testing.T) {
-	unfenced := Terms{Act: 900 * time.Millisecond, Flight: 800 * time.Millisecond, Apart: 3 * time.Second}
-	fenced := Terms{Act: 900 * time.Millisecond, Flight: 800 * time.Millisecond}
+	unfenced := Timing{HoldFor: 900 * time.Millisecond, MaxTransit: 800 * time.Millisecond, MinSeparation: 3 * time.Second}
+	fenced := Timing{HoldFor: 900 * time.Millisecond, MaxTransit: 800 * time.Millisecond}
 	for _, c := range []struct {
-		terms       Terms
+		terms       Timing
 		inherited   bool
 		quiet, from time.Duration
 	}{
@@ -266,18 +266,18 @@
 		{unfenced, false, 0, 10 * time.Second},
 	} {
 		l := New(c.terms, 6)
-		require.True(t, l.Confirmed(Confirmation{Asked: 9900 * time.Millisecond, Now: 10 * time.Second, Fence: 7, Inherited: c.inherited, Quiet: c.quiet}))
-		require.Equal(t, c.from, l.From())
+		require.True(t, l.Renew(Renewal{RequestedAt: 9900 * time.Millisecond, ReceivedAt: 10 * time.Second, FencingToken: 7, HadPredecessor: c.inherited, PredecessorIdle: c.quiet}))
+		require.Equal(t, c.from, l.ValidFrom())
 	}
 }
 
 // TestTheRegisterKnowsNothingOfOtherEpochs: what another head confirmed before is taken for as late as it can have been.
 func TestTheRegisterKnowsNothingOfOtherEpochs(t *testing.T) {
-	r := new(Register)
-	r.InEpoch(10, 3)
-	require.EqualValues(t, 5, r.Asked(15, 3, "orders", "a"))
-	require.EqualValues(t, 9, r.Asked(19, 3, "orders", "a"), "the same holder again: nobody else asked in this epoch")
-	require.EqualValues(t, 2, r.Asked(21, 3, "orders", "b"))
-	require.EqualValues(t, 6, r.Asked(25, 3, "orders", "b"), "a claim that is repeated, as its reply was lost")
-	require.EqualValues(t, 0, r.Asked(30, 4, "orders", "c"), "another epoch that was not heard of before")
+	r := new(RenewalTracker)
+	r.SetEpoch(10, 3)
+	require.EqualValues(t, 5, r.RecordRenewal(15, 3, "orders", "a"))
+	require.EqualValues(t, 9, r.RecordRenewal(19, 3, "orders", "a"), "the same holder again: nobody else asked in this epoch")
+	require.EqualValues(t, 2, r.RecordRenewal(21, 3, "orders", "b"))
+	require.EqualValues(t, 6, r.RecordRenewal(25, 3, "orders", "b"), "a claim that is repeated, as its reply was lost")
+	require.EqualValues(t, 0, r.RecordRenewal(30, 4, "orders", "c"), "another epoch that was not heard of before")
 }
--- a/internal/proxy/endings_test.go
+++ b/internal/proxy/endings_test.go
@@ -84,14 +84,14 @@
 	for name, happens := range map[string]func(p *Proxy){
 		"a configuration without its route, tenant and service": func(p *Proxy) {
 			p.do(func() {
-				p.take(p.now(), &feed.Reply{Agent: "a1", Snapshot: &distribute.Snapshot{Seq: 2, ConfigSeq: 2, Config: []byte(bare)}})
+				p.take(p.now(), &feed.Reply{AgentID: "a1", Snapshot: &distribute.Snapshot{Seq: 2, ConfigSeq: 2, Config: []byte(bare)}})
 			})
 		},
 		"a list without its backend": func(p *Proxy) {
-			p.do(func() { p.take(p.now(), &feed.Reply{Agent: "a1", List: &feed.List{Number: 2}}) })
+			p.do(func() { p.take(p.now(), &feed.Reply{AgentID: "a1", List: &feed.List{Revision: 2}}) })
 		},
 		"an agent that starts anew": func(p *Proxy) {
-			p.do(func() { p.take(p.now(), &feed.Reply{Agent: "a2"}) })
+			p.do(func() { p.take(p.now(), &feed.Reply{AgentID: "a2"}) })
 		},
 		"its backend's silence": func(p *Proxy) { p.endOverdue(p.now() + 10*time.Second) },
 		"an evacuation of its zone": func(p *Proxy) {
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -16,18 +16,18 @@
 	r := newRig(t, func(http.ResponseWriter, *http.Request) {})
 	take := func(list *feed.List) (have uint64, size int) {
 		r.proxy.do(func() {
-			r.proxy.take(r.proxy.now(), &feed.Reply{Agent: "a1", List: list})
-			have, size = r.proxy.have.List, r.proxy.table.Size()
+			r.proxy.take(r.proxy.now(), &feed.Reply{AgentID: "a1", List: list})
+			have, size = r.proxy.have.ListRevision, r.proxy.table.Size()
 		})
 		return have, size
 	}
-	have, size := take(&feed.List{Number: 5, Since: 1, Backends: []dispatch.Listed{{ID: "i-new"}}})
+	have, size := take(&feed.List{Revision: 5, BaseRevision: 1, Backends: []dispatch.Listed{{ID: "i-new"}}})
 	require.Equal(t, uint64(5), have)
 	require.Equal(t, 2, size)
-	have, size = take(&feed.List{Number: 9, Since: 7, Gone: []string{"i-new"}})
+	have, size = take(&feed.List{Revision: 9, BaseRevision: 7, Removed: []string{"i-new"}})
 	require.Zero(t, have)
 	require.Equal(t, 2, size)
-	have, size = take(&feed.List{Number: 9, Backends: []dispatch.Listed{{ID: "i-0"}}})
+	have, size = take(&feed.List{Revision: 9, Backends: []dispatch.Listed{{ID: "i-0"}}})
 	require.Equal(t, uint64(9), have)
 	require.Equal(t, 1, size)
 }
@@ -38,10 +38,10 @@
 	before := r.proxy.config.Load()
 	r.proxy.do(func() {
 		r.proxy.take(r.proxy.now(), &feed.Reply{
-			Agent: "a1", Snapshot: &distribute.Snapshot{Seq: 2, ConfigSeq: 2, Config: []byte("{"), Evacuated: map[string]uint64{"a": 2}},
+			AgentID: "a1", Snapshot: &distribute.Snapshot{Seq: 2, ConfigSeq: 2, Config: []byte("{"), Evacuated: map[string]uint64{"a": 2}},
 		})
-		require.Equal(t, uint64(1), r.proxy.have.Applied)
-		require.Equal(t, uint64(1), r.proxy.have.Config)
+		require.Equal(t, uint64(1), r.proxy.have.SnapshotSeq)
+		require.Equal(t, uint64(1), r.proxy.have.ConfigSeq)
 	})
 	require.Same(t, before, r.proxy.config.Load())
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -36,10 +36,10 @@
 		set.Add("proxy_config_version", float64(table.Version))
 	}
 	p.do(func() {
-		set.Add("proxy_applied_seq", float64(p.have.Applied))
+		set.Add("proxy_applied_seq", float64(p.have.SnapshotSeq))
 		set.Add("proxy_backends", float64(p.table.Size()))
 		set.Add("proxy_backends_avoided", float64(p.table.Avoided(p.now())))
-		set.Add("proxy_index_wanted", float64(len(p.have.Want)))
+		set.Add("proxy_index_wanted", float64(len(p.have.ResyncBackends)))
 	})
 	return set, nil
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -213,7 +213,7 @@
 		err := p.agent.Call(call, feed.KindFeed, &request, reply)
 		cancel()
 		if err == nil {
-			table := p.compile(reply, request.Config)
+			table := p.compile(reply, request.ConfigSeq)
 			p.do(func() { p.takeCompiled(asked, reply, table) })
 		}
 		select {
@@ -240,16 +240,16 @@
 
 // take puts news in force, the reply to a call that was made at a time.
 func (p *Proxy) take(asked time.Duration, reply *feed.Reply) {
-	p.takeCompiled(asked, reply, p.compile(reply, p.have.Config))
+	p.takeCompiled(asked, reply, p.compile(reply, p.have.ConfigSeq))
 }
 
 // takeCompiled is take with the table of the reply's configuration, nil if it brought none that can be read.
 func (p *Proxy) takeCompiled(asked time.Duration, reply *feed.Reply, table *config.Table) {
 	now := p.now()
-	if reply.Agent != p.have.Agent {
-		p.have.Agent, p.have.List, p.have.Members, p.have.Loads = reply.Agent, 0, 0, 0
+	if reply.AgentID != p.have.AgentID {
+		p.have.AgentID, p.have.ListRevision, p.have.MembersDigest, p.have.LoadsRevision = reply.AgentID, 0, 0, 0
 	}
-	if s := reply.Snapshot; s != nil && s.Seq > p.have.Applied {
+	if s := reply.Snapshot; s != nil && s.Seq > p.have.SnapshotSeq {
 		p.takeSnapshot(now, s, table, versionsOf(asked, reply))
 	}
 	if reply.Members != nil {
@@ -258,26 +258,26 @@
 	if reply.List != nil {
 		p.takeList(now, reply.List)
 	}
-	p.have.TakeIndex(p.table.Index(), reply)
-	if reply.Loads != nil || reply.LoadsAt != p.have.Loads {
+	p.have.ApplyIndex(p.table.Index(), reply)
+	if reply.Loads != nil || reply.LoadsRevision != p.have.LoadsRevision {
 		p.table.SetLoads(reply.Loads)
 	}
-	p.have.Loads = reply.LoadsAt
+	p.have.LoadsRevision = reply.LoadsRevision
 }
 
 // takeList puts the list, or changes to the one in force, in force.
 func (p *Proxy) takeList(now time.Duration, list *feed.List) {
-	gone := list.Gone
-	switch list.Since {
+	gone := list.Removed
+	switch list.BaseRevision {
 	case 0:
 		gone = p.table.SetBackends(now, list.Backends, list.Phases)
-	case p.have.List:
+	case p.have.ListRevision:
 		p.table.ChangeBackends(now, list.Backends, list.Phases, gone)
 	default: // changes to another list: the whole is asked for
-		p.have.List = 0
+		p.have.ListRevision = 0
 		return
 	}
-	p.have.List = list.Number
+	p.have.ListRevision = list.Revision
 	for _, id := range gone {
 		p.have.ForgetBackend(p.table.Index(), id)
 		p.dropPool(id)
@@ -310,32 +310,32 @@
 }
 
 // versionsOf dates the versions of models that a reply tells of.
-func versionsOf(asked time.Duration, reply *feed.Reply) map[string]superseded.Times {
-	written := asked + time.Duration(reply.HeldMS)*time.Millisecond
-	versions := map[string]superseded.Times{}
-	for model, ages := range reply.Ages {
+func versionsOf(asked time.Duration, reply *feed.Reply) map[string]superseded.History {
+	written := asked + time.Duration(reply.LongPollMS)*time.Millisecond
+	versions := map[string]superseded.History{}
+	for model, ages := range reply.VersionAges {
 		versions[model] = superseded.FromAges(written, ages)
 	}
 	return versions
 }
 
-func (p *Proxy) takeSnapshot(now time.Duration, s *distribute.Snapshot, table *config.Table, versions map[string]superseded.Times) {
-	if len(s.Config) > 0 && s.ConfigSeq != p.have.Config {
+func (p *Proxy) takeSnapshot(now time.Duration, s *distribute.Snapshot, table *config.Table, versions map[string]superseded.History) {
+	if len(s.Config) > 0 && s.ConfigSeq != p.have.ConfigSeq {
 		if table == nil {
 			return
 		}
 		p.config.Store(table)
 		p.table.SetConfig(table)
-		p.have.Config = s.ConfigSeq
+		p.have.ConfigSeq = s.ConfigSeq
 	}
 	p.logWeights(now, s, versions)
 	p.table.SetState(now, s.Evacuated, s.Restored, s.Models, versions)
 	p.limitBegins(now)
-	p.have.Applied = s.Seq
+	p.have.SnapshotSeq = s.Seq
 }
 
 // logWeights tells which versions of models are wanted now, and since when they are known to be.
-func (p *Proxy) logWeights(now time.Duration, s *distribute.Snapshot, versions map[string]superseded.Times) {
+func (p *Proxy) logWeights(now time.Duration, s *distribute.Snapshot, versions map[string]superseded.History) {
 	for model, wanted := range s.Models {
 		if p.weights[model] == wanted.Version {
 			continue
@@ -346,7 +346,7 @@
 }
 
 func (p *Proxy) takeMembers(set *distribute.MemberSet) {
-	p.have.Members = set.Digest
+	p.have.MembersDigest = set.Digest
 	members := dispatch.Members{}
 	own := p.settings.InternalAddr(p.settings.IP)
 	for _, a := range set.Agents {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -53,7 +53,7 @@
 	settings.Bounds.Version = rigVersionLimit
 	settings.Bounds.RetryBudgetRatio, settings.Bounds.RetryBudgetSlack, settings.Bounds.BudgetWindow = 0.2, 100, 10*time.Second
 	r := &rig{t: t, proxy: New(settings, zerolog.Nop())}
-	list := &feed.List{Number: 1}
+	list := &feed.List{Revision: 1}
 	for i, serve := range backends {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 			body, _ := io.ReadAll(request.Body)
@@ -73,7 +73,7 @@
 	t.Cleanup(func() { close(r.proxy.done) })
 	r.proxy.do(func() {
 		r.proxy.take(r.proxy.now(), &feed.Reply{
-			Agent: "a1", List: list, Snapshot: &distribute.Snapshot{Seq: 1, ConfigSeq: 1, Config: []byte(document)},
+			AgentID: "a1", List: list, Snapshot: &distribute.Snapshot{Seq: 1, ConfigSeq: 1, Config: []byte(document)},
 			Members: &distribute.MemberSet{Digest: 1, Agents: []distribute.Agent{{ID: "a1", Addr: "10.0.0.1:7340"}}},
 		})
 	})
@@ -288,7 +288,7 @@
 func TestSnapshotsNeverGoBack(t *testing.T) {
 	r := newRig(t, ok)
 	r.proxy.do(func() {
-		r.proxy.take(r.proxy.now(), &feed.Reply{Agent: "a2", Snapshot: &distribute.Snapshot{Seq: 1, ConfigSeq: 9, Config: []byte(`{"version":1,"routes":[],"services":[]}`)}})
+		r.proxy.take(r.proxy.now(), &feed.Reply{AgentID: "a2", Snapshot: &distribute.Snapshot{Seq: 1, ConfigSeq: 9, Config: []byte(`{"version":1,"routes":[],"services":[]}`)}})
 	})
 	answer, _, err := r.ask("/once/x", "k1", "")
 	require.NoError(t, err)
@@ -321,8 +321,8 @@
 	require.True(t, q.place(table, r.proxy.splits))
 	require.True(t, q.read(table))
 	r.proxy.do(func() {
-		versions := map[string]superseded.Times{"m": superseded.Times{}.With(2, r.proxy.now())}
-		r.proxy.table.SetState(r.proxy.now(), nil, nil, map[string]replicated.Model{"m": {Version: 2}}, versions)
+		versions := map[string]superseded.History{"m": superseded.History{}.With(2, r.proxy.now())}
+		r.proxy.table.SetState(r.proxy.now(), nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, versions)
 	})
 	choice := r.proxy.pick(q, nil)
 	a := r.proxy.send(t.Context(), q, choice, []string{choice.ID}, 1, "")
--- a/internal/rendezvous/owners.go
+++ b/internal/rendezvous/owners.go
@@ -2,17 +2,19 @@
 
 // Owners keeps who owns each of many keys while candidates come and go. It gives what Owner does; a candidate that comes costs one weight a
 // key, one that goes the weights of the keys that it owned, where Owner costs a weight for each candidate and key every time.
-type Owners struct {
+type OwnerCache struct {
 	candidates []string
 	present    map[string]bool
 	owners     map[string]ranked // by key
 }
 
 // NewOwners makes a table without candidates.
-func NewOwners() *Owners { return &Owners{present: map[string]bool{}, owners: map[string]ranked{}} }
+func NewOwnerCache() *OwnerCache {
+	return &OwnerCache{present: map[string]bool{}, owners: map[string]ranked{}}
+}
 
 // SetCandidates takes who there is now.
-func (o *Owners) SetCandidates(candidates []string) {
+func (o *OwnerCache) SetCandidates(candidates []string) {
 	now := make(map[string]bool, len(candidates))
 	var came []string
 	for _, c := range candidates {
@@ -35,7 +37,7 @@
 	}
 	for key, owner := range o.owners {
 		for _, c := range came {
-			if r := (ranked{c, Weight(key, c)}); r.before(owner) {
+			if r := (ranked{c, Weight(key, c)}); r.outranks(owner) {
 				owner = r
 			}
 		}
@@ -44,7 +46,7 @@
 }
 
 // Owner is the candidate with the highest weight, "" where there is none.
-func (o *Owners) Owner(key string) string {
+func (o *OwnerCache) Owner(key string) string {
 	if owner, known := o.owners[key]; known {
 		return owner.candidate
 	}
@@ -53,7 +55,7 @@
 	}
 	best := ranked{o.candidates[0], Weight(key, o.candidates[0])}
 	for _, c := range o.candidates[1:] {
-		if r := (ranked{c, Weight(key, c)}); r.before(best) {
+		if r := (ranked{c, Weight(key, c)}); r.outranks(best) {
 			best = r
 		}
 	}
@@ -62,7 +64,7 @@
 }
 
 // Keep forgets the keys that are asked for no more.
-func (o *Owners) Keep(wanted func(key string) bool) {
+func (o *OwnerCache) Retain(wanted func(key string) bool) {
 	for key := range o.owners {
 		if !wanted(key) {
 			delete(o.owners, key)
@@ -71,4 +73,4 @@
 }
 
 // Len is how many keys are kept.
-func (o *Owners) Len() int { return len(o.owners) }
+func (o *OwnerCache) Len() int { return len(o.owners) }
--- a/internal/rendezvous/owners_test.go
+++ b/internal/rendezvous/owners_test.go
@@ -12,7 +12,7 @@
 func TestOwnersAreThoseOfOwner(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		all, owners := candidates(40), NewOwners()
+		all, owners := candidates(40), NewOwnerCache()
 		for range 60 {
 			var now []string
 			share := random.Float64()
@@ -31,7 +31,7 @@
 				require.Equal(t, Owner(key, now), owners.Owner(key))
 			}
 			if random.IntN(5) == 0 {
-				owners.Keep(func(key string) bool { return len(key) < 3 })
+				owners.Retain(func(key string) bool { return len(key) < 3 })
 				require.LessOrEqual(t, owners.Len(), 100)
 			}
 		}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -35,7 +35,7 @@
 	weight    uint64
 }
 
-func (r ranked) before(o ranked) bool {
+func (r ranked) outranks(o ranked) bool {
 	return r.weight > o.weight || r.weight == o.weight && r.candidate < o.candidate
 }
 
@@ -48,11 +48,11 @@
 	best := make([]ranked, 0, n+1)
 	for _, c := range candidates {
 		r := ranked{c, Weight(key, c)}
-		if len(best) == n && !r.before(best[n-1]) {
+		if len(best) == n && !r.outranks(best[n-1]) {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(best, r, func(a, b ranked) int {
-			if a.before(b) {
+			if a.outranks(b) {
 				return -1
 			}
 			return 1
--- a/internal/replicated/state_test.go
+++ b/internal/replicated/state_test.go
@@ -9,7 +9,7 @@
 
 func put(version, base int64) *Operation {
 	body := fmt.Sprintf(`{"version":%d,"routes":[],"services":[{"name":"s"}]}`, version)
-	return &Operation{Kind: KindConfig, Body: []byte(body), Base: base}
+	return &Operation{Kind: KindConfig, Body: []byte(body), BaseVersion: base}
 }
 
 func TestAnOrderThatWasTakenIsNeverRefused(t *testing.T) {
@@ -20,7 +20,7 @@
 	for _, o := range []*Operation{first, second} {
 		verdict, err := s.Check(o)
 		require.NoError(t, err)
-		require.Equal(t, Already, verdict)
+		require.Equal(t, AlreadyApplied, verdict)
 	}
 }
 
@@ -41,21 +41,21 @@
 func TestDutyPassesOnUnderANewFence(t *testing.T) {
 	s := New()
 	take := func(holder string, fence uint64) *Operation {
-		return &Operation{Kind: KindDuty, Duty: "d", Holder: holder, Fence: fence}
+		return &Operation{Kind: KindLease, LeaseName: "d", Holder: holder, FencingToken: fence}
 	}
 	s.Apply(4, take("a", 0))
-	require.Equal(t, Duty{"a", 4}, s.Duties["d"])
-	require.Equal(t, uint64(4), New().FenceOf(take("a", 0), 4), "taken as number 4")
-	require.Equal(t, uint64(4), s.FenceOf(take("a", 0), 5), "held already")
-	require.Equal(t, uint64(6), s.FenceOf(take("b", 4), 6))
+	require.Equal(t, LeaseRecord{"a", 4}, s.Leases["d"])
+	require.Equal(t, uint64(4), New().FencingTokenAfter(take("a", 0), 4), "taken as number 4")
+	require.Equal(t, uint64(4), s.FencingTokenAfter(take("a", 0), 5), "held already")
+	require.Equal(t, uint64(6), s.FencingTokenAfter(take("b", 4), 6))
 	verdict, _ := s.Check(take("a", 0))
-	require.Equal(t, Already, verdict)
+	require.Equal(t, AlreadyApplied, verdict)
 	verdict, _ = s.Check(take("b", 0))
 	require.Equal(t, Conflict, verdict, "who saw an older fence takes nothing")
 	verdict, _ = s.Check(take("b", 4))
 	require.Equal(t, Accept, verdict)
 	s.Apply(6, take("b", 4))
-	require.Equal(t, Duty{"b", 6}, s.Duties["d"])
+	require.Equal(t, LeaseRecord{"b", 6}, s.Leases["d"])
 	verdict, _ = s.Check(take("a", 4))
 	require.Equal(t, Conflict, verdict)
 }
@@ -64,7 +64,7 @@
 	s := New()
 	s.Apply(1, &Operation{Kind: KindVersion, Model: "m", Version: 3})
 	verdict, _ := s.Check(&Operation{Kind: KindVersion, Model: "m", Version: 2})
-	require.Equal(t, Already, verdict)
+	require.Equal(t, AlreadyApplied, verdict)
 }
 
 func TestStateIsReadAsItWasWritten(t *testing.T) {
@@ -82,18 +82,20 @@
 
 func TestRememberedOrdersAreBounded(t *testing.T) {
 	s := New()
-	for i := int64(1); i <= rememberedOrders+10; i++ {
+	for i := int64(1); i <= maxAcceptedConfigs+10; i++ {
 		s.Apply(uint64(i), put(i, i-1))
 	}
-	require.Len(t, s.Taken, rememberedOrders)
-	verdict, _ := s.Check(put(rememberedOrders+10, rememberedOrders+9))
-	require.Equal(t, Already, verdict)
+	require.Len(t, s.AcceptedConfigs, maxAcceptedConfigs)
+	verdict, _ := s.Check(put(maxAcceptedConfigs+10, maxAcceptedConfigs+9))
+	require.Equal(t, AlreadyApplied, verdict)
 }
 
 // TestOrdersForAZone: an order is taken on top of the newest one only. One that changes nothing is taken all the same, so that no older
 // opposite order can follow its acknowledgement; one that was overtaken and holds is acknowledged.
 func TestOrdersForAZone(t *testing.T) {
-	order := func(kind string, based uint64) *Operation { return &Operation{Kind: kind, Zone: "z", Based: based} }
+	order := func(kind string, based uint64) *Operation {
+		return &Operation{Kind: kind, Zone: "z", BaseZoneSeq: based}
+	}
 	s := New()
 	for i, step := range []struct {
 		kind    string
@@ -102,10 +104,10 @@
 	}{
 		{KindRestore, 0, Accept}, // 1: nothing was evacuated
 		{KindEvacuate, 0, Outdated},
-		{KindRestore, 0, Already},
+		{KindRestore, 0, AlreadyApplied},
 		{KindEvacuate, 1, Accept}, // 4
 		{KindRestore, 1, Outdated},
-		{KindEvacuate, 1, Already},
+		{KindEvacuate, 1, AlreadyApplied},
 		{KindEvacuate, 4, Accept}, // 7: it was evacuated, and is ordered once more
 		{KindRestore, 4, Outdated},
 		{KindRestore, 7, Accept}, // 9
--- a/internal/superseded/roles_test.go
+++ b/internal/superseded/roles_test.go
@@ -17,7 +17,7 @@
 type teller struct {
 	clock   time.Duration // what its clock is ahead by
 	newest  int64
-	times   Times
+	times   History
 	inTouch time.Duration
 	known   bool // it has a state at all
 }
@@ -37,7 +37,7 @@
 
 type model struct {
 	now         time.Duration
-	named       Times // the truth: when each version was taken
+	named       History // the truth: when each version was taken
 	controllers [2]*teller
 	agent       *teller
 	proxy       *teller
@@ -46,12 +46,12 @@
 }
 
 func newModel() *model {
-	m := &model{named: Times{{1, -1}}}
+	m := &model{named: History{{1, -1}}}
 	for i := range m.controllers {
-		m.controllers[i] = &teller{clock: time.Duration(i+1) * time.Hour, newest: 1, times: Times{}.With(1, Always), inTouch: Always, known: true}
+		m.controllers[i] = &teller{clock: time.Duration(i+1) * time.Hour, newest: 1, times: History{}.With(1, DistantPast), inTouch: DistantPast, known: true}
 	}
-	m.agent = &teller{clock: -3 * time.Hour, inTouch: Always}
-	m.proxy = &teller{clock: 7 * time.Hour, inTouch: Always}
+	m.agent = &teller{clock: -3 * time.Hour, inTouch: DistantPast}
+	m.proxy = &teller{clock: 7 * time.Hour, inTouch: DistantPast}
 	return m
 }
 
@@ -60,16 +60,16 @@
 	m.now += time.Second
 	switch event {
 	case "name":
-		m.named = append(m.named, Named{m.named.Newest() + 1, m.now})
+		m.named = append(m.named, Announcement{m.named.Newest() + 1, m.now})
 	case "tick 0", "tick 1": // a controller is in touch, and has the newest state
 		c := m.controllers[event[5]-'0']
 		c.times = c.times.With(m.named.Newest(), c.inTouch)
 		c.newest, c.inTouch = m.named.Newest(), m.now+c.clock
 	case "controller anew":
 		c := m.controllers[0]
-		c.times, c.inTouch = Times{}.With(c.newest, Always), Always
+		c.times, c.inTouch = History{}.With(c.newest, DistantPast), DistantPast
 	case "agent anew":
-		m.agent.times, m.agent.known, m.agent.newest, m.agent.inTouch, m.session, m.feed = nil, false, 0, Always, nil, nil
+		m.agent.times, m.agent.known, m.agent.newest, m.agent.inTouch, m.session, m.feed = nil, false, 0, DistantPast, nil, nil
 	case "proxy anew":
 		m.proxy.times, m.proxy.known, m.proxy.newest, m.feed = nil, false, 0, nil
 	case "call 0", "call 1":
@@ -95,7 +95,7 @@
 	}
 	t, now := c.callee, m.now+c.callee.clock
 	c.answered, c.held, c.newest, c.known, c.ages = true, now-c.began, t.newest, t.known, t.times.Ages(now)
-	c.current = t.newest == newest && t.inTouch != Always
+	c.current = t.newest == newest && t.inTouch != DistantPast
 }
 
 // deliverCall does what an agent does with a controller's reply.
@@ -110,7 +110,7 @@
 		if a.known {
 			known = known.With(c.newest, a.inTouch)
 		}
-		a.times, a.newest, a.known = known.Heard(c.newest, c.asked+c.held, c.ages), c.newest, true
+		a.times, a.newest, a.known = known.MergeAges(c.newest, c.asked+c.held, c.ages), c.newest, true
 	}
 	if c.current {
 		a.inTouch = c.asked
@@ -125,7 +125,7 @@
 	}
 	m.feed = nil
 	if c.known && c.newest >= p.newest {
-		p.times, p.newest, p.known = p.times.Heard(c.newest, c.asked+c.held, c.ages), c.newest, true
+		p.times, p.newest, p.known = p.times.MergeAges(c.newest, c.asked+c.held, c.ages), c.newest, true
 	}
 }
 
@@ -133,8 +133,8 @@
 func (m *model) check() error {
 	for _, t := range []*teller{m.agent, m.proxy} {
 		for version := int64(1); version < t.newest; version++ {
-			truth, _ := m.named.Of(version)
-			since, superseded := t.times.Of(version)
+			truth, _ := m.named.Since(version)
+			since, superseded := t.times.Since(version)
 			if !superseded {
 				return fmt.Errorf("version %d of %d is not taken for superseded", version, t.newest)
 			}
@@ -179,8 +179,8 @@
 			}
 			m := play(t, events)
 			if anew == "proxy anew" && at[0] >= len(calls) && m.proxy.known { // the core was in touch before anything was named
-				since, superseded := m.proxy.times.Of(1)
-				require.False(t, superseded && since == Always, "its agent still knows since when: %v", events)
+				since, superseded := m.proxy.times.Since(1)
+				require.False(t, superseded && since == DistantPast, "its agent still knows since when: %v", events)
 			}
 		})
 	}
