--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -17,73 +17,76 @@
 	writeTimeout = 600 * time.Millisecond
 )
 
-// ErrClosed is returned for a call whose connection ended before its reply.
+// ErrClosed is returned when a connection or client is closed before a call's reply arrives.
 var ErrClosed = errors.New("connection closed")
 
-// RemoteError is a failure that the peer itself reported.
+// RemoteError is an error that the peer's handler returned.
 type RemoteError struct{ Message string }
 
 func (e *RemoteError) Error() string { return e.Message }
 
-// Client keeps one connection to a peer, dialled when it is first needed and again after a failure.
+// Client keeps one connection to a peer. It dials when the connection is first needed and again after
+// a failure. It is safe for concurrent use.
 type Client struct {
 	network Network
 	addr    string
 
-	dialMutex contextMutex // one dial at a time
+	dialMutex contextMutex // allows one dial at a time
 	mu        sync.Mutex
-	current   *connection // nil while there is none
+	current   *connection // nil if not connected
 	closed    bool
 }
 
-// connection is one to the peer, and the calls that wait for replies on it.
+// connection is one connection to the peer and the calls that wait for a reply on it.
 type connection struct {
 	conn       net.Conn
 	writeMutex contextMutex
 
 	mu           sync.Mutex
 	lastID       uint64
-	pending      map[uint64]chan *envelope
+	pending      map[uint64]chan *envelope // reply channels by call ID
 	closed       bool
-	lastReceived time.Time
+	lastReceived time.Time // when the last frame arrived
 }
 
-// NewClient makes a client of the peer at addr (IP:port). It dials nothing yet.
+// NewClient returns a client for the peer at addr (IP:port). It doesn't dial yet.
 func NewClient(addr string) *Client { return newClient(TCP{}, addr) }
 
 func newClient(network Network, addr string) *Client {
 	return &Client{network: network, addr: addr, dialMutex: newContextMutex()}
 }
 
-// Addr is the peer's address.
+// Addr returns the peer's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Call sends a request and waits for its reply until ctx ends. A call that ends without any sign of life from the peer closes
-// the connection, so that the next one dials anew instead of waiting behind what a lost link holds up.
+// Call sends a request and decodes its reply into reply, unless reply is nil. It fails with a
+// *RemoteError if the peer's handler failed. If ctx is done and nothing was received from the peer
+// since the call began, the connection is closed, so that the next call dials again instead of waiting
+// behind data that a failed link holds up.
 func (c *Client) Call(ctx context.Context, kind string, request, reply any) error {
-	started := time.Now()
+	startedAt := time.Now()
 	connection, err := c.connect(ctx)
 	if err != nil {
-		return merry.Prepend(err, "rpc "+kind+" to "+c.addr+": dial")
+		return merry.Prepend(err, "rpc: call "+kind+" at "+c.addr+": dial")
 	}
 	body, err := cbor.Marshal(request)
 	if err != nil {
 		return err
 	}
-	answer := make(chan *envelope, 1)
-	id, err := connection.register(answer)
+	replies := make(chan *envelope, 1)
+	id, err := connection.register(replies)
 	if err != nil {
-		return merry.Prepend(err, "rpc "+kind+" to "+c.addr)
+		return merry.Prepend(err, "rpc: call "+kind+" at "+c.addr)
 	}
 	defer connection.unregister(id)
 	if err := connection.write(ctx, &envelope{ID: id, Kind: kind, Body: body}); err != nil {
 		c.discard(connection)
-		return merry.Prepend(err, "rpc "+kind+" to "+c.addr+": send")
+		return merry.Prepend(err, "rpc: call "+kind+" at "+c.addr+": send")
 	}
 	select {
-	case e := <-answer:
+	case e := <-replies:
 		if e == nil {
-			return merry.Prepend(ErrClosed, "rpc "+kind+" to "+c.addr)
+			return merry.Prepend(ErrClosed, "rpc: call "+kind+" at "+c.addr)
 		}
 		if e.Error != "" {
 			return &RemoteError{e.Error}
@@ -93,36 +96,36 @@
 		}
 		return cbor.Unmarshal(e.Body, reply)
 	case <-ctx.Done():
-		if connection.receivedNothingSince(started) {
+		if connection.receivedNothingSince(startedAt) {
 			c.discard(connection)
 		}
-		return merry.Prepend(ctx.Err(), "rpc "+kind+" to "+c.addr)
+		return merry.Prepend(ctx.Err(), "rpc: call "+kind+" at "+c.addr)
 	}
 }
 
-// Send writes a one-way message. No error says only that it was handed to the kernel.
+// Send sends a one-way message. A nil error means only that the kernel accepted it.
 func (c *Client) Send(ctx context.Context, kind string, message any) error {
 	encoded, err := EncodeOneWay(kind, message)
 	if err != nil {
-		return merry.Prepend(err, "rpc "+kind+" to "+c.addr+": encode")
+		return merry.Prepend(err, "rpc: send "+kind+" to "+c.addr+": encode")
 	}
 	return c.SendEncoded(ctx, encoded)
 }
 
-// SendEncoded writes a one-way message that was encoded before, as Send does.
+// SendEncoded sends an already encoded one-way message, like Send.
 func (c *Client) SendEncoded(ctx context.Context, message EncodedMessage) error {
 	connection, err := c.connect(ctx)
 	if err != nil {
-		return merry.Prepend(err, "rpc to "+c.addr+": dial")
+		return merry.Prepend(err, "rpc: send to "+c.addr+": dial")
 	}
 	if err := connection.writeBytes(ctx, message); err != nil {
 		c.discard(connection)
-		return merry.Prepend(err, "rpc to "+c.addr+": send")
+		return merry.Prepend(err, "rpc: send to "+c.addr+": write")
 	}
 	return nil
 }
 
-// Close ends the connection; calls under way fail.
+// Close closes the connection. Pending and later calls fail with ErrClosed.
 func (c *Client) Close() {
 	c.mu.Lock()
 	connection := c.current
@@ -133,12 +136,14 @@
 	}
 }
 
+// state returns the current connection, or nil, and whether the client is closed.
 func (c *Client) state() (*connection, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current, c.closed
 }
 
+// connect returns the current connection, dialing if there is none.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
 	if connection, closed := c.state(); connection != nil || closed {
 		if closed {
@@ -162,18 +167,19 @@
 	if err != nil {
 		return nil, err
 	}
-	made := &connection{conn: conn, writeMutex: newContextMutex(), pending: map[uint64]chan *envelope{}, lastReceived: time.Now()}
+	dialed := &connection{conn: conn, writeMutex: newContextMutex(), pending: map[uint64]chan *envelope{}, lastReceived: time.Now()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		conn.Close()
 		return nil, ErrClosed
 	}
-	c.current = made
-	go c.readReplies(made)
-	return made, nil
+	c.current = dialed
+	go c.readReplies(dialed)
+	return dialed, nil
 }
 
+// readReplies delivers replies to their calls until the connection fails.
 func (c *Client) readReplies(connection *connection) {
 	reader := bufio.NewReader(connection.conn)
 	for {
@@ -186,6 +192,7 @@
 	}
 }
 
+// discard closes a connection, and forgets it if it is the current one.
 func (c *Client) discard(connection *connection) {
 	c.mu.Lock()
 	if c.current == connection {
@@ -195,34 +202,39 @@
 	connection.close()
 }
 
-func (c *connection) register(answer chan *envelope) (uint64, error) {
+// register allocates the ID of a new call, whose reply is sent to replies. A nil reply means that the
+// connection was closed.
+func (c *connection) register(replies chan *envelope) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return 0, ErrClosed
 	}
 	c.lastID++
-	c.pending[c.lastID] = answer
+	c.pending[c.lastID] = replies
 	return c.lastID, nil
 }
 
+// unregister removes a call, so that a late reply is ignored.
 func (c *connection) unregister(id uint64) {
 	c.mu.Lock()
 	delete(c.pending, id)
 	c.mu.Unlock()
 }
 
+// deliver passes a reply to the call with its ID. A reply without a pending call is ignored.
 func (c *connection) deliver(e *envelope) {
 	c.mu.Lock()
 	c.lastReceived = time.Now()
-	answer := c.pending[e.ID]
+	replies := c.pending[e.ID]
 	delete(c.pending, e.ID)
 	c.mu.Unlock()
-	if answer != nil {
-		answer <- e
+	if replies != nil {
+		replies <- e
 	}
 }
 
+// receivedNothingSince reports whether no frame has arrived since t.
 func (c *connection) receivedNothingSince(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,13 +259,14 @@
 	return err
 }
 
+// close closes the connection and fails its pending calls.
 func (c *connection) close() {
 	c.conn.Close()
 	c.mu.Lock()
-	waiting := c.pending
+	pending := c.pending
 	c.pending, c.closed = map[uint64]chan *envelope{}, true
 	c.mu.Unlock()
-	for _, answer := range waiting {
-		answer <- nil
+	for _, replies := range pending {
+		replies <- nil
 	}
 }
--- a/internal/rpc/context_mutex.go
+++ b/internal/rpc/context_mutex.go
@@ -2,20 +2,20 @@
 
 import "context"
 
-// turn is a lock that is waited for no longer than a context lasts.
+// contextMutex is a mutual exclusion lock whose acquisition can be canceled by a context.
 type contextMutex chan struct{}
 
 func newContextMutex() contextMutex { return make(contextMutex, 1) }
 
-// take waits for the turn.
-func (t contextMutex) lock(ctx context.Context) error {
+// lock acquires the mutex. It returns the error of ctx if ctx is done first.
+func (m contextMutex) lock(ctx context.Context) error {
 	select {
-	case t <- struct{}{}:
+	case m <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// pass gives the turn to the next.
-func (t contextMutex) unlock() { <-t }
+// unlock releases the mutex.
+func (m contextMutex) unlock() { <-m }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -1,5 +1,6 @@
-// Package rpc carries typed messages between the programs of a fleet: length-prefixed CBOR frames over TCP, many calls at once
-// on one connection, and one-way messages in order. It decides nothing and retries nothing; callers own both.
+// Package rpc implements remote procedure calls between the processes of a fleet. Messages are
+// length-prefixed CBOR frames over TCP. One connection multiplexes concurrent calls and ordered
+// one-way messages. The package doesn't retry; callers decide about retries.
 package rpc
 
 import (
@@ -12,13 +13,15 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// maxFrameBytes bounds what a peer may make us hold: a configuration of four megabytes and its envelope.
+// maxFrameBytes bounds the memory that a peer can make this process allocate for a frame. It leaves
+// room for a configuration of 4 MB and its envelope.
 const maxFrameBytes = 16 << 20
 
-// compressAbove is the size from which a frame is compressed: bytes between zones have a price, and small frames gain nothing.
+// compressionThresholdBytes is the encoded size from which a frame is compressed. Traffic between
+// zones is charged for, and smaller frames gain nothing from compression.
 const compressionThresholdBytes = 700
 
-// compressedBit marks a frame's length.
+// compressedFlag is the bit of the length prefix that marks a compressed frame.
 const compressedFlag = 1 << 31
 
 var (
@@ -26,7 +29,8 @@
 	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxFrameBytes), zstd.WithDecoderLowmem(true))
 )
 
-// envelope is one frame. A call has an ID above zero, and its reply the same; a one-way message has none.
+// envelope is the content of one frame. A call has an ID above zero and its reply has the same ID; a
+// one-way message has ID zero.
 type envelope struct {
 	ID    uint64          `cbor:"1,keyasint,omitempty"`
 	Reply bool            `cbor:"2,keyasint,omitempty"`
@@ -35,7 +39,7 @@
 	Error string          `cbor:"5,keyasint,omitempty"`
 }
 
-// writeFrame encodes an envelope as one write, so that a frame is never interleaved with another's.
+// writeFrame encodes an envelope and writes it with a single Write, so that frames don't interleave.
 func writeFrame(w io.Writer, e *envelope) error {
 	frame, err := encodeFrame(e)
 	if err != nil {
@@ -45,25 +49,27 @@
 	return err
 }
 
+// encodeFrame returns the length prefix and the encoded, possibly compressed, envelope.
 func encodeFrame(e *envelope) ([]byte, error) {
 	encoded, err := cbor.Marshal(e)
 	if err != nil {
 		return nil, err
 	}
-	frame, mark := make([]byte, 4, 4+len(encoded)), uint32(0)
+	frame, flag := make([]byte, 4, 4+len(encoded)), uint32(0)
 	if len(encoded) >= compressionThresholdBytes {
-		frame, mark = compressor.EncodeAll(encoded, frame), compressedFlag
+		frame, flag = compressor.EncodeAll(encoded, frame), compressedFlag
 	} else {
 		frame = append(frame, encoded...)
 	}
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-4)|mark)
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-4)|flag)
 	return frame, nil
 }
 
-// OneWay is a one-way message as it goes over any link: what goes to many peers is encoded and compressed once.
+// EncodedMessage is the frame of a one-way message. It can be sent to many peers, so that the message
+// is encoded and compressed only once.
 type EncodedMessage []byte
 
-// NewOneWay encodes a one-way message.
+// EncodeOneWay encodes a one-way message.
 func EncodeOneWay(kind string, message any) (EncodedMessage, error) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
@@ -72,47 +78,48 @@
 	return encodeFrame(&envelope{Kind: kind, Body: body})
 }
 
-// readFrame reads one envelope. Its body stays valid after the next read.
+// readFrame reads one envelope. Its body remains valid after the next read.
 func readFrame(r *bufio.Reader) (*envelope, error) {
-	var size [4]byte
-	if _, err := io.ReadFull(r, size[:]); err != nil {
+	var prefix [4]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(size[:])
-	compressed := n&compressedFlag != 0
-	n &^= compressedFlag
-	if n > maxFrameBytes {
-		return nil, fmt.Errorf("frame of %d bytes, at most %d are taken", n, maxFrameBytes)
+	size := binary.BigEndian.Uint32(prefix[:])
+	compressed := size&compressedFlag != 0
+	size &^= compressedFlag
+	if size > maxFrameBytes {
+		return nil, fmt.Errorf("rpc: read frame: %d bytes, want at most %d", size, maxFrameBytes)
 	}
-	encoded := make([]byte, n)
+	encoded := make([]byte, size)
 	if _, err := io.ReadFull(r, encoded); err != nil {
 		return nil, err
 	}
 	if compressed {
 		var err error
 		if encoded, err = decompressor.DecodeAll(encoded, nil); err != nil {
-			return nil, fmt.Errorf("frame: %w", err)
+			return nil, fmt.Errorf("rpc: decompress frame: %w", err)
 		}
 	}
 	e := new(envelope)
 	if err := cbor.Unmarshal(encoded, e); err != nil {
-		return nil, fmt.Errorf("frame: %w", err)
+		return nil, fmt.Errorf("rpc: decode frame: %w", err)
 	}
 	return e, nil
 }
 
-// Size is how many bytes a message takes on a link, for those who reckon what links carry.
+// FrameSize returns the number of bytes that the frame of a call with the given message occupies on
+// the wire.
 func FrameSize(kind string, message any) (int, error) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
 		return 0, err
 	}
-	var counted byteCounter
-	err = writeFrame(&counted, &envelope{ID: 1, Kind: kind, Body: body})
-	return int(counted), err
+	var size byteCounter
+	err = writeFrame(&size, &envelope{ID: 1, Kind: kind, Body: body})
+	return int(size), err
 }
 
-// counter counts what is written to it.
+// byteCounter is an io.Writer that counts the bytes written to it.
 type byteCounter int
 
 func (c *byteCounter) Write(p []byte) (int, error) {
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -11,7 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzFrames: whatever comes on a connection is a frame within bounds or an error, and what was read is written again alike.
+// FuzzFrames checks that arbitrary input is read as a frame within the size limit or rejected, and
+// that a frame that was read is equal after it is written and read again.
 func FuzzFrames(f *testing.F) {
 	for _, e := range []*envelope{{}, {ID: 1, Kind: "watch", Body: cbor.RawMessage{0xf6}}, {ID: 7, Reply: true, Error: "no"}, {Kind: "core", Body: cbor.RawMessage(bytes.Repeat([]byte{0}, 1))}} {
 		var b bytes.Buffer
@@ -23,24 +24,25 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0x80, 0, 0, 4, 1, 2, 3, 4})
 	f.Add([]byte{0, 0, 0})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		e, err := readFrame(bufio.NewReader(bytes.NewReader(text)))
+	f.Fuzz(func(t *testing.T, input []byte) {
+		want, err := readFrame(bufio.NewReader(bytes.NewReader(input)))
 		if err != nil {
 			return
 		}
 		var b bytes.Buffer
-		if err := writeFrame(&b, e); err != nil {
-			t.Skip() // a body that is no CBOR is nobody's
+		if err := writeFrame(&b, want); err != nil {
+			t.Skip() // the body isn't valid CBOR, so it can't be encoded again
 		}
-		again, err := readFrame(bufio.NewReader(&b))
-		if err != nil || again.ID != e.ID || again.Kind != e.Kind || again.Reply != e.Reply || again.Error != e.Error {
-			t.Fatalf("%+v became %+v, %v", e, again, err)
+		got, err := readFrame(bufio.NewReader(&b))
+		if err != nil || got.ID != want.ID || got.Kind != want.Kind || got.Reply != want.Reply || got.Error != want.Error {
+			t.Fatalf("frame written and read again: got %+v, error %v; want %+v", got, err, want)
 		}
 	})
 }
 
-// TestUnmatchedReplies: a reply is a call's only by its number; one that nobody waits for, that comes twice or too late is dropped, and half a
-// frame ends the calls of its connection.
+// TestUnmatchedReplies checks that replies are matched to calls by ID: replies with an unknown ID,
+// duplicates and late replies are ignored. A truncated frame fails the calls on its connection, and
+// the next call dials a new one.
 func TestUnmatchedReplies(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,19 +65,20 @@
 	for i := range 3 {
 		var got int
 		if err := client.Call(ctx, "n", i, &got); err != nil || got != i {
-			t.Fatalf("call %d: %d, %v", i, got, err)
+			t.Fatalf("call %d: got reply %d, error %v; want reply %d", i, got, err, i)
 		}
 	}
 	if err := client.Call(ctx, "half", 0, nil); err == nil {
-		t.Fatal("half a frame was taken for an answer")
+		t.Fatal("call with a truncated reply: got no error, want an error")
 	}
 	var got int
 	if err := client.Call(ctx, "n", 9, &got); err != nil || got != 9 {
-		t.Fatalf("on another connection: %d, %v", got, err)
+		t.Fatalf("call on a new connection: got reply %d, error %v; want reply 9", got, err)
 	}
 }
 
-// answerOddly answers each call behind replies that are nobody's, and once more after it.
+// serveUnmatchedReplies answers each call, but sends replies with wrong IDs before the reply and a
+// duplicate with another body after it. It answers a call of kind "half" with a truncated frame.
 func serveUnmatchedReplies(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
--- a/internal/rpc/network.go
+++ b/internal/rpc/network.go
@@ -5,18 +5,20 @@
 	"net"
 )
 
-// Network makes connections between machines. Programs use TCP; tests one that they can cut.
+// Network opens connections between machines. Programs use TCP; tests use implementations that
+// simulate network partitions.
 type Network interface {
-	// Dial connects to IP:port until ctx ends.
+	// Dial connects to addr (IP:port). It fails when ctx is done first.
 	Dial(ctx context.Context, addr string) (net.Conn, error)
-	// Listen takes connections at IP:port.
+	// Listen listens for connections on addr (IP:port).
 	Listen(addr string) (net.Listener, error)
 }
 
-// TCP is the network of the machine.
+// TCP is the Network that uses the operating system's TCP stack.
 type TCP struct{}
 
-// Dial connects over TCP. A peer that is silent for too long ends the connection.
+// Dial connects to addr over TCP. The kernel closes the connection when the peer leaves sent bytes
+// unacknowledged for 900 ms.
 func (TCP) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -27,5 +29,5 @@
 	return conn, nil
 }
 
-// Listen listens on TCP.
+// Listen listens on addr over TCP.
 func (TCP) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -6,35 +6,40 @@
 	"time"
 )
 
-// Pool keeps a client for each peer, and an outbox for one-way messages that never blocks its caller.
+// Pool keeps one Client per peer, and an outbox per peer that queues one-way messages without
+// blocking the caller. It is safe for concurrent use.
 type Pool struct {
 	network Network
 
 	mu       sync.Mutex
-	clients  map[string]*Client
-	outboxes map[string]chan queuedMessage
-	done     chan struct{}
+	clients  map[string]*Client            // by address
+	outboxes map[string]chan queuedMessage // by address
+	done     chan struct{}                 // closed by Close
 }
 
-// outgoing is a one-way message that waits: encoded already, or to be.
+// queuedMessage is a queued one-way message: either already encoded, or a kind and message that are
+// encoded when it is sent.
 type queuedMessage struct {
 	kind    string
 	message any
 	encoded EncodedMessage
 }
 
-// outboxDepth bounds what waits for a peer that does not read; beyond it messages are dropped, as on a lossy link.
+// outboxCapacity is the number of messages that are queued for a peer. Further messages are dropped,
+// as on a lossy link.
 const outboxCapacity = 256
 
-// NewPool makes an empty pool of TCP connections.
+// NewPool returns an empty pool that connects over TCP.
 func NewPool() *Pool { return NewPoolWithNetwork(TCP{}) }
 
-// NewPoolOn makes an empty pool of connections over a network.
+// NewPoolWithNetwork returns an empty pool that connects over the given network.
 func NewPoolWithNetwork(network Network) *Pool {
-	return &Pool{network: network, clients: map[string]*Client{}, outboxes: map[string]chan queuedMessage{}, done: make(chan struct{})}
+	return &Pool{
+		network: network, clients: map[string]*Client{}, outboxes: map[string]chan queuedMessage{}, done: make(chan struct{}),
+	}
 }
 
-// Client gives the client of a peer.
+// Client returns the client for the peer at addr, creating it if necessary.
 func (p *Pool) Client(addr string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,24 +51,26 @@
 	return c
 }
 
-// Call calls a peer with a time limit of its own.
-func (p *Pool) Call(ctx context.Context, limit time.Duration, addr, kind string, request, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Call calls the peer at addr, like Client.Call, and fails when the timeout expires.
+func (p *Pool) Call(ctx context.Context, timeout time.Duration, addr, kind string, request, reply any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return p.Client(addr).Call(ctx, kind, request, reply)
 }
 
-// Post queues a one-way message and returns at once. Messages to one peer are sent in order, some may be lost.
+// Post queues a one-way message for the peer at addr and returns immediately. Messages to one peer
+// are sent in order; some may be lost.
 func (p *Pool) Post(addr, kind string, message any) {
 	p.enqueue(addr, queuedMessage{kind: kind, message: message})
 }
 
-// PostEncoded queues a one-way message that goes to others too, as Post does.
+// PostEncoded queues an already encoded one-way message, like Post. A message that goes to many peers
+// is thus encoded only once.
 func (p *Pool) PostEncoded(addr string, message EncodedMessage) {
 	p.enqueue(addr, queuedMessage{encoded: message})
 }
 
-func (p *Pool) enqueue(addr string, o queuedMessage) {
+func (p *Pool) enqueue(addr string, message queuedMessage) {
 	p.mu.Lock()
 	queue := p.outboxes[addr]
 	if queue == nil {
@@ -73,18 +80,19 @@
 	}
 	p.mu.Unlock()
 	select {
-	case queue <- o:
+	case queue <- message:
 	default:
 	}
 }
 
+// sendQueued sends the messages of one outbox until the pool is closed.
 func (p *Pool) sendQueued(addr string, queue chan queuedMessage) {
 	client := p.Client(addr)
 	for {
 		select {
-		case o := <-queue:
+		case message := <-queue:
 			ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
-			err := o.send(ctx, client)
+			err := message.send(ctx, client)
 			cancel()
 			if err != nil {
 				drainQueue(queue)
@@ -95,7 +103,8 @@
 	}
 }
 
-// discard empties a queue whose peer cannot be reached: what waited is old by the time it can be.
+// drainQueue drops all messages in the queue of an unreachable peer: they would be outdated by the
+// time the peer can be reached again.
 func drainQueue(queue chan queuedMessage) {
 	for {
 		select {
@@ -106,7 +115,8 @@
 	}
 }
 
-// Keep closes the clients and outboxes of peers that are not among addrs any more.
+// Retain closes and removes the clients of peers whose address isn't in addrs. Clients that have an
+// outbox are kept.
 func (p *Pool) Retain(addrs map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +128,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close stops the outboxes and closes all clients. It must be called only once.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,9 +138,9 @@
 	}
 }
 
-func (o *queuedMessage) send(ctx context.Context, client *Client) error {
-	if o.encoded != nil {
-		return client.SendEncoded(ctx, o.encoded)
+func (m *queuedMessage) send(ctx context.Context, client *Client) error {
+	if m.encoded != nil {
+		return client.SendEncoded(ctx, m.encoded)
 	}
-	return client.Send(ctx, o.kind, o.message)
+	return client.Send(ctx, m.kind, m.message)
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// serveOn serves a handler on the loopback.
+// startServer serves handle on a loopback address until the test ends, and returns the address.
 func startServer(t *testing.T, handle Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,6 +24,7 @@
 	return listener.Addr().String()
 }
 
+// echo is a Handler that returns the text it receives, or fails if the kind is "fail".
 func echo(_ context.Context, kind string, body []byte) (any, error) {
 	var text string
 	if err := cbor.Unmarshal(body, &text); err != nil {
@@ -70,22 +71,22 @@
 	text := strings.Repeat("a configuration repeats itself ", 500)
 	body, err := cbor.Marshal(text)
 	require.NoError(t, err)
-	var link bytes.Buffer
-	require.NoError(t, writeFrame(&link, &envelope{ID: 3, Kind: "k", Body: body}))
-	require.Less(t, link.Len(), len(text)/10)
+	var frame bytes.Buffer
+	require.NoError(t, writeFrame(&frame, &envelope{ID: 3, Kind: "k", Body: body}))
+	require.Less(t, frame.Len(), len(text)/10, "frame size in bytes")
 	size, err := FrameSize("k", text)
 	require.NoError(t, err)
-	require.Equal(t, link.Len(), size)
-	e, err := readFrame(bufio.NewReader(&link))
+	require.Equal(t, frame.Len(), size, "FrameSize in bytes")
+	e, err := readFrame(bufio.NewReader(&frame))
 	require.NoError(t, err)
 	require.Equal(t, body, []byte(e.Body))
 	_, err = readFrame(bufio.NewReader(strings.NewReader("\x7f\xff\xff\xff")))
 	require.ErrorContains(t, err, "at most")
 	_, err = readFrame(bufio.NewReader(strings.NewReader("\x80\x00\x00\x04none")))
-	require.Error(t, err, "what says that it is compressed and is not")
+	require.Error(t, err, "uncompressed frame with the compressed flag")
 }
 
-// TestSetTCPUserTimeout holds both ends of a link to the kernel's limit on bytes that nobody acknowledges.
+// TestSetTCPUserTimeout checks that the kernel's limit on unacknowledged bytes is set on a connection.
 func TestSetTCPUserTimeout(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -96,26 +97,27 @@
 	setTCPUserTimeout(conn)
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	limit := 0
+	timeoutMS := 0
 	require.NoError(t, raw.Control(func(fd uintptr) {
-		limit, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		timeoutMS, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}))
 	require.NoError(t, err)
-	require.Equal(t, int(tcpUserTimeout.Milliseconds()), limit)
+	require.Equal(t, int(tcpUserTimeout.Milliseconds()), timeoutMS, "TCP_USER_TIMEOUT in ms")
 }
 
-// TestPostEncoded: encoded once, a message reaches each peer as one that was encoded for it does, small or large, between others.
+// TestPostEncoded checks that a message that is encoded once reaches each peer like a message that is
+// encoded per peer, whether it is small or compressed, and when both kinds are mixed.
 func TestPostEncoded(t *testing.T) {
-	type news struct {
+	type update struct {
 		Text string `cbor:"1,keyasint"`
 	}
-	got := make(chan string, 64)
+	received := make(chan string, 64)
 	handle := func(_ context.Context, kind string, body []byte) (any, error) {
-		n := new(news)
-		if err := cbor.Unmarshal(body, n); err != nil {
+		u := new(update)
+		if err := cbor.Unmarshal(body, u); err != nil {
 			return nil, err
 		}
-		got <- kind + " " + n.Text
+		received <- kind + " " + u.Text
 		return nil, nil
 	}
 	pool := NewPool()
@@ -125,16 +127,16 @@
 		addrs = append(addrs, startServer(t, handle))
 	}
 	for _, text := range []string{"", "short", strings.Repeat("long ", 4000)} {
-		encoded, err := EncodeOneWay("news", &news{text})
+		encoded, err := EncodeOneWay("update", &update{text})
 		require.NoError(t, err)
 		for _, addr := range addrs {
 			pool.PostEncoded(addr, encoded)
-			pool.Post(addr, "news", &news{"after " + text})
+			pool.Post(addr, "update", &update{"after " + text})
 		}
 		count := map[string]int{}
 		for range 2 * len(addrs) {
-			count[<-got]++
+			count[<-received]++
 		}
-		require.Equal(t, map[string]int{"news " + text: 3, "news after " + text: 3}, count)
+		require.Equal(t, map[string]int{"update " + text: 3, "update after " + text: 3}, count)
 	}
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -9,11 +9,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Handler serves one call or one-way message. Calls run beside each other; one-way messages of a connection run in their order.
-// The context ends when the caller's connection does. What it returns for a one-way message is dropped.
+// Handler serves one call or one-way message. Calls on a connection run concurrently; its one-way
+// messages run one at a time in the order of arrival. The context is canceled when the connection
+// ends. The result and error for a one-way message are ignored.
 type Handler func(ctx context.Context, kind string, body []byte) (any, error)
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections and serves their messages with handle until the listener is closed.
+// It returns the error of the failed Accept.
 func Serve(listener net.Listener, handle Handler) error {
 	for {
 		conn, err := listener.Accept()
@@ -29,23 +31,23 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer conn.Close()
-	writing := newContextMutex()
+	writeMutex := newContextMutex()
 	reader := bufio.NewReader(conn)
 	for {
-		e, err := readFrame(reader)
+		request, err := readFrame(reader)
 		if err != nil {
 			return
 		}
-		if e.ID == 0 {
-			handle(ctx, e.Kind, e.Body)
+		if request.ID == 0 {
+			handle(ctx, request.Kind, request.Body)
 			continue
 		}
 		go func() {
-			reply := handleCall(ctx, handle, e)
-			if writing.lock(ctx) != nil {
+			reply := handleCall(ctx, handle, request)
+			if writeMutex.lock(ctx) != nil {
 				return
 			}
-			defer writing.unlock()
+			defer writeMutex.unlock()
 			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if writeFrame(conn, reply) != nil {
 				conn.Close()
@@ -54,9 +56,11 @@
 	}
 }
 
-func handleCall(ctx context.Context, handle Handler, e *envelope) *envelope {
-	reply := &envelope{ID: e.ID, Reply: true}
-	result, err := handle(ctx, e.Kind, e.Body)
+// handleCall runs the handler for one call and returns the reply, which holds either the encoded
+// result or the error text.
+func handleCall(ctx context.Context, handle Handler, request *envelope) *envelope {
+	reply := &envelope{ID: request.ID, Reply: true}
+	result, err := handle(ctx, request.Kind, request.Body)
 	if err == nil && result != nil {
 		reply.Body, err = cbor.Marshal(result)
 	}
--- a/internal/rpc/user_timeout.go
+++ b/internal/rpc/user_timeout.go
@@ -7,11 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// silenceLimit is how long a peer may leave bytes unacknowledged. Without it a connection to a machine that lost power, or is behind a
-// cut, takes messages for many seconds that nobody will read, also when the machine is back.
+// tcpUserTimeout is how long sent bytes may stay unacknowledged by the peer. Without it a connection
+// to a machine that lost power or is partitioned keeps accepting writes for many seconds. Nobody
+// reads these messages, even after the machine is back.
 const tcpUserTimeout = 900 * time.Millisecond
 
-// limitSilence has the kernel end a connection whose peer does not acknowledge in time.
+// setTCPUserTimeout makes the kernel close a TCP connection whose peer doesn't acknowledge sent bytes
+// within tcpUserTimeout. It does nothing for other connections.
 func setTCPUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
