--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -21,18 +21,20 @@
 	printer = message.NewPrinter(language.English)
 )
 
-// InvalidError says what of a configuration is wrong, by its path in the document.
+// InvalidError is an error in a configuration.
 type InvalidError struct {
-	Path   string // JSON pointer
+	Path   string // JSON pointer to the invalid value
 	Reason string
 }
 
 func (e *InvalidError) Error() string { return "configuration: " + e.Path + ": " + e.Reason }
 
+// compileSchema compiles the embedded schema. It panics if the schema is invalid, as that is an error
+// in the program.
 func compileSchema() *jsonschema.Schema {
 	parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaJSON))
 	if err != nil {
-		panic(err) // the schema is part of the program
+		panic(err)
 	}
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource("configuration.json", parsed); err != nil {
@@ -41,11 +43,12 @@
 	return compiler.MustCompile("configuration.json")
 }
 
-// Parse reads a configuration whole and checks it by schema and meaning. It fails with an *InvalidError.
+// Parse decodes a configuration, validates it against the schema and checks what the schema can't
+// express. It fails with an *InvalidError.
 func Parse(text []byte) (*Document, error) {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return nil, &InvalidError{"", "it cannot be read: " + err.Error()}
+		return nil, &InvalidError{"", "invalid JSON: " + err.Error()}
 	}
 	if err := schema.Validate(value); err != nil {
 		return nil, schemaError(err)
@@ -57,7 +60,8 @@
 	return doc, checkDocument(doc)
 }
 
-// Read reads a configuration that Parse accepted before, without checking it again: the schema takes five times as long as the reading.
+// Decode decodes a configuration that Parse has accepted before. It doesn't validate it again, as
+// validation against the schema takes five times as long as decoding.
 func Decode(text []byte) (*Document, error) {
 	doc := new(Document)
 	if err := json.Unmarshal(text, doc); err != nil {
@@ -66,14 +70,15 @@
 	return doc, nil
 }
 
-// describe names the deepest place at which the schema was not met.
+// schemaError converts a validation error to an *InvalidError with the path of the innermost value
+// that doesn't match the schema.
 func schemaError(err error) error {
 	failed, ok := err.(*jsonschema.ValidationError)
 	if !ok {
 		return &InvalidError{"", err.Error()}
 	}
 	for len(failed.Causes) > 0 {
-		if _, group := failed.ErrorKind.(*kind.AnyOf); group {
+		if _, anyOf := failed.ErrorKind.(*kind.AnyOf); anyOf {
 			break
 		}
 		failed = failed.Causes[0]
@@ -81,22 +86,23 @@
 	return &InvalidError{"/" + strings.Join(failed.InstanceLocation, "/"), failed.ErrorKind.LocalizedString(printer)}
 }
 
-// check holds a document to what a schema cannot say.
+// checkDocument checks what the schema can't express: unique names, routes, and API keys, and
+// references to services that exist.
 func checkDocument(doc *Document) error {
 	services := map[string]bool{}
 	for i, s := range doc.Services {
 		if services[s.Name] {
-			return invalidAt("/services/%d/name", i)("%q is named twice", s.Name)
+			return invalidAt("/services/%d/name", i)("duplicate service name %q", s.Name)
 		}
 		services[s.Name] = true
 	}
-	places := map[[2]string]bool{}
+	matches := map[[2]string]bool{}
 	for i, r := range doc.Routes {
-		place := [2]string{r.Host, r.PathPrefix}
-		if places[place] {
-			return invalidAt("/routes/%d", i)("host %q and prefix %q are another route's", r.Host, r.PathPrefix)
+		match := [2]string{r.Host, r.PathPrefix}
+		if matches[match] {
+			return invalidAt("/routes/%d", i)("duplicate route with host %q and path prefix %q", r.Host, r.PathPrefix)
 		}
-		places[place] = true
+		matches[match] = true
 		if err := checkTargets(i, &r, services); err != nil {
 			return err
 		}
@@ -104,36 +110,38 @@
 	return checkTenants(doc.Tenants)
 }
 
+// checkTargets checks the service or the traffic split of the i-th route.
 func checkTargets(i int, r *Route, services map[string]bool) error {
 	if len(r.Split) == 0 {
 		if !services[r.Service] {
-			return invalidAt("/routes/%d/service", i)("no service is named %q", r.Service)
+			return invalidAt("/routes/%d/service", i)("unknown service %q", r.Service)
 		}
 		return nil
 	}
 	sum := 0.0
 	for j, w := range r.Split {
 		if !services[w.Service] {
-			return invalidAt("/routes/%d/traffic_split/%d/service", i, j)("no service is named %q", w.Service)
+			return invalidAt("/routes/%d/traffic_split/%d/service", i, j)("unknown service %q", w.Service)
 		}
 		sum += w.Weight
 	}
 	if sum <= 0 {
-		return invalidAt("/routes/%d/traffic_split", i)("the weights add up to 0")
+		return invalidAt("/routes/%d/traffic_split", i)("the sum of the weights is 0")
 	}
 	return nil
 }
 
+// checkTenants checks that tenant names are unique and that no two tenants share an API key.
 func checkTenants(tenants []Tenant) error {
 	owners, names := map[string]string{}, map[string]bool{}
 	for i, t := range tenants {
 		if names[t.Name] {
-			return invalidAt("/tenants/%d/name", i)("%q is named twice", t.Name)
+			return invalidAt("/tenants/%d/name", i)("duplicate tenant name %q", t.Name)
 		}
 		names[t.Name] = true
 		for j, key := range t.APIKeys {
-			if owner, taken := owners[key]; taken && owner != t.Name {
-				return invalidAt("/tenants/%d/api_keys/%d", i, j)("the key is also %q's", owner)
+			if owner, exists := owners[key]; exists && owner != t.Name {
+				return invalidAt("/tenants/%d/api_keys/%d", i, j)("the API key also belongs to tenant %q", owner)
 			}
 			owners[key] = t.Name
 		}
@@ -141,7 +149,9 @@
 	return nil
 }
 
-func invalidAt(path string, args ...any) func(what string, args ...any) error {
-	where := fmt.Sprintf(path, args...)
-	return func(what string, args ...any) error { return &InvalidError{where, fmt.Sprintf(what, args...)} }
+// invalidAt formats a path and returns a function that formats a reason and returns an *InvalidError
+// with both.
+func invalidAt(path string, args ...any) func(reason string, args ...any) error {
+	formatted := fmt.Sprintf(path, args...)
+	return func(reason string, args ...any) error { return &InvalidError{formatted, fmt.Sprintf(reason, args...)} }
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,7 @@
 	doc, err := Parse([]byte(validDocument))
 	require.NoError(t, err)
 	table := Compile(doc)
-	require.Equal(t, "r2", table.Route("A.example:80", "/x/y/z").Name, "the longest prefix, whatever the host's case and port")
+	require.Equal(t, "r2", table.Route("A.example:80", "/x/y/z").Name, "the longest prefix matches; the host's case and port are ignored")
 	require.Equal(t, "r1", table.Route("a.example", "/x/yz").Name)
 	require.Nil(t, table.Route("a.example", "/xy"))
 	require.Equal(t, "t1", table.Tenant("k2").Name)
@@ -28,22 +28,23 @@
 	require.True(t, table.Route("a.example", "/x/").Repeatable())
 	require.False(t, table.Route("a.example", "/x/y/").Repeatable())
 	for _, draw := range []float64{0, 0.5, 0.999} {
-		require.Equal(t, "s2", table.Route("a.example", "/x/y/").PickService(draw), "a weight of 0 gets nothing")
+		require.Equal(t, "s2", table.Route("a.example", "/x/y/").PickService(draw), "draw %v: a service with weight 0 must not be picked", draw)
 	}
 }
 
-// TestDecode: proxies read what was checked before it was committed.
+// TestDecode checks that Decode returns the same document as Parse: proxies use Decode for
+// configurations that were validated before they were committed.
 func TestDecode(t *testing.T) {
-	checked, err := Parse([]byte(validDocument))
+	want, err := Parse([]byte(validDocument))
 	require.NoError(t, err)
-	read, err := Decode([]byte(validDocument))
+	got, err := Decode([]byte(validDocument))
 	require.NoError(t, err)
-	require.Equal(t, checked, read)
+	require.Equal(t, want, got)
 	_, err = Decode([]byte(validDocument[:len(validDocument)-1]))
 	require.Error(t, err)
 }
 
-// largeDocument has as many routes as the largest deployments add at once.
+// largeDocument returns a configuration with as many routes as the largest deployments add at once.
 func largeDocument() []byte {
 	const routes = 1700
 	var text strings.Builder
@@ -79,19 +80,19 @@
 
 func TestParseInvalid(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, path string }{
-		"cut short":             {`"unknown":true}`, ``, ""},
-		"unknown service":       {`"service":"s1"`, `"service":"s9"`, "/routes/0/service"},
-		"unknown split":         {`{"service":"s1","weight":0}`, `{"service":"s9","weight":1}`, "/routes/1/traffic_split/0/service"},
-		"weights of 0":          {`"weight":3`, `"weight":0`, "/routes/1/traffic_split"},
-		"negative weight":       {`"weight":3`, `"weight":-1`, "/routes/1/traffic_split/1/weight"},
-		"timeout of 0":          {`"timeout_ms":6000`, `"timeout_ms":0`, "/routes/0/timeout_ms"},
-		"the same place":        {`"path_prefix":"/x/y/"`, `"path_prefix":"/x/"`, "/routes/1"},
-		"a shared key":          {`"k3"`, `"k1"`, "/tenants/1/api_keys/0"},
-		"a prefix with no end":  {`"path_prefix":"/x/y/"`, `"path_prefix":"/x/y"`, "/routes/1/path_prefix"},
-		"no version":            {`"version":7,`, ``, "/"},
-		"a version of text":     {`"version":7`, `"version":"7"`, "/version"},
-		"routes that are none":  {`"routes":[`, `"routes":3,"others":[`, "/routes"},
-		"a service named twice": {`{"name":"s2"`, `{"name":"s1"`, "/services/1/name"},
+		"truncated":                        {`"unknown":true}`, ``, ""},
+		"unknown service":                  {`"service":"s1"`, `"service":"s9"`, "/routes/0/service"},
+		"unknown service in a split":       {`{"service":"s1","weight":0}`, `{"service":"s9","weight":1}`, "/routes/1/traffic_split/0/service"},
+		"sum of weights is 0":              {`"weight":3`, `"weight":0`, "/routes/1/traffic_split"},
+		"negative weight":                  {`"weight":3`, `"weight":-1`, "/routes/1/traffic_split/1/weight"},
+		"timeout of 0":                     {`"timeout_ms":6000`, `"timeout_ms":0`, "/routes/0/timeout_ms"},
+		"duplicate host and path prefix":   {`"path_prefix":"/x/y/"`, `"path_prefix":"/x/"`, "/routes/1"},
+		"API key of two tenants":           {`"k3"`, `"k1"`, "/tenants/1/api_keys/0"},
+		"path prefix without a last slash": {`"path_prefix":"/x/y/"`, `"path_prefix":"/x/y"`, "/routes/1/path_prefix"},
+		"no version":                       {`"version":7,`, ``, "/"},
+		"version is a string":              {`"version":7`, `"version":"7"`, "/version"},
+		"routes is not an array":           {`"routes":[`, `"routes":3,"others":[`, "/routes"},
+		"duplicate service name":           {`{"name":"s2"`, `{"name":"s1"`, "/services/1/name"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(validDocument, c.old, c.new, 1)
@@ -99,7 +100,7 @@
 			_, err := Parse([]byte(text))
 			var invalid *InvalidError
 			require.ErrorAs(t, err, &invalid)
-			require.Equal(t, c.path, invalid.Path, err.Error())
+			require.Equal(t, c.path, invalid.Path, "path of error %q", err)
 		})
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,14 +1,16 @@
-// Package config reads and checks the operator's configuration, and compiles it into the table that requests are routed by.
+// Package config parses and validates the operator's configuration, and compiles it into the table
+// that requests are routed by.
 package config
 
-// Kinds of a route.
+// The values of Route.Kind.
 const (
 	Idempotent    = "idempotent"
 	NonIdempotent = "non_idempotent"
 	Streaming     = "streaming"
 )
 
-// Document is a configuration as the operator sends it; fields that nothing here reads stay in the text that is kept beside it.
+// Document is a configuration as the operator sends it. Unknown fields are ignored here, but kept in
+// the text of the configuration, which is stored unchanged.
 type Document struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -17,7 +19,8 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Route says where requests of a host and path go and what may be done with them. Times are in milliseconds.
+// Route maps requests with a host and path prefix to services, and says how they are handled. Times
+// are in milliseconds.
 type Route struct {
 	Name            string          `json:"name"`
 	Host            string          `json:"host"`
@@ -28,25 +31,25 @@
 	GapAimMS        float64         `json:"gap_aim_ms"`
 	Priority        int             `json:"priority"`
 	MaxAttempts     int             `json:"max_attempts"`
-	Public          bool            `json:"public"`
+	Public          bool            `json:"public"` // requests need no API key
 	Sticky          bool            `json:"sticky"`
 	Resumable       bool            `json:"resumable"`
-	Service         string          `json:"service"`
+	Service         string          `json:"service"` // unless Split is set
 	Split           []ServiceWeight `json:"traffic_split"`
 }
 
-// Weight is a service's share of a route.
+// ServiceWeight is a service's weight in the traffic split of a route.
 type ServiceWeight struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a set of backends, or a store of kept prompts where KVStoreAddress is set.
+// Service is a set of backends, or a KV cache store if KVStoreAddress is set.
 type Service struct {
 	Name             string  `json:"name"`
-	ConnectionLimit  float64 `json:"connection_limit"`
-	ColdStartS       float64 `json:"cold_start_s"`
-	ColdPerS         float64 `json:"cold_per_s"`
+	ConnectionLimit  float64 `json:"connection_limit"` // of each backend, from all mixers together; 0 if not set
+	ColdStartS       float64 `json:"cold_start_s"`     // seconds for which a new backend counts as cold
+	ColdPerS         float64 `json:"cold_per_s"`       // requests per second that a cold backend handles
 	KVStoreAddress   string  `json:"kv_store_address"`
 	Zone             string  `json:"zone"`
 	KVCapacityTokens int64   `json:"kv_capacity_tokens"`
@@ -55,7 +58,7 @@
 	Engine           *Engine `json:"engine"`
 }
 
-// Engine is what is known of a service's model engines.
+// Engine describes the model engines of a service's backends.
 type Engine struct {
 	Slots            int     `json:"slots"`
 	KVCapacityTokens int64   `json:"kv_capacity_tokens"`
@@ -65,12 +68,12 @@
 	Models           []Model `json:"models"`
 }
 
-// Model is one that a service's engines serve.
+// Model is a model that a service's engines serve.
 type Model struct {
 	Name string `json:"name"`
 }
 
-// Tenant owns keys.
+// Tenant is a client organization, identified by its API keys.
 type Tenant struct {
 	Name     string   `json:"name"`
 	APIKeys  []string `json:"api_keys"`
@@ -78,7 +81,7 @@
 	Isolated bool     `json:"isolated"`
 }
 
-// Limits bound what a client may send and how long it may be idle.
+// Limits bound the size of a client's requests and how long its connections may be idle.
 type Limits struct {
 	MaxHeaderBytes  int64   `json:"max_header_bytes"`
 	MaxBodyBytes    int64   `json:"max_body_bytes"`
@@ -86,5 +89,7 @@
 	IdleTimeoutMS   float64 `json:"idle_timeout_ms"`
 }
 
-// MayRepeat tells whether a request of this route may run more than once.
-func (r *Route) Repeatable() bool { return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable }
+// Repeatable reports whether a request of this route may run more than once.
+func (r *Route) Repeatable() bool {
+	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
+}
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -6,17 +6,19 @@
 	"strings"
 )
 
-// Table answers what a request needs of a configuration. It is not changed after it was compiled.
+// Table indexes a configuration for the lookups that a request needs. It is immutable and safe for
+// concurrent use.
 type Table struct {
 	Version        int64
 	Limits         Limits
-	services       map[string]*Service
-	routesByHost   map[string][]*Route // by host, longest prefix first
-	tenantsByKey   map[string]*Tenant  // by key
-	requiresAPIKey bool                // whether requests need a key
+	services       map[string]*Service // by name
+	routesByHost   map[string][]*Route // longest path prefix first
+	tenantsByKey   map[string]*Tenant
+	requiresAPIKey bool
 }
 
-// Compile makes the table of a checked document.
+// Compile returns the table of a valid document. The table refers to the document, which must not be
+// changed afterwards.
 func Compile(doc *Document) *Table {
 	t := &Table{
 		Version:        doc.Version,
@@ -45,7 +47,8 @@
 	return t
 }
 
-// Route finds the route of a host (a port is ignored) and path, nil where there is none.
+// Route returns the route with the longest path prefix that matches a host and path, or nil if there
+// is none. It ignores the case and the port of the host.
 func (t *Table) Route(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.routesByHost[host] {
@@ -56,16 +59,16 @@
 	return nil
 }
 
-// Tenant finds the owner of a key, nil where nobody owns it.
+// Tenant returns the tenant that owns an API key, or nil if there is none.
 func (t *Table) Tenant(key string) *Tenant { return t.tenantsByKey[key] }
 
-// Keyed tells whether routes that are not public need a key.
+// RequiresAPIKey reports whether routes that aren't public require an API key.
 func (t *Table) RequiresAPIKey() bool { return t.requiresAPIKey }
 
-// Service finds a service by its name, nil where there is none.
+// Service returns the service with the given name, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services calls yield with each service.
+// Services is an iterator over all services, in no particular order.
 func (t *Table) Services(yield func(*Service) bool) {
 	for _, s := range t.services {
 		if !yield(s) {
@@ -74,7 +77,8 @@
 	}
 }
 
-// Target draws the service of one request; draw is uniform in [0, 1).
+// PickService returns the service for one request. If the route has a traffic split, services are
+// picked in proportion to their weights by draw, a random number that is uniform in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	if len(r.Split) == 0 {
 		return r.Service
@@ -83,17 +87,17 @@
 	for _, w := range r.Split {
 		sum += w.Weight
 	}
-	at := draw * sum
-	last := ""
+	remaining := draw * sum
+	last := "" // picked if rounding errors leave a remainder after all weights
 	for _, w := range r.Split {
 		if w.Weight <= 0 {
 			continue
 		}
 		last = w.Service
-		if at < w.Weight {
+		if remaining < w.Weight {
 			return w.Service
 		}
-		at -= w.Weight
+		remaining -= w.Weight
 	}
 	return last
 }
