--- a/internal/settings/local/local.go
+++ b/internal/settings/local/local.go
@@ -1,5 +1,6 @@
-// Package local reads the settings file that the platform gives each process of a fleet: lines of the form a.b=value, items of a
-// list parted by commas. Unknown fields are ignored, as new ones may appear.
+// Package local reads the settings file that the platform provides to each process of a fleet. The file
+// has lines of the form a.b=value; the items of a list are separated by commas. Unknown fields are
+// ignored, so that newer platforms can add some.
 package local
 
 import (
@@ -13,69 +14,70 @@
 	"github.com/magiconair/properties"
 )
 
-// Variable names the environment variable that holds the file's path.
+// PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "NETTLEFOLD_SETTINGS"
 
-// Settings are those of one process on one machine.
+// Settings are the settings of one process on one machine.
 type Settings struct {
 	NodeName              string
 	IP                    string
 	Zone                  string
 	Region                string
-	Zones                 map[string]string // zone to region
-	FrontAddr             string
-	ReadyAddr             string
-	ControlAddr           string
-	FirstPort             int
-	LastPort              int
-	Seeds                 []string // control addresses
+	Zones                 map[string]string // region by zone
+	FrontAddr             string            // listen address for clients
+	ReadyAddr             string            // listen address for readiness checks
+	ControlAddr           string            // listen address for the control API
+	FirstPort             int               // of the internal port range
+	LastPort              int               // of the internal port range
+	Seeds                 []string          // control addresses of known controllers
 	FirstStart            bool
 	CountsForQuorum       bool
 	DataDirectory         string
-	Contracts             []string // parts of the rules that are in force
+	Contracts             []string // names of the contracts that are in force
 	MemoryMB              int
-	DiskMB                int // 0 if it is not stated
+	DiskMB                int // 0 if not set
 	FileDescriptors       int
-	LinkMbps              float64 // of the machine's link, 0 if it is not stated
+	LinkMbps              float64 // bandwidth of the machine's link; 0 if not set
 	CloudAddr             string
-	CloudRate             float64 // calls a second, all processes together
-	CloudLag              time.Duration
-	MachineFaultTolerance int // that may be lost at once with all rules kept
-	ZoneFaultTolerance    int
+	CloudRate             float64       // calls per second to the cloud API, summed over all processes
+	CloudLag              time.Duration // until the cloud API shows a change
+	MachineFaultTolerance int           // machines that may fail at the same time without violating a contract
+	ZoneFaultTolerance    int           // zones, likewise
 	Bounds                Bounds
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the limits that the contracts in force set. Each is named after its field in the settings
+// file, which begins with bounds.
 type Bounds struct {
 	Contact          time.Duration
 	Ack              time.Duration
 	CatchUp          time.Duration
 	Drain            time.Duration
-	Grace            time.Duration
+	Grace            time.Duration // for a graceful shutdown
 	ConfigApply      time.Duration
 	Evacuation       time.Duration
-	Lease            time.Duration
-	Version          time.Duration
-	BudgetWindow     time.Duration
-	RetryBudgetRatio float64
-	RetryBudgetSlack float64
-	ColdOvershoot    float64
-	ColdSlack        float64
-	Fenced           bool
+	Lease            time.Duration // between the last order of a duty's holder and the first of its successor, unless Fenced
+	Version          time.Duration // after which no request may begin on an older model version
+	BudgetWindow     time.Duration // over which the retry budget is counted
+	RetryBudgetRatio float64       // retries per request
+	RetryBudgetSlack float64       // retries per window in addition
+	ColdOvershoot    float64       // factor on the request rate that a cold backend handles
+	ColdSlack        float64       // requests per second to a cold backend in addition
+	Fenced           bool          // engines reject orders with an older fencing token
 }
 
-// FieldError names a field whose value cannot be used.
+// FieldError is a field with an invalid value.
 type FieldError struct{ Field, Value, Want string }
 
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("settings: %s is %q, want %s", e.Field, e.Value, e.Want)
 }
 
-// Load reads the file that the environment names.
+// Load reads the settings file that the environment variable PathVariable names.
 func Load() (*Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
-		return nil, fmt.Errorf("settings: %s is not set", PathVariable)
+		return nil, fmt.Errorf("settings: environment variable %s is not set", PathVariable)
 	}
 	return Read(path)
 }
@@ -89,7 +91,8 @@
 	return Parse(string(text))
 }
 
-// Parse reads settings from their text.
+// Parse parses the text of a settings file. It reports the first invalid value that it finds as a
+// *FieldError, and returns the settings even then.
 func Parse(text string) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes([]byte(text))
@@ -145,10 +148,11 @@
 	return s, p.err
 }
 
-// HasContract tells whether a part of the rules is in force.
+// HasContract reports whether the named contract is in force.
 func (s *Settings) HasContract(name string) bool { return slices.Contains(s.Contracts, name) }
 
-// InternalAddr is where a machine's first internal port is, for the machine whose control or other address is given.
+// InternalAddr returns the address of the first internal port on the machine with the given IP address,
+// which may be followed by a port.
 func (s *Settings) InternalAddr(ipOrAddr string) string {
 	ip, _, found := strings.Cut(ipOrAddr, ":")
 	if !found {
@@ -157,8 +161,9 @@
 	return ip + ":" + strconv.Itoa(s.FirstPort)
 }
 
-// LoopbackAddr is where an agent feeds the proxy beside it. Machines that are themselves addresses of one host's loopback share 127.0.0.1,
-// so there each uses its own.
+// LoopbackAddr returns the address at which an agent serves the proxy on the same machine. If machines
+// are simulated by loopback addresses of one host, 127.0.0.1 would be shared, so each machine uses its
+// own IP address.
 func (s *Settings) LoopbackAddr() string {
 	ip := "127.0.0.1"
 	if strings.HasPrefix(s.IP, "127.") {
@@ -167,9 +172,10 @@
 	return ip + ":" + strconv.Itoa(s.FirstPort+1)
 }
 
+// parser reads fields and collects the first error.
 type parser struct {
 	values *properties.Properties
-	err    error // the first fault
+	err    error
 }
 
 func (p *parser) fail(field, value, want string) {
@@ -180,6 +186,7 @@
 
 func (p *parser) text(field string) string { return strings.TrimSpace(p.values.GetString(field, "")) }
 
+// list splits a field at commas. Empty items are dropped.
 func (p *parser) list(field string) []string {
 	var items []string
 	for _, item := range strings.Split(p.text(field), ",") {
@@ -190,6 +197,7 @@
 	return items
 }
 
+// boolean parses a field that is true or false. The default is false.
 func (p *parser) boolean(field string) bool {
 	switch value := p.text(field); value {
 	case "true":
@@ -202,10 +210,11 @@
 	}
 }
 
-func (p *parser) number(field string, absent float64) float64 {
+// number parses a field that is a number of at least 0.
+func (p *parser) number(field string, defaultValue float64) float64 {
 	value := p.text(field)
 	if value == "" {
-		return absent
+		return defaultValue
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || n < 0 || n != n {
@@ -214,30 +223,32 @@
 	return n
 }
 
-func (p *parser) millis(field string, absent float64) time.Duration {
-	return time.Duration(p.number(field, absent) * float64(time.Millisecond))
+func (p *parser) millis(field string, defaultMillis float64) time.Duration {
+	return time.Duration(p.number(field, defaultMillis) * float64(time.Millisecond))
 }
 
-func (p *parser) seconds(field string, absent float64) time.Duration {
-	return time.Duration(p.number(field, absent) * float64(time.Second))
+func (p *parser) seconds(field string, defaultSeconds float64) time.Duration {
+	return time.Duration(p.number(field, defaultSeconds) * float64(time.Second))
 }
 
+// withPrefix returns the fields whose names have a prefix, by the rest of the name.
 func (p *parser) withPrefix(prefix string) map[string]string {
-	found := map[string]string{}
+	fields := map[string]string{}
 	for _, key := range p.values.Keys() {
 		if name, ok := strings.CutPrefix(key, prefix); ok {
-			found[name] = p.text(key)
+			fields[name] = p.text(key)
 		}
 	}
-	return found
+	return fields
 }
 
+// parsePorts sets the internal port range.
 func (p *parser) parsePorts(s *Settings) {
 	items := p.list("internal_port_range")
 	if len(items) == 2 {
-		first, err1 := strconv.Atoi(items[0])
-		last, err2 := strconv.Atoi(items[1])
-		if err1 == nil && err2 == nil && first > 0 && last > first && last < 65536 {
+		first, errFirst := strconv.Atoi(items[0])
+		last, errLast := strconv.Atoi(items[1])
+		if errFirst == nil && errLast == nil && first > 0 && last > first && last < 65536 {
 			s.FirstPort, s.LastPort = first, last
 			return
 		}
--- a/internal/settings/local/local_test.go
+++ b/internal/settings/local/local_test.go
@@ -25,7 +25,7 @@
 bounds.grace_s=8
 bounds.retry_budget_ratio=0.2
 cloud.duties=
-a.field.of.tomorrow=${x}:y
+an.unknown.field=${x}:y
 `
 
 func TestParse(t *testing.T) {
@@ -55,8 +55,8 @@
 		{"ip=10.1.0.23", "ip=", "ip"},
 	} {
 		_, err := Parse(strings.Replace(validSettings, c.old, c.new, 1))
-		var fault *FieldError
-		require.ErrorAs(t, err, &fault, c.new)
-		require.Equal(t, c.field, fault.Field)
+		var fieldError *FieldError
+		require.ErrorAs(t, err, &fieldError, "settings with %s", c.new)
+		require.Equal(t, c.field, fieldError.Field, "field of the error for %s", c.new)
 	}
 }
