--- a/internal/metrics/histogram_test.go
+++ b/internal/metrics/histogram_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHistogramAddTo: a bound counts what took exactly so long, and +Inf counts everything.
+// TestHistogramAddTo checks that buckets are cumulative, that their upper bounds are inclusive, and that
+// the +Inf bucket counts every duration.
 func TestHistogramAddTo(t *testing.T) {
 	var h Histogram
-	for _, took := range []time.Duration{0, 100 * time.Millisecond, 101 * time.Millisecond, time.Second, time.Minute} {
-		h.Observe(took)
+	for _, duration := range []time.Duration{0, 100 * time.Millisecond, 101 * time.Millisecond, time.Second, time.Minute} {
+		h.Observe(duration)
 	}
 	set := NewSet()
 	h.AddTo(set, "x_seconds")
@@ -19,8 +20,8 @@
 		`bucket{le="0.1"}`: 2, `bucket{le="0.25"}`: 3, `bucket{le="0.5"}`: 3, `bucket{le="1"}`: 4, `bucket{le="6"}`: 4, `bucket{le="+Inf"}`: 5,
 		"count": 5, "sum": 61.201,
 	} {
-		value, there := set.Value("x_seconds_" + name)
-		require.True(t, there, name)
-		require.InDelta(t, want, value, 1e-9, name)
+		got, exists := set.Value("x_seconds_" + name)
+		require.True(t, exists, "x_seconds_%s is missing", name)
+		require.InDelta(t, want, got, 1e-9, "x_seconds_%s", name)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a program's own figures as text, in the exposition format of Prometheus, on the port and path that its
-// deployment names. It decides nothing, and a program serves on where it fails.
+// Package metrics serves a program's metrics over HTTP in the Prometheus text exposition format. A
+// program keeps running if its metrics can't be served.
 package metrics
 
 import (
@@ -16,75 +16,75 @@
 )
 
 const (
-	// readLimit bounds a reader's request, and answerLimit what it takes to answer it.
-	readTimeout     = 2 * time.Second
-	responseTimeout = 5 * time.Second
+	readTimeout     = 2 * time.Second // for a request
+	responseTimeout = 5 * time.Second // for collecting and writing the metrics
 	maxPort         = 65535
 )
 
-// Endpoint is where figures are served, on the machine's own address.
+// Endpoint is where metrics are served, on an address of the machine.
 type Endpoint struct {
 	Port int
 	Path string // begins with a slash
 }
 
-// ParseEndpoint reads PORT/PATH, as the deploy file has it.
+// ParseEndpoint parses PORT/PATH, the form that the deploy file uses.
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, _ := strings.Cut(text, "/")
 	number, err := strconv.Atoi(port)
 	if err != nil || number < 1 || number > maxPort {
-		return Endpoint{}, merry.Errorf("metrics: want PORT/PATH with a port of 1 to %d, not %q", maxPort, text)
+		return Endpoint{}, merry.Errorf("metrics: parse endpoint %q: want PORT/PATH with a port from 1 to %d", text, maxPort)
 	}
 	return Endpoint{Port: number, Path: "/" + path}, nil
 }
 
-// Set collects figures that are read once.
+// Set is a snapshot of a program's metrics, collected for one request.
 type Set struct {
 	set    *metrics.Set
-	values map[string]float64
+	values map[string]float64 // by name with labels, without the prefix nettlefold_
 }
 
-// NewSet makes an empty set.
+// NewSet returns an empty set.
 func NewSet() *Set { return &Set{set: metrics.NewSet(), values: map[string]float64{}} }
 
-// Value gives a figure that was added.
-func (s *Set) Value(name string) (value float64, there bool) {
-	value, there = s.values[name]
-	return value, there
+// Value returns the value of a metric and whether it was added. The name is as passed to Add.
+func (s *Set) Value(name string) (value float64, exists bool) {
+	value, exists = s.values[name]
+	return value, exists
 }
 
-// Add adds a figure. Labels, if any, stand in braces behind the name.
+// Add adds a metric. Labels, if any, follow the name in braces. The name is exported with the prefix
+// nettlefold_.
 func (s *Set) Add(name string, value float64) {
 	s.values[name] = value
 	s.set.NewGauge("nettlefold_"+name, func() float64 { return value })
 }
 
-// AddFlag adds a figure that is 1 or 0.
+// AddFlag adds a metric that is 1 for true and 0 for false.
 func (s *Set) AddFlag(name string, value bool) {
-	figure := 0.0
+	number := 0.0
 	if value {
-		figure = 1
+		number = 1
 	}
-	s.Add(name, figure)
+	s.Add(name, number)
 }
 
-// Source is a program that tells its figures. It may fail while it is busy or ending.
+// Source collects a program's metrics. It may fail while the program is busy or shutting down.
 type Source interface {
 	Metrics(ctx context.Context) (*Set, error)
 }
 
-// Listen listens on an endpoint of the machine at ip.
-func Listen(ip string, at Endpoint) (net.Listener, error) {
-	listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(at.Port)))
+// Listen listens on the endpoint's port at the given IP address.
+func Listen(ip string, endpoint Endpoint) (net.Listener, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(endpoint.Port)))
 	if err != nil {
 		return nil, merry.Prepend(err, "metrics: listen")
 	}
 	return listener, nil
 }
 
-// Serve answers on a listener until the context ends.
-func Serve(ctx context.Context, listener net.Listener, at Endpoint, source Source) error {
-	server := &http.Server{Handler: newHandler(at, source), ReadTimeout: readTimeout, WriteTimeout: responseTimeout}
+// Serve serves the metrics of source on a listener until ctx is done. It then returns nil.
+func Serve(ctx context.Context, listener net.Listener, endpoint Endpoint, source Source) error {
+	server := &http.Server{Handler: newHandler(endpoint, source), ReadTimeout: readTimeout, WriteTimeout: responseTimeout}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(listener); ctx.Err() == nil {
@@ -93,17 +93,19 @@
 	return nil
 }
 
-func newHandler(at Endpoint, source Source) http.Handler {
+// newHandler returns a handler that collects and writes the metrics of source for each request. It
+// responds with status 503 if they can't be collected.
+func newHandler(endpoint Endpoint, source Source) http.Handler {
 	e := echo.New()
-	e.GET(at.Path, func(c echo.Context) error {
+	e.GET(endpoint.Path, func(c echo.Context) error {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), responseTimeout)
 		defer cancel()
-		figures, err := source.Metrics(ctx)
+		set, err := source.Metrics(ctx)
 		if err != nil {
 			return c.String(http.StatusServiceUnavailable, err.Error()+"\n")
 		}
 		c.Response().Header().Set(echo.HeaderContentType, "text/plain; version=0.0.4; charset=utf-8")
-		figures.set.WritePrometheus(c.Response())
+		set.set.WritePrometheus(c.Response())
 		metrics.WriteProcessMetrics(c.Response())
 		return nil
 	})
