--- a/internal/agent/lists.go
+++ b/internal/agent/lists.go
@@ -44,7 +44,7 @@
 }
 
 // spreadList takes a list that was read here from a time on, and tells the others what changed.
-func (a *Agent) spreadList(read time.Time, list []dispatch.Listed) {
+func (a *Agent) spreadList(read time.Time, list []dispatch.BackendInfo) {
 	news := feed.NewFullListUpdate(list)
 	if a.list != nil {
 		news = feed.NewListDelta(a.list, a.lists.sum, list)
@@ -88,7 +88,7 @@
 }
 
 // setList puts a list in force, and keeps the news that led to it.
-func (a *Agent) setList(news *feed.ListUpdate, list []dispatch.Listed) {
+func (a *Agent) setList(news *feed.ListUpdate, list []dispatch.BackendInfo) {
 	if news.Digest == a.lists.sum {
 		return
 	}
--- a/internal/feed/index.go
+++ b/internal/feed/index.go
@@ -11,7 +11,7 @@
 func (r *Request) ApplyIndex(index *kvindex.Index, reply *Reply) {
 	if reply.Reset {
 		for _, id := range index.Backends() {
-			index.Forget(id)
+			index.Remove(id)
 		}
 		r.ResyncBackends = reply.KnownBackends
 	}
@@ -20,7 +20,7 @@
 		applied := index.Apply(b)
 		wanted := slices.Index(r.ResyncBackends, b.Backend)
 		switch {
-		case applied && b.Whole && wanted >= 0:
+		case applied && b.Snapshot && wanted >= 0:
 			r.ResyncBackends = slices.Delete(slices.Clone(r.ResyncBackends), wanted, wanted+1)
 		case !applied && wanted < 0:
 			r.ResyncBackends = append(slices.Clone(r.ResyncBackends), b.Backend)
@@ -30,6 +30,6 @@
 
 // ForgetBackend drops what is known of a backend that is gone.
 func (r *Request) ForgetBackend(index *kvindex.Index, id string) {
-	index.Forget(id)
+	index.Remove(id)
 	r.ResyncBackends = slices.DeleteFunc(slices.Clone(r.ResyncBackends), func(wanted string) bool { return wanted == id })
 }
