--- a/cmd/nettlefold/fleet_test.go
+++ b/cmd/nettlefold/fleet_test.go
@@ -163,7 +163,7 @@
 		many = append(many, fmt.Sprint("z", i))
 	}
 	c.Charter.Tariffs = []mixer.Tariff{{Expected: 1}}
-	c.Limits.Beat = 1
+	c.Limits.HeartbeatInterval = 1
 	_, err = newSites(c, &settings.Fleet{Sites: many, Site: "z1"}, slog.Default())
 	if err == nil || !strings.Contains(err.Error(), "fleet: sites: 65, 1 to 64 can be") {
 		t.Errorf("too many sites: %v", err)
--- a/cmd/nettlefold/serve.go
+++ b/cmd/nettlefold/serve.go
@@ -105,7 +105,7 @@
 	if path == "" {
 		return
 	}
-	at, kept, err := learnt.Read(path, time.Now(), learnt.ShapeOf(c.Charter))
+	at, kept, err := learnt.Read(path, time.Now(), learnt.LayoutOf(c.Charter))
 	if err != nil {
 		log.Warn("learnt figures are refused, the start is cold", "file", path, "reason", err)
 		return
@@ -120,7 +120,7 @@
 		return
 	}
 	at, kept := router.Keep()
-	if err := learnt.Write(path, at, learnt.ShapeOf(c.Charter), kept); err != nil {
+	if err := learnt.Write(path, at, learnt.LayoutOf(c.Charter), kept); err != nil {
 		log.Error("learnt figures are not kept", "error", err)
 		return
 	}
@@ -156,10 +156,10 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
-	debug.SetMemoryLimit(c.Limits.Memory / 4 * 3)
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.CPUCores))))
+	debug.SetMemoryLimit(c.Limits.MemoryBytes / 4 * 3)
 	part, terms := newSubset(c, own.Subset)
-	router, err := routing.New(terms, c.Rows, c.Limits.Open, c.Seed, log)
+	router, err := routing.New(terms, c.Rows, c.Limits.MaxOpenRequests, c.Seed, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -167,8 +167,8 @@
 	if err != nil {
 		return err
 	}
-	if most := own.Connections.Open; most > c.Limits.Conns() {
-		log.Warn("connections: there are descriptors for fewer", "open", most, "descriptors", c.Limits.Conns())
+	if most := own.Connections.Open; most > c.Limits.MaxBackendConns() {
+		log.Warn("connections: there are descriptors for fewer", "open", most, "descriptors", c.Limits.MaxBackendConns())
 	}
 	searchers := transport.NewSearchersWithin(own.Connections, c.Limits, log)
 	defer searchers.Close()
@@ -260,7 +260,7 @@
 	}
 	// What the agent has counts as told from this process's first moment, and the known list may be old. Who comes meanwhile
 	// waits in the listener's queue. A silent agent is not waited for for long: the known list is better than none.
-	if !answers(ctx, asked, c.Limits.First) {
+	if !answers(ctx, asked, c.Limits.FirstListTimeout) {
 		log.Warn("discovery does not answer, the known list is served on", "version", c.Known.Version)
 	}
 	resume(own.Learnt, c, router, log)
@@ -278,7 +278,7 @@
 		})
 	}
 	log.Info("serving", "name", c.Name, "listen", c.Listen, "known", len(c.Known.Members), "version", c.Known.Version)
-	late := time.After(time.Until(start.Add(c.Limits.Ready)))
+	late := time.After(time.Until(start.Add(c.Limits.ReadyTimeout)))
 	for ctx.Err() == nil {
 		select {
 		case err := <-served:
--- a/cmd/nettlefold/sites.go
+++ b/cmd/nettlefold/sites.go
@@ -57,7 +57,7 @@
 // siteTerms are what the settings say: a mixer pings another each second beat of the roster, and reports as often.
 func siteTerms(c protocol.Config) siteloss.Terms {
 	t := siteloss.Terms{Every: int64(2 * roster.Beat), Warming: max(c.Charter.ColdFor, int64(time.Second)),
-		Beat: int64(c.Limits.Beat)}
+		Beat: int64(c.Limits.HeartbeatInterval)}
 	for _, tariff := range c.Charter.Tariffs {
 		t.Expected = max(t.Expected, tariff.Expected)
 	}
--- a/cmd/nettlefold/subset.go
+++ b/cmd/nettlefold/subset.go
@@ -33,7 +33,7 @@
 	}
 	o := subset.Options{Name: c.Name, Zone: c.Charter.Zone, OwnFirst: c.Charter.CrossPrice > 0, Cells: c.Charter.Cells, Least: s.Least, Most: s.Most,
 		Mixers: c.Charter.Mixers, Users: s.Users, Meetings: float64(s.Meetings), Memory: mixer.PaceHalf,
-		Linger: int64(c.Limits.Patience + subsetAfter), Hold: int64(subsetHold), ColdFor: c.Charter.ColdFor}
+		Linger: int64(c.Limits.MaxDeadline + subsetAfter), Hold: int64(subsetHold), ColdFor: c.Charter.ColdFor}
 	holders := make([]int, max(1, c.Charter.Cells))
 	for _, m := range c.Known.Members {
 		if m.Status != mixer.Dead && m.Cell >= 0 && m.Cell < len(holders) {
--- a/cmd/nettlefold/versions.go
+++ b/cmd/nettlefold/versions.go
@@ -29,7 +29,7 @@
 	}
 	v.mu.Lock() // also while it is put in force: two versions never cross
 	defer v.mu.Unlock()
-	v.router.Adopt(c.Charter, c.Limits.Open)
+	v.router.Adopt(c.Charter, c.Limits.MaxOpenRequests)
 	v.sites.adopt(c)
 	v.force = c
 	return nil
--- a/cmd/nettlefold/versions_test.go
+++ b/cmd/nettlefold/versions_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	router, err := routing.New(c.Charter, c.Rows, c.Limits.Open, c.Seed, slog.New(slog.DiscardHandler))
+	router, err := routing.New(c.Charter, c.Rows, c.Limits.MaxOpenRequests, c.Seed, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	if full() {
 		t.Error("the first lookup is not let in")
 	}
-	fault := (*charter.Fault)(nil)
+	fault := (*charter.SettingError)(nil)
 	err = v.apply([]byte(`{"PolicyLimits":{"MaxOpen":1},"Profiles":{"0":{"AimMs":-1}}}`))
 	if !errors.As(err, &fault) || fault.Key != "Profiles.0.AimMs" || fault.Value != "-1" || !reflect.DeepEqual(v.config(), c) || full() {
 		t.Errorf("a version that is rejected: %v, in force %+v", err, v.config())
@@ -49,7 +49,7 @@
 	if err := v.apply([]byte(`{"PolicyLimits":{"MaxOpen":1},"Profiles":{"0":{"AimMs":300}}}`)); err != nil || !full() {
 		t.Errorf("one place is allowed, and one more lookup is let in: %v", err)
 	}
-	if c := v.config(); c.Limits.Open != 1 || c.Charter.Tariffs[0].Expected != 300e6 || siteTerms(c).Expected != 500e6 {
+	if c := v.config(); c.Limits.MaxOpenRequests != 1 || c.Charter.Tariffs[0].Expected != 300e6 || siteTerms(c).Expected != 500e6 {
 		t.Errorf("in force: %+v", c)
 	}
 	var all sync.WaitGroup
@@ -63,7 +63,7 @@
 	all.Wait()
 	for !full() && in < 100 {
 	}
-	if most := v.config().Limits.Open; in != (most+1)/2 {
+	if most := v.config().Limits.MaxOpenRequests; in != (most+1)/2 {
 		t.Errorf("%d places in force, and %d lookups of two each were let in", most, in)
 	}
 }
--- a/internal/charter/version.go
+++ b/internal/charter/version.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	mostDocument = 32 << 10     // bytes
-	mostTold     = 80           // bytes of a path or a value that a fault tells
-	document     = "(document)" // the path of a fault that no path has
+	maxDocumentBytes = 32 << 10     // bytes
+	maxErrorTextBytes     = 80           // bytes of a path or a value that a fault tells
+	documentPath     = "(document)" // the path of a fault that no path has
 )
 
 // Lay gives these terms, which are those of a start, with some of them as a document has them. The document is a JSON object in the
@@ -37,49 +37,49 @@
 //
 // A path with the start's own value is fine wherever it is. All else is a *Fault, the first by path, rows by number: another value
 // or an unknown path, a row that the start has not, a list of another length, a path told twice, a value out of range.
-func (t Terms) Lay(doc []byte) (Terms, error) {
-	c, _, err := t.Charter()
+func (t Settings) Overlay(doc []byte) (Settings, error) {
+	c, _, err := t.MixerConfig()
 	if err != nil {
 		return nil, err
 	}
-	v := &version{start: t, terms: maps.Clone(t), charter: c, leaves: map[string]leaf{}}
-	all, fault := v.read(doc)
+	v := &overlay{base: t, settings: maps.Clone(t), baseConfig: c, values: map[string]documentValue{}}
+	all, fault := v.parse(doc)
 	if fault != nil {
 		return nil, fault
 	}
 	for _, key := range slices.Sorted(maps.Keys(all)) {
-		v.walk(key, all[key])
+		v.collect(key, all[key])
 	}
-	v.lay()
-	if len(v.faults) > 0 {
-		first := slices.MinFunc(v.faults, func(a, b Fault) int {
-			return cmp.Or(byPath(a.Key, b.Key), strings.Compare(a.Value, b.Value))
+	v.apply()
+	if len(v.errs) > 0 {
+		first := slices.MinFunc(v.errs, func(a, b SettingError) int {
+			return cmp.Or(comparePaths(a.Key, b.Key), strings.Compare(a.Value, b.Value))
 		})
-		return nil, &Fault{told(first.Key), told(first.Value)}
+		return nil, &SettingError{errorText(first.Key), errorText(first.Value)}
 	}
-	return v.terms, nil
+	return v.settings, nil
 }
 
 // version is a document as it is laid over a start.
-type version struct {
-	start, terms Terms
-	charter      mixer.Charter // of the start
-	leaves       map[string]leaf
-	faults       []Fault
+type overlay struct {
+	base, settings Settings
+	baseConfig      mixer.Charter // of the start
+	values       map[string]documentValue
+	errs       []SettingError
 }
 
 // leaf is one value as the document has it.
-type leaf struct {
+type documentValue struct {
 	text   string
-	number bool // or a list of numbers
+	numeric bool // or a list of numbers
 }
 
-func (v *version) bad(path, value string) { v.faults = append(v.faults, Fault{path, value}) }
+func (v *overlay) reject(path, value string) { v.errs = append(v.errs, SettingError{path, value}) }
 
 // told gives what a fault tells of a path or value, which is text in any case.
-func told(s string) string {
+func errorText(s string) string {
 	s = strings.ToValidUTF8(s, "\uFFFD")
-	for n := mostTold; len(s) > mostTold; n-- {
+	for n := maxErrorTextBytes; len(s) > maxErrorTextBytes; n-- {
 		if utf8.RuneStart(s[n]) {
 			s = s[:n]
 		}
@@ -88,24 +88,24 @@
 }
 
 // read reads the document as far as its form goes; keys that stand twice in one object are noted.
-func (v *version) read(doc []byte) (all map[string]any, fault *Fault) {
-	if len(doc) > mostDocument {
-		return nil, &Fault{document, fmt.Sprintf("%d bytes, at most %d", len(doc), mostDocument)}
+func (v *overlay) parse(doc []byte) (all map[string]any, fault *SettingError) {
+	if len(doc) > maxDocumentBytes {
+		return nil, &SettingError{documentPath, fmt.Sprintf("%d bytes, at most %d", len(doc), maxDocumentBytes)}
 	}
 	if err := json.Unmarshal(doc, new(json.RawMessage)); err != nil { // the whole of it, and not too deep
-		return nil, &Fault{document, told("not JSON: " + err.Error())}
+		return nil, &SettingError{documentPath, errorText("not JSON: " + err.Error())}
 	}
 	d := json.NewDecoder(bytes.NewReader(doc))
 	d.UseNumber()
 	if err := d.Decode(&all); err != nil || all == nil {
-		return nil, &Fault{document, told("not an object: " + strings.TrimSpace(string(doc)))}
+		return nil, &SettingError{documentPath, errorText("not an object: " + strings.TrimSpace(string(doc)))}
 	}
-	v.twice(json.NewDecoder(bytes.NewReader(doc)), "", "")
+	v.rejectDuplicateKeys(json.NewDecoder(bytes.NewReader(doc)), "", "")
 	return all, nil
 }
 
 // twice goes through one value of a sound document and notes the keys that stand twice in an object.
-func (v *version) twice(d *json.Decoder, path, dot string) {
+func (v *overlay) rejectDuplicateKeys(d *json.Decoder, path, dot string) {
 	token, _ := d.Token()
 	switch token {
 	case json.Delim('{'):
@@ -114,53 +114,53 @@
 			token, _ := d.Token()
 			key, _ := token.(string)
 			if keys[key] {
-				v.bad(path+dot+key, "told twice")
+				v.reject(path+dot+key, "told twice")
 			}
 			keys[key] = true
-			v.twice(d, path+dot+key, ".")
+			v.rejectDuplicateKeys(d, path+dot+key, ".")
 		}
 		d.Token()
 	case json.Delim('['):
 		for i := 0; d.More(); i++ {
-			v.twice(d, path+dot+strconv.Itoa(i), ".")
+			v.rejectDuplicateKeys(d, path+dot+strconv.Itoa(i), ".")
 		}
 		d.Token()
 	}
 }
 
 // walk finds the values below a path.
-func (v *version) walk(path string, value any) {
+func (v *overlay) collect(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
-		if len(value) == 0 && !v.known(path) {
-			v.bad(path, "{}")
+		if len(value) == 0 && !v.knownPath(path) {
+			v.reject(path, "{}")
 		}
 		for _, key := range slices.Sorted(maps.Keys(value)) {
-			v.walk(path+"."+key, value[key])
+			v.collect(path+"."+key, value[key])
 		}
 	case []any:
-		v.list(path, value)
+		v.collectList(path, value)
 	default:
 		_, number := value.(json.Number)
-		v.leaf(path, leaf{text(value), number})
+		v.addValue(path, documentValue{formatScalar(value), number})
 	}
 }
 
 // known tells whether the start has anything at or below a path, or may have a column's items there.
-func (v *version) known(path string) bool {
-	for key := range v.start {
+func (v *overlay) knownPath(path string) bool {
+	for key := range v.base {
 		if strings.HasPrefix(key, path+".") {
 			return true
 		}
 	}
-	return v.column(path)
+	return v.isColumn(path)
 }
 
 // column tells whether a path is one of a value for each tariff.
-func (v *version) column(path string) bool { return defaults[path] != "" }
+func (v *overlay) isColumn(path string) bool { return columnDefaults[path] != "" }
 
 // defaults are what the columns have where a start does not tell; the least share is then the complete one.
-var defaults = map[string]string{completeFrom: "1", leastShare: "-", classPartial: "0"}
+var columnDefaults = map[string]string{completeFrom: "1", leastShare: "-", classPartial: "0"}
 
 const (
 	completeFrom = "FamilyInfo.CompleteFrom"
@@ -169,46 +169,46 @@
 )
 
 // list finds the values of a list: of rows, of a column, or of plain values that count as one.
-func (v *version) list(path string, items []any) {
-	_, rows := v.start[path+".count"]
-	plain, numbers := Terms{}, true
+func (v *overlay) collectList(path string, items []any) {
+	_, rows := v.base[path+".count"]
+	plain, numbers := Settings{}, true
 	for _, item := range items {
 		_, row := item.(map[string]any)
 		_, number := item.(json.Number)
 		rows, numbers = rows || row, numbers && number
 	}
 	plain.flatten(path, items)
-	all := leaf{plain[path], numbers && len(items) > 0}
+	all := documentValue{plain[path], numbers && len(items) > 0}
 	switch {
 	case rows:
-		v.leaf(path+".count", leaf{strconv.Itoa(len(items)), true})
-	case !v.column(path) || v.same(path, all):
-		v.leaf(path, all)
+		v.addValue(path+".count", documentValue{strconv.Itoa(len(items)), true})
+	case !v.isColumn(path) || v.equalsBase(path, all):
+		v.addValue(path, all)
 		return
-	case len(items) != len(v.charter.Tariffs):
-		v.bad(path, all.text)
+	case len(items) != len(v.baseConfig.Tariffs):
+		v.reject(path, all.text)
 		return
 	}
 	for i, item := range items {
-		v.walk(path+"."+strconv.Itoa(i), item)
+		v.collect(path+"."+strconv.Itoa(i), item)
 	}
 }
 
 // leaf notes one value, once.
-func (v *version) leaf(path string, l leaf) {
-	if _, ok := v.leaves[path]; ok {
-		v.bad(path, "told twice")
+func (v *overlay) addValue(path string, l documentValue) {
+	if _, ok := v.values[path]; ok {
+		v.reject(path, "told twice")
 	}
-	v.leaves[path] = l
+	v.values[path] = l
 }
 
 // same tells whether a value is the start's own. Numbers may be written in another way.
-func (v *version) same(path string, l leaf) bool {
-	was, ok := v.start[path]
+func (v *overlay) equalsBase(path string, l documentValue) bool {
+	was, ok := v.base[path]
 	if !ok || was == l.text {
 		return ok
 	}
-	return l.number && slices.EqualFunc(strings.Split(was, ","), strings.Split(l.text, ","), func(a, b string) bool {
+	return l.numeric && slices.EqualFunc(strings.Split(was, ","), strings.Split(l.text, ","), func(a, b string) bool {
 		x, err := strconv.ParseFloat(a, 64)
 		y, wrong := strconv.ParseFloat(b, 64)
 		return err == nil && wrong == nil && x == y
@@ -216,32 +216,32 @@
 }
 
 // lay lays the values over the start's, in the order of their paths: a complete share comes before a least one.
-func (v *version) lay() {
+func (v *overlay) apply() {
 	changed := map[string]float64{}
-	for _, path := range slices.SortedFunc(maps.Keys(v.leaves), byPath) {
-		l := v.leaves[path]
-		if v.same(path, l) {
+	for _, path := range slices.SortedFunc(maps.Keys(v.values), comparePaths) {
+		l := v.values[path]
+		if v.equalsBase(path, l) {
 			continue
 		}
 		lo, hi, whole, ok := v.bounds(path)
 		x, err := strconv.ParseFloat(l.text, 64)
-		if !ok || !l.number || err != nil || !(x >= lo && x <= hi) || whole && x != math.Trunc(x) {
-			v.bad(path, l.text)
+		if !ok || !l.numeric || err != nil || !(x >= lo && x <= hi) || whole && x != math.Trunc(x) {
+			v.reject(path, l.text)
 			continue
 		}
 		changed[path] = x
-		if column, row, ok := v.item(path); ok {
-			v.put(column, row, l.text)
+		if column, row, ok := v.parseColumnItem(path); ok {
+			v.setColumnItem(column, row, l.text)
 		} else {
-			v.terms[path] = l.text
+			v.settings[path] = l.text
 		}
 	}
-	v.shares(changed)
-	v.customers(changed)
+	v.checkLeastShares(changed)
+	v.checkTenantShares(changed)
 }
 
 // bounds gives the range of a path that may differ from the start.
-func (v *version) bounds(path string) (lo, hi float64, whole, ok bool) {
+func (v *overlay) bounds(path string) (lo, hi float64, whole, ok bool) {
 	const longest, above = 1e12, 1e-3 // ms; the clock counts microseconds
 	switch path {
 	case "OverShareWorth":
@@ -251,15 +251,15 @@
 	case "PolicyLimits.MaxOpen":
 		return 1, 1e9, true, true
 	}
-	if _, _, ok := v.item(path); ok {
+	if _, _, ok := v.parseColumnItem(path); ok {
 		return 0, 1, false, true
 	}
 	at := strings.Split(path, ".")
 	if len(at) != 3 {
 		return 0, 0, false, false
 	}
-	rows := map[string]int{"Profiles": len(v.charter.Tariffs), "Tenants": len(v.charter.Allowances)}[at[0]]
-	if _, ok := row(at[1], rows); !ok {
+	rows := map[string]int{"Profiles": len(v.baseConfig.Tariffs), "Tenants": len(v.baseConfig.Allowances)}[at[0]]
+	if _, ok := parseRow(at[1], rows); !ok {
 		return 0, 0, false, false
 	}
 	switch at[0] + "." + at[2] {
@@ -267,7 +267,7 @@
 		return above, longest, false, true
 	case "Profiles.DeadlineMs":
 		most := int64(0)
-		for _, t := range v.charter.Tariffs {
+		for _, t := range v.baseConfig.Tariffs {
 			most = max(most, t.Patience)
 		}
 		return above, float64(most) / 1e6, false, true
@@ -282,42 +282,42 @@
 }
 
 // row reads the number of one of so many rows.
-func row(s string, rows int) (i int, ok bool) {
+func parseRow(s string, rows int) (i int, ok bool) {
 	i, err := strconv.Atoi(s)
 	return i, err == nil && i >= 0 && i < rows && s == strconv.Itoa(i)
 }
 
 // item reads the path of one item of a column.
-func (v *version) item(path string) (column string, i int, ok bool) {
+func (v *overlay) parseColumnItem(path string) (column string, i int, ok bool) {
 	dot := max(0, strings.LastIndexByte(path, '.'))
-	if column = path[:dot]; !v.column(column) {
+	if column = path[:dot]; !v.isColumn(column) {
 		return "", 0, false
 	}
-	i, ok = row(path[dot+1:], len(v.charter.Tariffs))
+	i, ok = parseRow(path[dot+1:], len(v.baseConfig.Tariffs))
 	return column, i, ok
 }
 
 // items gives the items of a column as they are laid so far.
-func (v *version) items(column string) []string {
-	if has := v.terms[column]; has != "" && has != "-" {
+func (v *overlay) columnItems(column string) []string {
+	if has := v.settings[column]; has != "" && has != "-" {
 		return strings.Split(has, ",")
 	}
 	if column == leastShare {
-		return v.items(completeFrom)
+		return v.columnItems(completeFrom)
 	}
-	return slices.Repeat([]string{defaults[column]}, len(v.charter.Tariffs))
+	return slices.Repeat([]string{columnDefaults[column]}, len(v.baseConfig.Tariffs))
 }
 
-func (v *version) put(column string, row int, text string) {
-	items := v.items(column)
+func (v *overlay) setColumnItem(column string, row int, text string) {
+	items := v.columnItems(column)
 	items[row] = text
-	v.terms[column] = strings.Join(items, ",")
+	v.settings[column] = strings.Join(items, ",")
 }
 
 // shares checks that no least share is above the complete one, in the rows that have changed.
-func (v *version) shares(changed map[string]float64) {
-	complete, least := v.items(completeFrom), v.items(leastShare)
-	for i := range v.charter.Tariffs {
+func (v *overlay) checkLeastShares(changed map[string]float64) {
+	complete, least := v.columnItems(completeFrom), v.columnItems(leastShare)
+	for i := range v.baseConfig.Tariffs {
 		for _, column := range []string{leastShare, completeFrom} {
 			path := column + "." + strconv.Itoa(i)
 			if _, ok := changed[path]; !ok {
@@ -325,7 +325,7 @@
 			}
 			from, _ := strconv.ParseFloat(complete[i], 64)
 			if x, _ := strconv.ParseFloat(least[i], 64); x > from {
-				v.bad(path, v.leaves[path].text)
+				v.reject(path, v.values[path].text)
 			}
 			break
 		}
@@ -333,11 +333,11 @@
 }
 
 // customers checks that the customers' shares are no more than all, where any has been raised.
-func (v *version) customers(changed map[string]float64) {
+func (v *overlay) checkTenantShares(changed map[string]float64) {
 	sum, raised := 0.0, ""
-	for i := range v.charter.Allowances {
+	for i := range v.baseConfig.Allowances {
 		path := "Tenants." + strconv.Itoa(i) + ".Share"
-		was, _ := strconv.ParseFloat(v.start[path], 64)
+		was, _ := strconv.ParseFloat(v.base[path], 64)
 		x, ok := changed[path]
 		if !ok {
 			x = was
@@ -346,13 +346,13 @@
 			raised = path
 		}
 	}
-	if sum > mostShares && raised != "" {
-		v.bad(raised, v.leaves[raised].text)
+	if sum > maxShareSum && raised != "" {
+		v.reject(raised, v.values[raised].text)
 	}
 }
 
 // byPath orders paths, at each step numbers first, by their size.
-func byPath(a, b string) int {
+func comparePaths(a, b string) int {
 	return slices.CompareFunc(strings.Split(a, "."), strings.Split(b, "."), func(a, b string) int {
 		x, noX := strconv.Atoi(a)
 		y, noY := strconv.Atoi(b)
--- a/internal/fleet/relay/client.go
+++ b/internal/fleet/relay/client.go
@@ -346,7 +346,7 @@
 		return nil
 	}
 	element, value := "(document)", err.Error()
-	var fault *charter.Fault
+	var fault *charter.SettingError
 	if errors.As(err, &fault) {
 		element, value = fault.Key, fault.Value
 	}
--- a/internal/fleet/relay/helper_test.go
+++ b/internal/fleet/relay/helper_test.go
@@ -140,7 +140,7 @@
 	m.Apply = func(_ control.Stamp, doc json.RawMessage) error {
 		var v struct{ Bad *string }
 		if json.Unmarshal(doc, &v); v.Bad != nil {
-			return &charter.Fault{Key: "Bad", Value: *v.Bad}
+			return &charter.SettingError{Key: "Bad", Value: *v.Bad}
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
--- a/internal/lab/capacity/conns.go
+++ b/internal/lab/capacity/conns.go
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	lim := limits()
-	lim.Sockets = 2*4 + 32
+	lim.FileDescriptors = 2*4 + 32
 	searchers := transport.NewSearchers(lim, slog.New(slog.DiscardHandler))
 	defer searchers.Close()
 	searchers.Listed(list)
--- a/internal/lab/capacity/list.go
+++ b/internal/lab/capacity/list.go
@@ -73,8 +73,8 @@
 
 // lineMost is the most that a message of the list may have, in bytes.
 var lineMost = func() int {
-	l, _ := charter.Terms{}.Limits(mixer.Charter{})
-	return l.Line
+	l, _ := charter.Settings{}.Limits(mixer.Charter{})
+	return l.MaxListMessageBytes
 }()
 
 // listCurves. What reading a list allocates is by member: members are gathered in pieces and joined once. What the module is told of a
@@ -247,7 +247,7 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "learnt")
-	if err := learnt.Write(path, at, learnt.ShapeOf(Terms(cells)), k); err != nil {
+	if err := learnt.Write(path, at, learnt.LayoutOf(Terms(cells)), k); err != nil {
 		return nil, err
 	}
 	info, err := os.Stat(path)
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -86,12 +86,12 @@
 
 // What these sums take from the program is what the program has.
 func TestBoundsAreTheProgram(t *testing.T) {
-	l, _ := charter.Terms{}.Limits(mixer.Charter{})
-	if l.Line != boundLine {
-		t.Errorf("a message of the list may have %d, the sums say %d", l.Line, boundLine)
+	l, _ := charter.Settings{}.Limits(mixer.Charter{})
+	if l.MaxListMessageBytes != boundLine {
+		t.Errorf("a message of the list may have %d, the sums say %d", l.MaxListMessageBytes, boundLine)
 	}
 	for file, names := range map[string]map[string]string{
-		"../../learnt/learnt.go":     {"maxFile": "4 << 20"},
+		"../../learnt/learnt.go":     {"maxFileBytes": "4 << 20"},
 		"../../settings/settings.go": {"maxFile": "1 << 20"},
 		"../../../mixer/mixer.go":    {"endMargin": "8 * ms", "room": "0.33", "coldMargin": "0.8", "coldSpread": "2.0"},
 	} {
@@ -106,7 +106,7 @@
 		}
 	}
 	keep := limits()
-	if got := keep.Idle().Seconds(); got != idle(keepAlive) {
+	if got := keep.IdleTimeout().Seconds(); got != idle(keepAlive) {
 		t.Errorf("idle connections are kept %v s, the sums say %v", got, idle(keepAlive))
 	}
 }
--- a/internal/lab/capacity/wire.go
+++ b/internal/lab/capacity/wire.go
@@ -70,7 +70,7 @@
 		head.Set(name, v)
 	}
 	lim := limits()
-	lim.Slices = 1 << 20
+	lim.Shards = 1 << 20
 	value := bytes.Repeat([]byte{'v'}, valueBytes)
 	var out, in, answer float64
 	var err error
@@ -88,7 +88,7 @@
 			raw := protocol.AppendFrame(nil, protocol.Answer, append([]byte(id+" ok 1 -\n"), value...))
 			in += float64(len(raw))
 			var got protocol.Frame
-			if got, err = protocol.ReadFrame(bytes.NewReader(raw), lim.Frame); err != nil {
+			if got, err = protocol.ReadFrame(bytes.NewReader(raw), lim.MaxFrameBytes); err != nil {
 				return
 			}
 			var r protocol.Reply
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	form    = 1
-	tooOld  = time.Minute // what was learnt has faded to a tenth by then
-	maxFile = 4 << 20     // bytes
-	most    = 1e15        // ns or calls; sums beyond it are no sound mixer's
+	formatVersion    = 1
+	maxAge  = time.Minute // what was learnt has faded to a tenth by then
+	maxFileBytes = 4 << 20     // bytes
+	maxFigure    = 1e15        // ns or calls; sums beyond it are no sound mixer's
 )
 
 // Shape is what a record must agree in with who reads it, or its figures mean something else.
-type Shape struct {
+type Layout struct {
 	Cells, Reach, PerCall int
 	Sized                 bool
 }
 
 // ShapeOf gives the shape of a charter's deployment.
-func ShapeOf(c mixer.Charter) Shape { return Shape{c.Cells, c.Reach, c.PerCall, c.Sized} }
+func LayoutOf(c mixer.Charter) Layout { return Layout{c.Cells, c.Reach, c.PerCall, c.Sized} }
 
 // envelope is the file: the record as written, and its digest.
 type envelope struct {
@@ -41,13 +41,13 @@
 type record struct {
 	Form  int
 	At    time.Time
-	Shape Shape
+	Shape Layout
 	Kept  mixer.Kept
 }
 
 // Write puts a record in the place of the file, whole or not at all.
-func Write(path string, at time.Time, s Shape, k mixer.Kept) error {
-	raw, err := json.Marshal(record{form, at, s, k})
+func Write(path string, at time.Time, s Layout, k mixer.Kept) error {
+	raw, err := json.Marshal(record{formatVersion, at, s, k})
 	if err != nil {
 		return err
 	}
@@ -74,18 +74,18 @@
 }
 
 // Read gives a record with the time at which it held, or says why it is refused.
-func Read(path string, now time.Time, s Shape) (at time.Time, k mixer.Kept, err error) {
+func Read(path string, now time.Time, s Layout) (at time.Time, k mixer.Kept, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return at, k, fmt.Errorf("unreadable: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return at, k, fmt.Errorf("unreadable: %w", err)
 	}
-	if len(raw) > maxFile {
-		return at, k, fmt.Errorf("unreadable: over %d bytes", maxFile)
+	if len(raw) > maxFileBytes {
+		return at, k, fmt.Errorf("unreadable: over %d bytes", maxFileBytes)
 	}
 	var e envelope
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -95,17 +95,17 @@
 		return at, k, errors.New("spoilt: its digest is another")
 	}
 	var r record
-	if err := json.Unmarshal(e.Record, &r); err != nil || r.Form != form {
-		return at, k, fmt.Errorf("foreign: of form %d, want %d (%v)", r.Form, form, err)
+	if err := json.Unmarshal(e.Record, &r); err != nil || r.Form != formatVersion {
+		return at, k, fmt.Errorf("foreign: of form %d, want %d (%v)", r.Form, formatVersion, err)
 	}
 	if r.Shape != s {
 		return at, k, fmt.Errorf("foreign: of shape %+v, want %+v", r.Shape, s)
 	}
-	if age := now.Sub(r.At); age < 0 || age > tooOld {
-		return at, k, fmt.Errorf("stale: %v old, at most %v", age.Round(time.Second), tooOld)
+	if age := now.Sub(r.At); age < 0 || age > maxAge {
+		return at, k, fmt.Errorf("stale: %v old, at most %v", age.Round(time.Second), maxAge)
 	}
 	for _, p := range append(r.Kept.Process, r.Kept.Fleet) {
-		if !(p.Took >= 0 && p.Took < most && p.Calls >= 0 && p.Calls < most) {
+		if !(p.Took >= 0 && p.Took < maxFigure && p.Calls >= 0 && p.Calls < maxFigure) {
 			return at, k, fmt.Errorf("unsound: %+v", p)
 		}
 	}
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -14,7 +14,7 @@
 
 func TestRecordIsTakenWholeOrRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learnt.json")
-	at, shape := time.Unix(1e9, 5e6), Shape{4, 2, 1, true}
+	at, shape := time.Unix(1e9, 5e6), Layout{4, 2, 1, true}
 	kept := mixer.Kept{Fleet: mixer.Pace{Took: 5e8, Calls: 4}, Process: []mixer.Pace{{Searcher: "s", Started: 7, Took: 1e8, Calls: 2}}}
 	if err := Write(path, at, shape, kept); err != nil {
 		t.Fatal(err)
@@ -28,12 +28,12 @@
 		name, reason string
 		raw          []byte
 		later        time.Duration
-		shape        Shape
+		shape        Layout
 	}{
 		{"old", "stale", sound, 61 * time.Second, shape},
 		{"of a time to come", "stale", sound, -time.Second, shape},
-		{"of other sizes", "foreign", sound, 0, Shape{4, 2, 1, false}},
-		{"of another layout", "foreign", sound, 0, Shape{5, 2, 1, true}},
+		{"of other sizes", "foreign", sound, 0, Layout{4, 2, 1, false}},
+		{"of another layout", "foreign", sound, 0, Layout{5, 2, 1, true}},
 		{"cut", "truncated", sound[:len(sound)/2], 0, shape},
 		{"empty", "truncated", nil, 0, shape},
 		{"changed", "spoilt", bytes.Replace(sound, []byte(`"Calls":2`), []byte(`"Calls":3`), 1), 0, shape},
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -35,11 +35,11 @@
 }
 
 func TestOnlyWhatDiffersIsGiven(t *testing.T) {
-	var b Book
-	if got := b.Take(live("a", "b", "c", "d"), true); !reflect.DeepEqual(got, live("a", "b", "c", "d")) {
+	var b Tracker
+	if got := b.Apply(live("a", "b", "c", "d"), true); !reflect.DeepEqual(got, live("a", "b", "c", "d")) {
 		t.Fatalf("the first list: %v", got)
 	}
-	if got := b.Take(live("d", "a", "b", "c"), true); len(got) != 0 {
+	if got := b.Apply(live("d", "a", "b", "c"), true); len(got) != 0 {
 		t.Errorf("the same list in another order: %v", got)
 	}
 	for what, change := range map[string]func(*mixer.Entry){
@@ -50,22 +50,22 @@
 		"another size":    func(e *mixer.Entry) { e.Size = 2 },
 	} {
 		new := entry("b", change)
-		if got := b.Take([]mixer.Entry{entry("a", nil), new, entry("c", nil), entry("d", nil)}, true); !slices.Equal(got, []mixer.Entry{new}) {
+		if got := b.Apply([]mixer.Entry{entry("a", nil), new, entry("c", nil), entry("d", nil)}, true); !slices.Equal(got, []mixer.Entry{new}) {
 			t.Errorf("%s: %v", what, got)
 		}
-		if got := b.Take([]mixer.Entry{new}, false); len(got) != 0 {
+		if got := b.Apply([]mixer.Entry{new}, false); len(got) != 0 {
 			t.Errorf("%s, told again: %v", what, got)
 		}
-		if got := b.Take(live("b"), false); !slices.Equal(got, live("b")) {
+		if got := b.Apply(live("b"), false); !slices.Equal(got, live("b")) {
 			t.Errorf("%s, told back: %v", what, got)
 		}
 	}
 }
 
 func TestBadNewsFirst(t *testing.T) {
-	var b Book
+	var b Tracker
 	lines := many(200) // so that two that go are no mass
-	b.Take(lines, true)
+	b.Apply(lines, true)
 	drains, anew, moved := entry("s90", state(mixer.Draining)), entry("s20", nil), entry("s5", nil)
 	anew.Cell, anew.Started, moved.Cell = 5, 9, 7
 	drains.Cell = 22
@@ -76,7 +76,7 @@
 	unnamed := lines[199]
 	unnamed.Status = mixer.Dead
 	new := entry("t", nil)
-	got := b.Take(append([]mixer.Entry{new}, told[:199]...), true)
+	got := b.Apply(append([]mixer.Entry{new}, told[:199]...), true)
 	if want := []mixer.Entry{unnamed, goes, drains, new, anew, moved}; !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
@@ -84,7 +84,7 @@
 
 func TestOfSeveralLinesTheLastCounts(t *testing.T) {
 	dead, drains := entry("a", state(mixer.Dead)), entry("a", state(mixer.Draining))
-	var b Book
+	var b Tracker
 	for _, c := range []struct {
 		what        string
 		lines, want []mixer.Entry
@@ -97,7 +97,7 @@
 		{"gone already", []mixer.Entry{dead}, nil},
 		{"back", live("a"), live("a")},
 	} {
-		if got := b.Take(c.lines, false); !slices.Equal(got, c.want) {
+		if got := b.Apply(c.lines, false); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
 	}
@@ -106,9 +106,9 @@
 // Where most of a list is replaced, what the module has stays about as much.
 func TestAMassThatGoesIsToldAmongWhatComes(t *testing.T) {
 	for _, c := range []struct{ going, coming int }{{1000, 1000}, {1000, 300}, {400, 1000}, {1000, 1}} {
-		var b Book
+		var b Tracker
 		old := many(1000)
-		b.Take(old, true)
+		b.Apply(old, true)
 		list := slices.Clone(old[c.going:])
 		if len(list) > 0 {
 			list[0].Status = mixer.Draining
@@ -117,7 +117,7 @@
 			e.Searcher = "t" + e.Searcher
 			list = append(list, e)
 		}
-		got := b.Take(list, true)
+		got := b.Apply(list, true)
 		if len(list) > c.coming {
 			if got[0] != list[0] {
 				t.Errorf("%v: what drains is not first but %v", c, got[0])
@@ -143,55 +143,55 @@
 }
 
 func TestDoubtIsToldAgain(t *testing.T) {
-	var b Book
-	b.Take(live("a", "b", "c"), true)
-	gone := b.Take(live("a", "b"), true)
-	b.Doubt(append(gone, live("a")...))
-	if got := b.Take(live("a", "b"), true); !reflect.DeepEqual(got, []mixer.Entry{gone[0], entry("a", nil)}) {
+	var b Tracker
+	b.Apply(live("a", "b", "c"), true)
+	gone := b.Apply(live("a", "b"), true)
+	b.Invalidate(append(gone, live("a")...))
+	if got := b.Apply(live("a", "b"), true); !reflect.DeepEqual(got, []mixer.Entry{gone[0], entry("a", nil)}) {
 		if len(got) != 2 || got[0].Searcher != "c" || got[0].Status != mixer.Dead || got[1] != entry("a", nil) {
 			t.Errorf("%v", got)
 		}
 	}
-	if got := b.Take(live("a", "b"), true); len(got) != 0 {
+	if got := b.Apply(live("a", "b"), true); len(got) != 0 {
 		t.Errorf("twice: %v", got)
 	}
-	b.Doubt(gone)
-	if got := b.Take([]mixer.Entry{entry("c", state(mixer.Dead))}, false); len(got) != 1 || got[0].Status != mixer.Dead {
+	b.Invalidate(gone)
+	if got := b.Apply([]mixer.Entry{entry("c", state(mixer.Dead))}, false); len(got) != 1 || got[0].Status != mixer.Dead {
 		t.Errorf("gone, in doubt and gone again: %v", got)
 	}
-	b.Doubt(gone)
-	if got := b.Take(live("c"), false); !slices.Equal(got, live("c")) {
+	b.Invalidate(gone)
+	if got := b.Apply(live("c"), false); !slices.Equal(got, live("c")) {
 		t.Errorf("gone, in doubt and back: %v", got)
 	}
 }
 
 // What a long list took is given back after a short one, and the Book goes on.
 func TestShrinks(t *testing.T) {
-	var b Book
-	b.Take(many(9000), true)
-	if got := b.Take(many(100), true); len(got) != 8900 {
+	var b Tracker
+	b.Apply(many(9000), true)
+	if got := b.Apply(many(100), true); len(got) != 8900 {
 		t.Fatalf("%d are gone of 8900", len(got))
 	}
-	if len(b.rows) > 100+spare || len(b.at) != 100 {
+	if len(b.rows) > 100+minFreeRows || len(b.index) != 100 {
 		t.Errorf("%d rows are held of 100", len(b.rows))
 	}
-	if got := b.Take(many(101), true); len(got) != 1 || got[0].Searcher != "s100" {
+	if got := b.Apply(many(101), true); len(got) != 1 || got[0].Searcher != "s100" {
 		t.Errorf("after it: %v", got)
 	}
 }
 
 // A list again that has not changed allocates a bounded number of times whatever its length.
 func TestFewAllocations(t *testing.T) {
-	var b Book
+	var b Tracker
 	lines := many(5000)
-	b.Take(lines, true)
-	if got := testing.AllocsPerRun(10, func() { b.Take(lines, true) }); got > 4 {
+	b.Apply(lines, true)
+	if got := testing.AllocsPerRun(10, func() { b.Apply(lines, true) }); got > 4 {
 		t.Errorf("%v allocations for a list that has not changed", got)
 	}
 	one := live("s9")
 	if got := testing.AllocsPerRun(10, func() {
 		one[0].Cell++
-		b.Take(one, false)
+		b.Apply(one, false)
 	}); got > 4 {
 		t.Errorf("%v allocations for one change", got)
 	}
--- a/internal/listing/twin_test.go
+++ b/internal/listing/twin_test.go
@@ -146,7 +146,7 @@
 func TestAsTheWholeListAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, batched := newWorld(), newWorld()
-		var book listing.Book
+		var book listing.Tracker
 		listed := map[string]mixer.Entry{}
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}
 		line := func(name string) mixer.Entry {
@@ -197,7 +197,7 @@
 					delete(listed, e.Searcher)
 				}
 			}
-			changed := book.Take(lines, full)
+			changed := book.Apply(lines, full)
 			ordered := []mixer.Entry{} // the message as the other module is told it
 			for _, e := range changed {
 				if slices.Contains(lines, e) {
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -21,7 +21,7 @@
 	Known                   List
 
 	terms map[string]string // everything but discovery and known, as written
-	start charter.Terms     // the settings as written, which a version is laid over
+	start charter.Settings     // the settings as written, which a version is laid over
 }
 
 type config struct {
@@ -69,19 +69,19 @@
 	if in.Limits.Sockets < 1 {
 		return c, fmt.Errorf("configuration: limits.sockets: %d", in.Limits.Sockets)
 	}
-	terms, err := charter.Nested(in.Settings)
+	terms, err := charter.ParseJSON(in.Settings)
 	if err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	if c.Charter, c.Rows, err = terms.Charter(); err != nil {
+	if c.Charter, c.Rows, err = terms.MixerConfig(); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	c.Customers, c.start = terms.Customers(c.Charter), terms
+	c.Customers, c.start = terms.TenantRows(c.Charter), terms
 	if c.Limits, err = terms.Limits(c.Charter); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	c.Limits.Cores, c.Limits.Sockets = in.Limits.Cores, in.Limits.Sockets
-	c.Limits.Memory = int64(in.Limits.Memory * (1 << 20))
+	c.Limits.CPUCores, c.Limits.FileDescriptors = in.Limits.Cores, in.Limits.Sockets
+	c.Limits.MemoryBytes = int64(in.Limits.Memory * (1 << 20))
 	c.terms = map[string]string{"name": c.Name, "listen": c.Listen, "seed": in.Seed, "limits": fmt.Sprint(in.Limits)}
 	for key, v := range terms {
 		c.terms["settings."+key] = v
@@ -115,11 +115,11 @@
 // Open follows: the longest deadline, and with it the time after SIGTERM, stay the start's, which no version may exceed. What
 // is wrong is a *charter.Fault with path and value; then the configuration is as before.
 func (c Config) Revise(document []byte) (Config, error) {
-	terms, err := c.start.Lay(document)
+	terms, err := c.start.Overlay(document)
 	if err != nil {
 		return c, err
 	}
-	anew, _, err := terms.Charter()
+	anew, _, err := terms.MixerConfig()
 	if err != nil {
 		return c, err
 	}
@@ -127,6 +127,6 @@
 	if err != nil {
 		return c, err
 	}
-	c.Charter, c.Limits.Open = anew, limits.Open
+	c.Charter, c.Limits.MaxOpenRequests = anew, limits.MaxOpenRequests
 	return c, nil
 }
--- a/internal/protocol/lookup.go
+++ b/internal/protocol/lookup.go
@@ -57,7 +57,7 @@
 			return l, fmt.Errorf("%s: told %d times", h.name, len(all))
 		}
 	}
-	if err := checkID(l.ID, lim.ID); err != nil {
+	if err := checkID(l.ID, lim.MaxIDBytes); err != nil {
 		return l, err
 	}
 	if _, ok := tariffs[l.Tariff]; !ok {
@@ -152,8 +152,8 @@
 			if err != nil {
 				return err
 			}
-			if shard, err = strconv.Atoi(n); err != nil || shard < 0 || shard >= lim.Slices {
-				return fmt.Errorf("shard: %s is not within 0 to %d", clip(n), lim.Slices-1)
+			if shard, err = strconv.Atoi(n); err != nil || shard < 0 || shard >= lim.Shards {
+				return fmt.Errorf("shard: %s is not within 0 to %d", clip(n), lim.Shards-1)
 			}
 		case "weight":
 			n, err := number(d, key)
--- a/internal/protocol/members_test.go
+++ b/internal/protocol/members_test.go
@@ -53,7 +53,7 @@
 		if size, err := strconv.ParseFloat(string(m.Size), 64); err == nil && size > 0 && size < 1e9 {
 			e.Size = size
 		}
-		e.Searcher, e.Zone, e.Cell, e.Status, e.Started = m.Name, m.Zone, *m.Cell, state, charter.Nanos(m.Since)
+		e.Searcher, e.Zone, e.Cell, e.Status, e.Started = m.Name, m.Zone, *m.Cell, state, charter.MillisToNanos(m.Since)
 		if m.Since > 0 {
 			e.Since = time.Unix(0, e.Started)
 		}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -19,7 +19,7 @@
 	"nettlefold/mixer"
 )
 
-var limits = charter.Limits{Slices: 10, ID: 16}
+var limits = charter.Limits{Shards: 10, MaxIDBytes: 16}
 
 func head(id, lane, left string) http.Header {
 	return http.Header{"X-Txn": {id}, "X-Lane": {lane}, "X-Remaining-Ms": {left}, "X-Resent": {"1"}}
@@ -38,7 +38,7 @@
 		}
 		used, sum := map[int]bool{}, 0.0
 		for _, p := range l.Parts {
-			if p.Slice < 0 || p.Slice >= limits.Slices || used[p.Slice] || !(p.Weight > 0) || p.Effort < 0 {
+			if p.Slice < 0 || p.Slice >= limits.Shards || used[p.Slice] || !(p.Weight > 0) || p.Effort < 0 {
 				t.Errorf("part %+v was let in", p)
 			}
 			used[p.Slice] = true
@@ -215,7 +215,7 @@
 	f.Add([]byte(`{"listen":"a","discovery":"b","seed":"0","limits":{"cores":1,"memory_mb":1,"sockets":9},"settings":[]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := ReadConfig(raw)
-		if err == nil && (len(c.Charter.Tariffs) == 0 || c.Limits.Open < 1 || c.Limits.Memory < 1 || c.Limits.KillAfter <= 0) {
+		if err == nil && (len(c.Charter.Tariffs) == 0 || c.Limits.MaxOpenRequests < 1 || c.Limits.MemoryBytes < 1 || c.Limits.KillAfterTerm <= 0) {
 			t.Errorf("configuration %+v was let in", c)
 		}
 	})
@@ -223,7 +223,7 @@
 
 func TestConfigFaultsAreNamed(t *testing.T) {
 	c, err := ReadConfig(example(t, "", ""))
-	if err != nil || c.Seed != -0x73e0cf2d85a4169c || len(c.Known.Members) != 4 || c.Charter.Cells != 2 || c.Limits.Slices != 8 {
+	if err != nil || c.Seed != -0x73e0cf2d85a4169c || len(c.Known.Members) != 4 || c.Charter.Cells != 2 || c.Limits.Shards != 8 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	for _, f := range []struct{ old, new, want string }{
@@ -304,7 +304,7 @@
 	if err := json.Unmarshal(example(t, "", ""), &all); err != nil {
 		t.Fatal(err)
 	}
-	nested, err := charter.Nested(all.Settings)
+	nested, err := charter.ParseJSON(all.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/revise_test.go
+++ b/internal/protocol/revise_test.go
@@ -53,7 +53,7 @@
 		{`{"Tenants":{"0":{"AllowancePerS":0,"Share":0.5},"1":{"Share":0.5}}}`, func(c *Config) { c.Charter.Allowances[0] = 0 }},
 		{`{"Tenants":[{},{"AllowancePerS":25}]}`, func(c *Config) { c.Charter.Allowances[1] = 25 }},
 		{`{"PolicyLimits":{"MaxRetryAfterMs":0,"MaxOpen":201,"MaxAttempts":3}}`, func(c *Config) {
-			c.Charter.MaxAdvice, c.Limits.Open = 0, 201
+			c.Charter.MaxAdvice, c.Limits.MaxOpenRequests = 0, 201
 		}},
 	} {
 		want := begun(t)
@@ -158,8 +158,8 @@
 	} {
 		c := begun(t)
 		got, err := c.Revise([]byte(f.document))
-		want := charter.Fault{Key: f.path, Value: f.value}
-		if fault := (*charter.Fault)(nil); !errors.As(err, &fault) || *fault != want {
+		want := charter.SettingError{Key: f.path, Value: f.value}
+		if fault := (*charter.SettingError)(nil); !errors.As(err, &fault) || *fault != want {
 			t.Errorf("%.80s: %v, want %v", f.document, err, &want)
 		}
 		if !reflect.DeepEqual(got, begun(t)) {
@@ -232,7 +232,7 @@
 		t.Errorf("%s: another time another outcome: %v, %v", document, err, twice)
 	}
 	if err != nil {
-		fault := (*charter.Fault)(nil)
+		fault := (*charter.SettingError)(nil)
 		if !errors.As(err, &fault) || !reflect.DeepEqual(got, start) || len(fault.Key) > 80 || len(fault.Value) > 80 ||
 			!utf8.ValidString(fault.Key+fault.Value) {
 			t.Errorf("%s: refused with %v, as %+v", document, err, got)
@@ -256,8 +256,8 @@
 	}
 	want.Charter.Allowances, want.Charter.OverWorth = got.Charter.Allowances, got.Charter.OverWorth
 	want.Charter.MaxAdvice = got.Charter.MaxAdvice
-	want.Limits.Open = got.Limits.Open
-	if !reflect.DeepEqual(got, want) || len(got.Charter.Allowances) != len(start.Charter.Allowances) || got.Limits.Open < 1 {
+	want.Limits.MaxOpenRequests = got.Limits.MaxOpenRequests
+	if !reflect.DeepEqual(got, want) || len(got.Charter.Allowances) != len(start.Charter.Allowances) || got.Limits.MaxOpenRequests < 1 {
 		t.Errorf("%s: %+v, of the start %+v", document, got, want)
 	}
 	return true
@@ -298,7 +298,7 @@
 		}
 	}
 	_, err = c.Revise([]byte(`{"FamilyInfo":{"LeastShare":{"1":0.6},"CompleteFrom":{"1":0.5}}}`))
-	if fault := (*charter.Fault)(nil); !errors.As(err, &fault) || *fault != (charter.Fault{Key: "FamilyInfo.LeastShare.1", Value: "0.6"}) {
+	if fault := (*charter.SettingError)(nil); !errors.As(err, &fault) || *fault != (charter.SettingError{Key: "FamilyInfo.LeastShare.1", Value: "0.6"}) {
 		t.Errorf("a least share above the complete one: %v", err)
 	}
 }
--- a/internal/routing/listing.go
+++ b/internal/routing/listing.go
@@ -20,7 +20,7 @@
 // lists is what news of the list need outside the module. Its lock is taken before the router's, never while that is held.
 type lists struct {
 	mu   sync.Mutex
-	book listing.Book
+	book listing.Tracker
 	told []Word // what other mixers say, as last handed over
 	last Batches
 	rest func() // between two batches: who waits for the lock goes first, else the next batch takes it at once
@@ -47,7 +47,7 @@
 	l := &r.list
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rows = l.book.Take(rows, full)
+	rows = l.book.Apply(rows, full)
 	if r.Filter != nil {
 		rows = r.Filter.Changed(r.Now(), rows)
 	}
@@ -69,7 +69,7 @@
 	for len(rows) > 0 {
 		n := min(len(rows), batch)
 		if !r.hand(rows[:n], words) {
-			l.book.Doubt(rows[:n]) // the next list that names them, or does not, tells them again
+			l.book.Invalidate(rows[:n]) // the next list that names them, or does not, tells them again
 		}
 		if rows = rows[n:]; len(rows) > 0 {
 			l.rest()
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -28,9 +28,9 @@
 // open makes a server on a listener, as wrapped, which does not accept yet. All ends with the test.
 func open(t *testing.T, effect mixer.Effect, wrap func(net.Listener) net.Listener, far ...*toy.Searcher) *serving {
 	t.Helper()
-	limits := charter.Limits{KeepAlive: time.Hour, Connect: time.Second, Write: time.Second, Streams: 9, Sockets: 99, Frame: 999,
-		Slices: 1, Body: 999, Header: 999, Read: time.Minute, Prompt: time.Minute, Once: time.Minute, Kept: time.Minute, ID: 64,
-		Patience: 5 * time.Second, Arrivals: 400 * time.Millisecond, KillAfter: time.Minute, Drain: 5 * time.Second}
+	limits := charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: time.Second, WriteTimeout: time.Second, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999,
+		Shards: 1, MaxBodyBytes: 999, MaxHeaderBytes: 999, ReadTimeout: time.Minute, SlowRequestAfter: time.Minute, SingleRequestIdle: time.Minute, ReusedIdle: time.Minute, MaxIDBytes: 64,
+		MaxDeadline: 5 * time.Second, ConnectAfterTerm: 400 * time.Millisecond, KillAfterTerm: time.Minute, CloseTimeout: 5 * time.Second}
 	searchers := NewSearchers(limits, quiet)
 	t.Cleanup(searchers.Close)
 	var names []string
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -66,7 +66,7 @@
 }
 
 // worn tells whether so many parts on the connection were given up and never answered that it may be stuck.
-func (l *conn) worn(lim charter.Limits) bool { return len(l.out) >= 2*lim.Streams }
+func (l *conn) worn(lim charter.Limits) bool { return len(l.out) >= 2*lim.MaxStreamsPerConn }
 
 // takes tells whether answers to the call could be told apart from those still to come.
 func (l *conn) takes(call []*Parcel) bool {
@@ -104,7 +104,7 @@
 func (s *Searchers) serve(ctx context.Context, l *conn, address string) {
 	defer s.wg.Done()
 	defer l.cancel()
-	d := net.Dialer{Timeout: s.lim.Connect, KeepAlive: -1}
+	d := net.Dialer{Timeout: s.lim.ConnectTimeout, KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		s.drop(l, err)
@@ -169,8 +169,8 @@
 	if _, err := in.Peek(1); err != nil {
 		return protocol.Frame{}, err
 	}
-	if protocol.Waits(in, s.lim.Frame) {
-		return protocol.ReadFrame(in, s.lim.Frame)
+	if protocol.Waits(in, s.lim.MaxFrameBytes) {
+		return protocol.ReadFrame(in, s.lim.MaxFrameBytes)
 	}
 	s.mu.Lock()
 	l.halted = true
@@ -179,10 +179,10 @@
 	if idle {
 		return protocol.Frame{}, errSpent
 	}
-	nc.SetReadDeadline(time.Now().Add(s.lim.Rest))
-	f, err := protocol.ReadFrame(in, s.lim.Frame)
+	nc.SetReadDeadline(time.Now().Add(s.lim.FrameReadTimeout))
+	f, err := protocol.ReadFrame(in, s.lim.MaxFrameBytes)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = &spoilt{protocol.Bad("frame: stopped for %v", s.lim.Rest), ""}
+		err = &spoilt{protocol.Bad("frame: stopped for %v", s.lim.FrameReadTimeout), ""}
 	}
 	nc.SetReadDeadline(time.Time{})
 	s.mu.Lock()
@@ -235,7 +235,7 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(l.raw) >= s.lim.Streams {
+		if len(l.raw) >= s.lim.MaxStreamsPerConn {
 			return protocol.Bad("frame %c: %d probes unanswered", f.Letter, len(l.raw))
 		}
 		l.raw = append(l.raw, protocol.AppendFrame(nil, f.Letter, protocol.ProbeAnswer(f.Letter)))
--- a/internal/transport/door.go
+++ b/internal/transport/door.go
@@ -42,13 +42,13 @@
 		return closing, since
 	case begun && c.stream.Whole || !begun && c.state == http.StateActive:
 		return busy, since
-	case begun && long <= s.Limits.Prompt:
+	case begun && long <= s.Limits.SlowRequestAfter:
 		return incoming, since
-	case begun || c.asked == 0 && (c.state == http.StateIdle || long > s.Limits.Prompt):
+	case begun || c.asked == 0 && (c.state == http.StateIdle || long > s.Limits.SlowRequestAfter):
 		return stuck, since
 	case c.asked == 0:
 		return silent, since
-	case c.asked == 1 && long > s.Limits.Once || long > s.Limits.Kept:
+	case c.asked == 1 && long > s.Limits.SingleRequestIdle || long > s.Limits.ReusedIdle:
 		return unneeded, since
 	case c.asked == 1:
 		return once, since
@@ -69,12 +69,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &client{Conn: nc, drain: s.Limits.Drain, since: time.Now()}
+	c := &client{Conn: nc, drain: s.Limits.CloseTimeout, since: time.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.conns) >= s.Limits.Staying() {
-		full := len(s.conns) >= s.Limits.Clients()
-		if !full && s.staying() < s.Limits.Staying() {
+	for len(s.conns) >= s.Limits.ClientEvictionThreshold() {
+		full := len(s.conns) >= s.Limits.MaxClientConns()
+		if !full && s.staying() < s.Limits.ClientEvictionThreshold() {
 			break
 		}
 		if o, u := s.spare(full); o != nil {
@@ -128,7 +128,7 @@
 		if u == closing {
 			continue
 		}
-		if u == unneeded || u == stuck && time.Since(since) > s.Limits.Once || all && u < incoming {
+		if u == unneeded || u == stuck && time.Since(since) > s.Limits.SingleRequestIdle || all && u < incoming {
 			o.end(s, u)
 		}
 	}
@@ -136,7 +136,7 @@
 
 // sweep closes unneeded connections until the context ends.
 func (s *Server) sweep(ctx context.Context) {
-	every := time.NewTicker(s.Limits.Prompt)
+	every := time.NewTicker(s.Limits.SlowRequestAfter)
 	defer every.Stop()
 	for {
 		select {
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -18,7 +18,7 @@
 func TestIdleIsClosedBeforeItsSearcherWould(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const keep = 800 * time.Millisecond
-		lim := charter.Limits{KeepAlive: keep, Write: time.Minute, Streams: 9, Sockets: 99}
+		lim := charter.Limits{KeepAliveTimeout: keep, WriteTimeout: time.Minute, MaxStreamsPerConn: 9, FileDescriptors: 99}
 		s, began := NewSearchers(lim, quiet), time.Now()
 		defer s.Close()
 		to := &searcher{name: "s"}
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -106,7 +106,7 @@
 // room makes room for one more connection, or tells what becomes of parts that need it: unreached where no descriptor can be had,
 // else they have never left, which the module holds against nobody. Satisfied means that there is room. The lock is held.
 func (s *Searchers) room(now int64, to *searcher) (unused []claimed, refused mixer.Outcome) {
-	fast, short := s.pool.TooFast(now), s.conns >= s.lim.Conns()
+	fast, short := s.pool.TooFast(now), s.conns >= s.lim.MaxBackendConns()
 	if !fast && !short && !s.pool.TooMany() {
 		return nil, mixer.Satisfied
 	}
@@ -119,7 +119,7 @@
 	if !fast && short {
 		s.short.Do(func() {
 			s.log.Warn("more connections to searchers are needed than there are descriptors for",
-				"connections", s.lim.Conns(), "searcher", to.name)
+				"connections", s.lim.MaxBackendConns(), "searcher", to.name)
 		})
 		return nil, mixer.Unreached
 	}
@@ -195,7 +195,7 @@
 // them, who counts from the last byte that it has seen. It looks only at what has changed and at what is due.
 func (s *Searchers) sweep() {
 	defer s.wg.Done()
-	every := time.NewTicker(s.lim.Sweep())
+	every := time.NewTicker(s.lim.IdleSweepInterval())
 	defer every.Stop()
 	for {
 		select {
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -34,8 +34,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(far.Stop)
-	s := NewSearchersWithin(b, charter.Limits{KeepAlive: time.Hour, Connect: 5 * time.Second, Rest: time.Second,
-		Write: 5 * time.Second, Streams: 9, Sockets: 2*room + 32, Frame: 999}, quiet)
+	s := NewSearchersWithin(b, charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: 5 * time.Second, FrameReadTimeout: time.Second,
+		WriteTimeout: 5 * time.Second, MaxStreamsPerConn: 9, FileDescriptors: 2*room + 32, MaxFrameBytes: 999}, quiet)
 	t.Cleanup(s.Close)
 	var list protocol.List
 	for i := range searchers {
@@ -166,8 +166,8 @@
 		c := gather(t, b, 6, 100)
 		c.s.Close()
 		c.far.Stop()
-		s := NewSearchersWithin(b, charter.Limits{KeepAlive: time.Second, Connect: time.Second, Rest: time.Second, Write: time.Second,
-			Streams: 9, Sockets: 99, Frame: 999}, quiet)
+		s := NewSearchersWithin(b, charter.Limits{KeepAliveTimeout: time.Second, ConnectTimeout: time.Second, FrameReadTimeout: time.Second, WriteTimeout: time.Second,
+			MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, quiet)
 		t.Cleanup(s.Close)
 		held := make(chan toy.Part, 9)
 		far.Handle = func(p toy.Part) { held <- p }
@@ -219,7 +219,7 @@
 // TestIdleWhileItIsWritten has a part given up while its frame is on its way: the connection is idle at once, and then used last, when the
 // frame is out.
 func TestIdleWhileItIsWritten(t *testing.T) {
-	s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+	s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 	defer s.Close()
 	p, _ := parcel(t, router(t, mixer.OnceOnly, "s"), "a")
 	near, _ := net.Pipe()
--- a/internal/transport/listing_test.go
+++ b/internal/transport/listing_test.go
@@ -22,7 +22,7 @@
 
 // A long list leaves the lock free after each few searchers; none that it still has is ever taken for gone, in whatever order it has them.
 func TestListsHoldTheLockForAFewSearchersOnly(t *testing.T) {
-	s := NewSearchers(charter.Limits{KeepAlive: time.Hour}, slog.New(slog.DiscardHandler))
+	s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour}, slog.New(slog.DiscardHandler))
 	defer s.Close()
 	const n = 10 * batch
 	rests := 0
@@ -89,7 +89,7 @@
 
 // A searcher with many connections counts for as many.
 func TestConnectionsCountInABatch(t *testing.T) {
-	s := NewSearchers(charter.Limits{KeepAlive: time.Hour}, slog.New(slog.DiscardHandler))
+	s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour}, slog.New(slog.DiscardHandler))
 	defer s.Close()
 	s.relist(listOf(0, 3, true), func() {})
 	s.mu.Lock()
--- a/internal/transport/probe.go
+++ b/internal/transport/probe.go
@@ -13,14 +13,14 @@
 // Probe asks a searcher whether it is there, on a connection of its own, which carries nothing else: no work is done for it,
 // and no lookup's connection waits behind it. It tells whether the connection came up, and whether an answer came in time.
 func Probe(ctx context.Context, address string, within time.Duration, lim charter.Limits) (up, answered bool) {
-	d := net.Dialer{Timeout: min(lim.Connect, within), KeepAlive: -1}
+	d := net.Dialer{Timeout: min(lim.ConnectTimeout, within), KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false, false
 	}
 	defer nc.Close()
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	return true, probed(nc, within, lim.Frame)
+	return true, probed(nc, within, lim.MaxFrameBytes)
 }
 
 // probed asks on a connection, and tells whether an answer of at most so many bytes came in time.
--- a/internal/transport/probe_test.go
+++ b/internal/transport/probe_test.go
@@ -16,7 +16,7 @@
 // TestProbe asks searchers that answer, that say nothing, and that are not there. The mute one has got the probe, so its
 // connection is up for sure, when the asker is told to leave off. How long is waited is TestProbeInTime's.
 func TestProbe(t *testing.T) {
-	lim := charter.Limits{Connect: time.Minute, Frame: 999}
+	lim := charter.Limits{ConnectTimeout: time.Minute, MaxFrameBytes: 999}
 	far := &toy.Searcher{}
 	w := play(t, far)
 	if up, answered := Probe(t.Context(), w.far.Address, time.Minute, lim); !up || !answered {
--- a/internal/transport/searchers.go
+++ b/internal/transport/searchers.go
@@ -72,7 +72,7 @@
 
 // NewSearchersWithin is NewSearchers with a budget of connections.
 func NewSearchersWithin(b conns.Budget, lim charter.Limits, log *slog.Logger) *Searchers {
-	s := &Searchers{lim: lim, log: log, all: map[string]*searcher{}, pool: conns.New(b, int64(lim.Idle()))}
+	s := &Searchers{lim: lim, log: log, all: map[string]*searcher{}, pool: conns.New(b, int64(lim.IdleTimeout()))}
 	if b.Set() {
 		s.peers = map[*searcher]*conns.Peer{}
 	}
@@ -133,7 +133,7 @@
 			l.halted, l.spent = true, true
 			s.judge(l)
 		}
-		fits := live+len(call) <= s.lim.Streams && !l.halted && !l.worn(s.lim) && l.takes(call)
+		fits := live+len(call) <= s.lim.MaxStreamsPerConn && !l.halted && !l.worn(s.lim) && l.takes(call)
 		if fresh && live == 0 && l.nc != nil {
 			idle = append(idle, l)
 		} else if best == nil && fits && !(fresh && silent) {
--- a/internal/transport/searchers_test.go
+++ b/internal/transport/searchers_test.go
@@ -38,8 +38,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(far.Stop)
-	s := NewSearchers(charter.Limits{KeepAlive: 10 * time.Second, Connect: time.Second, Rest: 100 * time.Millisecond,
-		Write: 5 * time.Second, Streams: 9, Sockets: 99, Frame: 999}, log)
+	s := NewSearchers(charter.Limits{KeepAliveTimeout: 10 * time.Second, ConnectTimeout: time.Second, FrameReadTimeout: 100 * time.Millisecond,
+		WriteTimeout: 5 * time.Second, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, log)
 	t.Cleanup(s.Close)
 	s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: far.Address}}})
 	return &played{t, r, s, far}
@@ -227,7 +227,7 @@
 		for cut := range frame + 1 {
 			ticket := take(t, router(t, mixer.OnceOnly, "s", "other"), "a")
 			call := pick(t, ticket).Calls[0]
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 			near, _ := net.Pipe()
 			p := &Parcel{Forward: call.Forwards[0], Part: part}
 			l := &conn{to: &searcher{}, nc: near, cancel: func() {}, out: map[string]*Parcel{part.ID: p}}
@@ -254,7 +254,7 @@
 	part := protocol.Part{ID: "a.0", Text: "some text"}
 	for _, within := range []bool{false, true} {
 		call := pick(t, take(t, router(t, mixer.Repeatable, "s"), "a")).Calls[0]
-		s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+		s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 		near, _ := net.Pipe()
 		parcel := &Parcel{Forward: call.Forwards[0], Part: part}
 		l := &conn{to: &searcher{}, nc: near, cancel: func() {}, out: map[string]*Parcel{part.ID: parcel}}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -57,11 +57,11 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { refuse(w, http.StatusNotFound, "no such place") })
 	s.http = &http.Server{
 		Handler:           s.guard(mux),
-		ReadHeaderTimeout: s.Limits.Read,
-		ReadTimeout:       s.Limits.Read,
-		WriteTimeout:      s.Limits.Patience + s.Limits.Write, // from each request's header on
+		ReadHeaderTimeout: s.Limits.ReadTimeout,
+		ReadTimeout:       s.Limits.ReadTimeout,
+		WriteTimeout:      s.Limits.MaxDeadline + s.Limits.WriteTimeout, // from each request's header on
 		IdleTimeout:       -1,
-		MaxHeaderBytes:    s.Limits.Header,
+		MaxHeaderBytes:    s.Limits.MaxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return base },
 		ConnState:         s.state,
 		ConnContext:       func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
@@ -89,13 +89,13 @@
 func (s *Server) Leave() error {
 	s.leaving.Store(true)
 	began := time.Now()
-	time.Sleep(s.Limits.Linger())
-	ctx, done := context.WithTimeout(context.Background(), time.Until(began.Add(s.Limits.Leave())))
+	time.Sleep(s.Limits.ServeAfterTerm())
+	ctx, done := context.WithTimeout(context.Background(), time.Until(began.Add(s.Limits.AnswerAfterTerm())))
 	defer done()
 	err := s.shut(ctx)
 	if err != nil {
 		s.cut()
-		last, done := context.WithTimeout(context.Background(), s.Limits.Arrivals/4)
+		last, done := context.WithTimeout(context.Background(), s.Limits.ConnectAfterTerm/4)
 		defer done()
 		err = errors.Join(err, s.shut(last))
 	}
@@ -108,7 +108,7 @@
 func (s *Server) shut(ctx context.Context) error {
 	s.ending.Store(true)
 	s.door.Close()
-	for ; ; time.Sleep(s.Limits.Arrivals / 16) {
+	for ; ; time.Sleep(s.Limits.ConnectAfterTerm / 16) {
 		s.closeUnused(true)
 		s.mu.Lock()
 		open, staying := len(s.conns), s.staying()
@@ -208,14 +208,14 @@
 // body reads a request's body, or says with which status and why the request is refused. What is wrong with the bytes is
 // asked before, since a body told in two ways is not read, and after, since more than the body may have come.
 func (s *Server) body(w http.ResponseWriter, r *http.Request, c *client) (raw []byte, status int, why string) {
-	over := "body: over " + strconv.Itoa(s.Limits.Body) + " bytes"
+	over := "body: over " + strconv.Itoa(s.Limits.MaxBodyBytes) + " bytes"
 	if why := c.fault(); why != "" || !r.ProtoAtLeast(1, 1) {
 		return nil, http.StatusBadRequest, cmp.Or(why, "not HTTP/1.1")
 	}
-	if r.ContentLength > int64(s.Limits.Body) {
+	if r.ContentLength > int64(s.Limits.MaxBodyBytes) {
 		return nil, http.StatusRequestEntityTooLarge, over
 	}
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.Limits.Body)))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.Limits.MaxBodyBytes)))
 	if big := (*http.MaxBytesError)(nil); errors.As(err, &big) {
 		return nil, http.StatusRequestEntityTooLarge, over
 	} else if err != nil {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -102,7 +102,7 @@
 	heard := make(chan protocol.List, 10)
 	w := &Watch{
 		Discovery: agent.Listener.Addr().String(), Known: protocol.List{Version: 4},
-		Limits: charter.Limits{Beat: 500 * time.Millisecond, Read: 2 * time.Second, Line: 1 << 10, WatchLast: 20 * time.Millisecond},
+		Limits: charter.Limits{HeartbeatInterval: 500 * time.Millisecond, ReadTimeout: 2 * time.Second, MaxListMessageBytes: 1 << 10, MaxWatchBackoff: 20 * time.Millisecond},
 		Log:    quiet, Listed: func(l protocol.List) { heard <- l },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -141,7 +141,7 @@
 	var log bytes.Buffer
 	w := &Watch{
 		Discovery: agent.Listener.Addr().String(),
-		Limits:    charter.Limits{Beat: 80 * time.Millisecond, Read: time.Second, Line: 1 << 10, WatchLast: 200 * time.Millisecond},
+		Limits:    charter.Limits{HeartbeatInterval: 80 * time.Millisecond, ReadTimeout: time.Second, MaxListMessageBytes: 1 << 10, MaxWatchBackoff: 200 * time.Millisecond},
 		Log:       slog.New(slog.NewTextHandler(&log, nil)),
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -74,7 +74,7 @@
 // the agent has counts as told; only those that bring nothing wait for longer and longer, with jitter.
 func (w *Watch) Run(ctx context.Context) {
 	if w.dial == nil {
-		w.dial = (&net.Dialer{Timeout: w.Limits.Read, KeepAlive: -1}).DialContext
+		w.dial = (&net.Dialer{Timeout: w.Limits.ReadTimeout, KeepAlive: -1}).DialContext
 	}
 	w.version, w.members, w.lost, w.alive = w.Known.Version, map[string]protocol.Member{}, w.Fresh, time.Now()
 	w.keep(w.Known)
@@ -133,7 +133,7 @@
 		if err := c.read(ctx, protocol.PathList, first); err != nil {
 			return err
 		}
-		first = w.Limits.Silence() // the list has told all, and a watch may have nothing to say before its first beat
+		first = w.Limits.MaxWatchSilence() // the list has told all, and a watch may have nothing to say before its first beat
 	}
 	c.watch = true
 	return c.read(ctx, protocol.PathWatch(w.version), first)
@@ -141,7 +141,7 @@
 
 // beside asks for whole lists while a message drips, until one has come, which overtakes it, or the message has.
 func (w *Watch) beside(message context.Context, cut context.CancelCauseFunc) {
-	ctx, done := context.WithTimeout(message, 8*w.Limits.Read)
+	ctx, done := context.WithTimeout(message, 8*w.Limits.ReadTimeout)
 	defer done()
 	c := &call{w: w, overtakes: func() { cut(errOvertaken) },
 		late: func(_ context.Context, cut context.CancelCauseFunc) { cut(errSlow) }}
@@ -167,12 +167,12 @@
 func (w *Watch) state() (lost bool, first time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lost, w.Limits.Asked(time.Since(w.alive))
+	return w.lost, w.Limits.FirstReplyTimeout(time.Since(w.alive))
 }
 
 // pause is how long to wait after so many calls in a row that brought nothing.
 func (w *Watch) pause(fails int) time.Duration {
-	wait := min(w.Limits.Beat/16<<min(fails, 10), w.Limits.WatchLast)
+	wait := min(w.Limits.HeartbeatInterval/16<<min(fails, 10), w.Limits.MaxWatchBackoff)
 	return wait/2 + rand.N(wait)
 }
 
@@ -205,10 +205,10 @@
 	}
 	defer body.Close()
 	if c.watch {
-		silent.Reset(min(w.Limits.Silence(), w.Limits.Silence()+w.Limits.Beat/4-time.Since(began)))
+		silent.Reset(min(w.Limits.MaxWatchSilence(), w.Limits.MaxWatchSilence()+w.Limits.HeartbeatInterval/4-time.Since(began)))
 	}
 	whole := func() {}
-	news := protocol.NewNews(body, w.Limits.Line)
+	news := protocol.NewNews(body, w.Limits.MaxListMessageBytes)
 	news.Heard = func(begun bool) {
 		if whole(); begun {
 			silent.Stop()
@@ -217,12 +217,12 @@
 			late.Go(func() {
 				select {
 				case <-message.Done():
-				case <-time.After(w.Limits.Whole()):
+				case <-time.After(w.Limits.ListMessageTimeout()):
 					c.late(message, cut)
 				}
 			})
 		} else if c.watch {
-			silent.Reset(w.Limits.Silence())
+			silent.Reset(w.Limits.MaxWatchSilence())
 			w.heard()
 		}
 	}
--- a/internal/transport/watch_wrong_test.go
+++ b/internal/transport/watch_wrong_test.go
@@ -146,7 +146,7 @@
 			go server.Serve(at)
 			heard := make(chan time.Duration, 1)
 			w := &Watch{Discovery: "agent", Known: protocol.List{Version: 1}, Fresh: true, Log: quiet,
-				Limits: charter.Limits{Beat: 2 * time.Second, Read: 2 * time.Second, Line: 1 << 10, WatchLast: time.Second},
+				Limits: charter.Limits{HeartbeatInterval: 2 * time.Second, ReadTimeout: 2 * time.Second, MaxListMessageBytes: 1 << 10, MaxWatchBackoff: time.Second},
 				Listed: func(l protocol.List) {
 					if l.Version == 3 {
 						select {
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -125,7 +125,7 @@
 // pass writes a frame of parts. Where all of them are given up while it is held up it goes no further: nothing of it has
 // left, or the connection goes with what has, unless others would be lost so. Then it has to be finished.
 func (s *Searchers) pass(l *conn, nc net.Conn, frame []byte) (n int, err error) {
-	end := time.Now().Add(s.lim.Write)
+	end := time.Now().Add(s.lim.WriteTimeout)
 	for {
 		s.mu.Lock()
 		until := end
@@ -159,7 +159,7 @@
 
 // put writes a frame that is no call.
 func (s *Searchers) put(nc net.Conn, frame []byte) error {
-	nc.SetWriteDeadline(time.Now().Add(s.lim.Write))
+	nc.SetWriteDeadline(time.Now().Add(s.lim.WriteTimeout))
 	_, err := nc.Write(frame)
 	return err
 }
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -25,7 +25,7 @@
 func TestFrameOfWhichNothingHasLeft(t *testing.T) {
 	for how, give := range ways {
 		t.Run(how, func(t *testing.T) {
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 9}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 9}, quiet)
 			defer s.Close()
 			w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
 			near, far := net.Pipe()
@@ -78,8 +78,8 @@
 					t.Fatal(err)
 				}
 				defer l.Close()
-				s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Connect: time.Second, Rest: time.Second,
-					Write: time.Minute, Streams: 9, Sockets: 99, Frame: 999}, quiet)
+				s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: time.Second, FrameReadTimeout: time.Second,
+					WriteTimeout: time.Minute, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, quiet)
 				defer s.Close()
 				s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: l.Addr().String()}}})
 				w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
@@ -159,7 +159,7 @@
 				t.Fatal(err)
 			}
 			defer far.Close()
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 			defer s.Close()
 			ticket := take(t, router(t, mixer.OnceOnly, "s", "other"), "a")
 			call := pick(t, ticket).Calls[0]
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -192,17 +192,17 @@
 	if f.err != nil {
 		return f.err
 	}
-	terms, err := charter.Pairs(f.left)
+	terms, err := charter.ParsePairs(f.left)
 	var ch mixer.Charter
 	var names map[string]int
 	if err == nil {
-		ch, names, err = terms.Charter()
+		ch, names, err = terms.MixerConfig()
 	}
-	if bad := (*charter.Fault)(nil); errors.As(err, &bad) {
+	if bad := (*charter.SettingError)(nil); errors.As(err, &bad) {
 		return &fault{f.line, f.message, bad.Key, clip(bad.Value)}
 	}
 	i := &instance{
-		host: h, name: name, tariffs: names, customers: terms.Customers(ch),
+		host: h, name: name, tariffs: names, customers: terms.TenantRows(ch),
 		lookups: map[string]*held{}, parts: map[string]*heldPart{}, byNumber: map[int64]*held{}, timers: map[int64]mixer.Due{},
 	}
 	for _, t := range ch.Tariffs {
@@ -273,7 +273,7 @@
 }
 
 // time reads milliseconds as whole nanoseconds.
-func (f *fields) time(field string) int64 { return charter.Nanos(f.number(field, f.text(field))) }
+func (f *fields) time(field string) int64 { return charter.MillisToNanos(f.number(field, f.text(field))) }
 
 // timeOr is time for a value that may be absent.
 func (f *fields) timeOr(field string, absent int64) int64 {
@@ -281,7 +281,7 @@
 	if s == "-" {
 		return absent
 	}
-	return charter.Nanos(f.number(field, s))
+	return charter.MillisToNanos(f.number(field, s))
 }
 
 func (f *fields) bool(field string) bool {
