--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -1,5 +1,6 @@
-// Package charter reads the settings a mixer is given, from the bench's wire or from a real configuration, into
-// the module's Charter and the Limits of the real mixer.
+// Package charter parses the settings of a load balancer, from the simulator's line protocol or from a JSON
+// configuration, into the mixer's Charter and the Limits of the process that runs it. It also applies the
+// documents that change settings at run time.
 package charter
 
 import (
@@ -12,15 +13,15 @@
 	"nettlefold/mixer"
 )
 
-// Terms are settings as the wire writes them, a value for each path.
+// Settings maps the dotted path of each setting, such as "Profiles.0.AimMs", to its value as text.
 type Settings map[string]string
 
-// Fault is a setting that is missing or out of range.
+// SettingError reports a setting that is missing or has an invalid value. Key is the path of the setting.
 type SettingError struct{ Key, Value string }
 
-func (f *SettingError) Error() string { return fmt.Sprintf("setting %s: %q", f.Key, f.Value) }
+func (e *SettingError) Error() string { return fmt.Sprintf("invalid setting %s: %q", e.Key, e.Value) }
 
-// Pairs reads settings written as path=value.
+// ParsePairs parses settings given as path=value. Its error is a *SettingError.
 func ParsePairs(pairs []string) (Settings, error) {
 	t := Settings{}
 	for _, p := range pairs {
@@ -33,13 +34,13 @@
 	return t, nil
 }
 
-// Nested reads settings written as one JSON object.
+// ParseJSON parses settings given as one nested JSON object.
 func ParseJSON(raw []byte) (Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var all map[string]any
 	if err := d.Decode(&all); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("parse settings: %w", err)
 	}
 	t := Settings{}
 	for k, v := range all {
@@ -48,8 +49,9 @@
 	return t, nil
 }
 
-// flatten writes one value the way the wire does: objects by their paths, lists of objects by number, lists of
-// plain values in one.
+// flatten stores a JSON value in the form of the line protocol: the members of an object under their paths,
+// a list of objects under the numbers of its rows with a count, and a list of scalars as one
+// comma-separated value.
 func (t Settings) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -57,22 +59,22 @@
 			t.flatten(path+"."+k, w)
 		}
 	case []any:
-		plain := make([]string, len(v))
+		scalars := make([]string, len(v))
 		for i, w := range v {
 			if _, ok := w.(map[string]any); ok {
 				t[path+".count"] = strconv.Itoa(len(v))
 				t.flatten(path+"."+strconv.Itoa(i), w)
 				continue
 			}
-			plain[i] = strings.NewReplacer(" ", "_", ",", "_").Replace(formatScalar(w))
+			scalars[i] = strings.NewReplacer(" ", "_", ",", "_").Replace(formatScalar(w))
 		}
-		t[path] = strings.Join(plain, ",")
+		t[path] = strings.Join(scalars, ",")
 	default:
 		t[path] = formatScalar(v)
 	}
 }
 
-// text writes one plain value.
+// formatScalar formats a scalar JSON value as the line protocol does; null is "-".
 func formatScalar(v any) string {
 	if v == nil {
 		return "-"
@@ -80,7 +82,8 @@
 	return fmt.Sprint(v)
 }
 
-// Nanos turns milliseconds into nanoseconds, by way of whole microseconds, which is what the clock counts.
+// MillisToNanos converts milliseconds to nanoseconds, rounded to whole microseconds, the resolution of the
+// simulator's clock.
 func MillisToNanos(ms float64) int64 {
 	if ms < 0 {
 		return int64(ms*1000-0.5) * 1000
@@ -88,12 +91,13 @@
 	return int64(ms*1000+0.5) * 1000
 }
 
-// reader reads values and keeps the first fault.
+// settingReader converts settings to numbers and flags, and keeps the first error.
 type settingReader struct {
-	settings   Settings
+	settings Settings
 	firstErr *SettingError
 }
 
+// err returns the first error, or nil.
 func (s *settingReader) err() error {
 	if s.firstErr == nil {
 		return nil
@@ -101,13 +105,15 @@
 	return s.firstErr
 }
 
+// reject records an invalid value unless an earlier one has been recorded.
 func (s *settingReader) reject(key, value string) {
 	if s.firstErr == nil {
 		s.firstErr = &SettingError{key, value}
 	}
 }
 
-// number reads v, the value of key or one item of it, within lo and hi.
+// parseNumber parses v, the value of key or one item of it, as a number from lo to hi. It returns 0 for an
+// invalid value.
 func (s *settingReader) parseNumber(key, v string, lo, hi float64) float64 {
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(x >= lo && x <= hi) {
@@ -117,11 +123,11 @@
 	return x
 }
 
-// float reads a number within lo and hi; with need false an absent one is zero.
-func (s *settingReader) float(key string, need bool, lo, hi float64) float64 {
+// float returns the number at key, which must be from lo to hi. An absent optional setting is 0.
+func (s *settingReader) float(key string, required bool, lo, hi float64) float64 {
 	v, ok := s.settings[key]
 	if !ok || v == "-" || v == "" {
-		if need {
+		if required {
 			s.reject(key, "(missing)")
 		}
 		return 0
@@ -129,16 +135,21 @@
 	return s.parseNumber(key, v, lo, hi)
 }
 
-func (s *settingReader) nanos(key string, need bool) int64 { return MillisToNanos(s.float(key, need, 0, 1e12)) }
+// nanos returns a setting in milliseconds as nanoseconds.
+func (s *settingReader) nanos(key string, required bool) int64 {
+	return MillisToNanos(s.float(key, required, 0, 1e12))
+}
 
-func (s *settingReader) integer(key string, need bool, lo int) int {
-	x := s.float(key, need, float64(lo), 1e9)
+// integer returns a setting that is a whole number of at least lo.
+func (s *settingReader) integer(key string, required bool, lo int) int {
+	x := s.float(key, required, float64(lo), 1e9)
 	if x != float64(int(x)) {
 		s.reject(key, s.settings[key])
 	}
 	return int(x)
 }
 
+// boolean returns a flag; an absent one is false.
 func (s *settingReader) boolean(key string) bool {
 	switch v := s.settings[key]; v {
 	case "true", "1", "True":
@@ -150,7 +161,7 @@
 	return false
 }
 
-// column reads item i of a list of plain values; where the whole key is absent, it is def.
+// listItem returns item i of a comma-separated list of numbers from lo to hi, or def if the list is absent.
 func (s *settingReader) listItem(key string, i int, def, lo, hi float64) float64 {
 	v, ok := s.settings[key]
 	if !ok || v == "" || v == "-" {
@@ -164,26 +175,27 @@
 	return s.parseNumber(key, items[i], lo, hi)
 }
 
-// mostShares is what the customers' shares may add up to: all, and what rounding adds.
+// maxShareSum is the largest allowed sum of the tenants' shares: the whole, plus rounding.
 const maxShareSum = 1 + 1e-3
 
-// customers reads the allowances, and checks what else is told of customers.
+// tenantAllowances returns the rate that each tenant is allowed, in lookups per second, and validates the
+// tenants' names and shares.
 func (s *settingReader) tenantAllowances() (allowances []float64) {
 	if s.settings["Tenants.count"] == "" {
 		return nil
 	}
-	names, shares := map[string]bool{}, 0.0
+	names, shareSum := map[string]bool{}, 0.0
 	for i := range s.integer("Tenants.count", true, 0) {
-		at := "Tenants." + strconv.Itoa(i) + "."
-		name := s.settings[at+"Name"]
-		if name == "" || name == "-" || names[name] { // missing, or told twice
-			s.reject(at+"Name", name)
+		row := "Tenants." + strconv.Itoa(i) + "."
+		name := s.settings[row+"Name"]
+		if name == "" || name == "-" || names[name] { // missing or duplicate
+			s.reject(row+"Name", name)
 		}
 		names[name] = true
-		if shares += s.float(at+"Share", true, 0, 1); shares > maxShareSum {
-			s.reject(at+"Share", s.settings[at+"Share"])
+		if shareSum += s.float(row+"Share", true, 0, 1); shareSum > maxShareSum {
+			s.reject(row+"Share", s.settings[row+"Share"])
 		}
-		allowances = append(allowances, s.float(at+"AllowancePerS", true, 0, 1e9))
+		allowances = append(allowances, s.float(row+"AllowancePerS", true, 0, 1e9))
 		if s.firstErr != nil {
 			return nil
 		}
@@ -191,7 +203,8 @@
 	return allowances
 }
 
-// Customers gives the rows of the customers by name, from 1 on, as many as the charter of the same terms has allowances.
+// TenantRows returns the row of each tenant by name, counted from 1. The charter c must come from the same
+// settings; its number of allowances is the number of rows.
 func (t Settings) TenantRows(c mixer.Charter) map[string]int {
 	rows := map[string]int{}
 	for i := range c.Allowances {
@@ -200,7 +213,8 @@
 	return rows
 }
 
-// Charter gives what the module is told, and the rows of its tariffs by name.
+// MixerConfig returns the configuration of the mixer and the row of each request profile by name. Its error
+// is a *SettingError.
 func (t Settings) MixerConfig() (mixer.Charter, map[string]int, error) {
 	s := &settingReader{settings: t}
 	c := mixer.Charter{
@@ -227,7 +241,7 @@
 	switch w := s.settings["Weights"]; w {
 	case "nominal", "rough":
 		c.Sized = true
-	case "", "-", "none", "live": // what varies with load is no size
+	case "", "-", "none", "live": // live weights vary with load and are no measure of size
 	default:
 		s.reject("Weights", w)
 	}
@@ -240,38 +254,38 @@
 	default:
 		s.reject("MembershipMode", mode)
 	}
-	names := map[string]int{}
+	profileRows := map[string]int{}
 	n := s.integer("Profiles.count", true, 1)
 	for i := range n {
-		at := "Profiles." + strconv.Itoa(i) + "."
-		t := mixer.Tariff{
-			Expected:   s.nanos(at+"AimMs", true),
-			Patience:   s.nanos(at+"DeadlineMs", true),
-			RepeatFor:  s.nanos(at+"KeyTtlMs", false),
+		row := "Profiles." + strconv.Itoa(i) + "."
+		p := mixer.Tariff{
+			Expected:   s.nanos(row+"AimMs", true),
+			Patience:   s.nanos(row+"DeadlineMs", true),
+			RepeatFor:  s.nanos(row+"KeyTtlMs", false),
 			SecondStep: int(s.listItem("FamilyInfo.FetchParts", i, 0, 0, 1e6)),
 		}
-		t.CompleteFrom = s.listItem("FamilyInfo.CompleteFrom", i, 1, 0, 1)
-		t.LeastShare = s.listItem("FamilyInfo.LeastShare", i, t.CompleteFrom, 0, 1)
-		t.Partial = s.listItem("FamilyInfo.ClassPartial", i, 0, 0, 1)
-		switch e := s.settings[at+"Effect"]; e {
+		p.CompleteFrom = s.listItem("FamilyInfo.CompleteFrom", i, 1, 0, 1)
+		p.LeastShare = s.listItem("FamilyInfo.LeastShare", i, p.CompleteFrom, 0, 1)
+		p.Partial = s.listItem("FamilyInfo.ClassPartial", i, 0, 0, 1)
+		switch e := s.settings[row+"Effect"]; e {
 		case "retryable":
-			t.Effect = mixer.Repeatable
+			p.Effect = mixer.Repeatable
 		case "dedup":
-			t.Effect = mixer.Tagged
+			p.Effect = mixer.Tagged
 		case "fragile":
-			t.Effect = mixer.OnceOnly
+			p.Effect = mixer.OnceOnly
 		default:
-			s.reject(at+"Effect", e)
+			s.reject(row+"Effect", e)
 		}
-		name := s.settings[at+"Name"]
+		name := s.settings[row+"Name"]
 		if name == "" {
-			s.reject(at+"Name", "(missing)")
+			s.reject(row+"Name", "(missing)")
 		}
 		if s.firstErr != nil {
 			break
 		}
-		names[name] = i
-		c.Tariffs = append(c.Tariffs, t)
+		profileRows[name] = i
+		c.Tariffs = append(c.Tariffs, p)
 	}
-	return c, names, s.err()
+	return c, profileRows, s.err()
 }
--- a/internal/charter/limits.go
+++ b/internal/charter/limits.go
@@ -6,118 +6,133 @@
 	"nettlefold/mixer"
 )
 
-// Limits are the sizes, counts and times the real mixer keeps to. They come from the platform or the settings
-// where these state them; the rest are bounds for safety that no sound peer meets.
+// Limits are the sizes, counts and durations that the process around the mixer keeps to. They come from the
+// platform or the settings where these state them; the rest are safety bounds that no correct peer reaches.
 type Limits struct {
-	// The platform's.
-	CPUCores   float64
-	MemoryBytes  int64 // bytes
-	FileDescriptors int   // descriptors
-
-	// The settings'.
-	Shards    int           // shards there are
-	MaxOpenRequests      int           // lookups and parts open from which on no lookup is let in
-	MaxStreamsPerConn   int           // parts out on one connection
-	ConnectTimeout   time.Duration // for a connection to come up
-	KeepAliveTimeout time.Duration // after which a searcher closes an idle connection
-	MaxDeadline  time.Duration // the longest of any tariff
-
-	// PROTOCOL's.
-	MaxBodyBytes      int           // bytes of a client's request
-	HeartbeatInterval      time.Duration // between the empty lines of a silent watch
-	ConnectAfterTerm  time.Duration // how long new connections still come after SIGTERM
-	AdmitAfterTerm     time.Duration // after SIGTERM, up to which requests are let in that need not be answered before SIGKILL
-	KillAfterTerm time.Duration // after SIGTERM, before SIGKILL may come
-
-	// Bounds for safety.
-	MaxHeaderBytes    int           // bytes of a client's header
-	ReadTimeout      time.Duration // for a client's whole request, from its connection's start if it is the first
-	SlowRequestAfter    time.Duration // in which a sound client's request comes whole; longer ones are the first to lose their place
-	SingleRequestIdle      time.Duration // in which a client that has asked once asks again
-	ReusedIdle      time.Duration // in which one that has asked more often does
-	CloseTimeout     time.Duration // for what still comes on a client's connection that we have ended, or for its close
-	WriteTimeout     time.Duration // for an answer, or for one frame
-	FrameReadTimeout      time.Duration // for a searcher's frame that has begun to come, as long as a connection may take
-	MaxFrameBytes     int           // bytes of a searcher's frame
-	MaxListMessageBytes      int           // bytes of one message of the list
-	FirstListTimeout     time.Duration // a start waits for discovery's first answer
-	ReadyTimeout     time.Duration // after its start a process is ready without a live searcher too: what discovery has counts as told by then
-	MaxWatchBackoff time.Duration // longest wait before the watch is tried again; the agent is on this machine, asking is free
-	MaxIDBytes        int           // bytes of a lookup's id
+	// Set by the platform.
+	CPUCores        float64
+	MemoryBytes     int64
+	FileDescriptors int
+
+	// Set by the settings.
+	Shards            int           // number of shards
+	MaxOpenRequests   int           // open lookups and parts from which on no lookup is admitted
+	MaxStreamsPerConn int           // in-flight parts on one backend connection
+	ConnectTimeout    time.Duration // for establishing a backend connection
+	KeepAliveTimeout  time.Duration // after which a backend closes an idle connection
+	MaxDeadline       time.Duration // longest deadline of any request profile
+
+	// Set by the PROTOCOL document. The durations ending in AfterTerm are counted from SIGTERM.
+	MaxBodyBytes      int           // of a client's request
+	HeartbeatInterval time.Duration // between the empty lines on a watch without updates
+	ConnectAfterTerm  time.Duration // up to which new client connections still arrive
+	AdmitAfterTerm    time.Duration // up to which an admitted request has its whole deadline, at most 3 s of it, before SIGKILL
+	KillAfterTerm     time.Duration // before which SIGKILL does not come
+
+	// Safety bounds.
+	MaxHeaderBytes      int           // of a client's request
+	ReadTimeout         time.Duration // for a client's whole request; the first one is timed from the start of its connection
+	SlowRequestAfter    time.Duration // in which a correct client sends a whole request; slower connections are evicted first
+	SingleRequestIdle   time.Duration // in which a client that has sent one request sends its second
+	ReusedIdle          time.Duration // in which a client that has sent several requests sends the next
+	CloseTimeout        time.Duration // for the remaining input of a client connection closed here, or for the client's close
+	WriteTimeout        time.Duration // for a response, or for one frame
+	FrameReadTimeout    time.Duration // for the rest of a backend's frame that has started to arrive; equals ConnectTimeout
+	MaxFrameBytes       int           // of a backend's frame
+	MaxListMessageBytes int           // of one message of the membership list
+	FirstListTimeout    time.Duration // for which startup waits for the first reply of service discovery
+	ReadyTimeout        time.Duration // from process start until it is ready even without a live backend: discovery takes it as up to date by then
+	MaxWatchBackoff     time.Duration // between attempts to open the watch; short, as the agent runs on this machine and a call is cheap
+	MaxIDBytes          int           // of a lookup's ID
 }
 
-// Limits gives the settings' limits, with PROTOCOL's and the bounds for safety. The charter is that of the same terms.
+// Limits returns the limits that the settings state, together with the fixed ones. The charter c must come
+// from the same settings. The limits of the platform are left zero.
 func (t Settings) Limits(c mixer.Charter) (Limits, error) {
 	s := &settingReader{settings: t}
 	l := Limits{
-		Shards:    s.integer("FamilyInfo.Slabs", true, 1),
-		MaxOpenRequests:      s.integer("PolicyLimits.MaxOpen", true, 1),
+		Shards:              s.integer("FamilyInfo.Slabs", true, 1),
+		MaxOpenRequests:     s.integer("PolicyLimits.MaxOpen", true, 1),
 		MaxStreamsPerConn:   s.integer("PolicyLimits.MaxStreams", true, 1),
-		ConnectTimeout:   time.Duration(s.nanos("PolicyLimits.ConnectTimeoutMs", true)),
-		KeepAliveTimeout: time.Duration(s.nanos("PolicyLimits.KeepaliveMs", true)),
-		MaxBodyBytes:      64 << 10,
-		HeartbeatInterval:      2 * time.Second,
-		ConnectAfterTerm:  400 * time.Millisecond,
-		AdmitAfterTerm:     700 * time.Millisecond,
-		MaxHeaderBytes:    16 << 10,
-		ReadTimeout:      2 * time.Second,
+		ConnectTimeout:      time.Duration(s.nanos("PolicyLimits.ConnectTimeoutMs", true)),
+		KeepAliveTimeout:    time.Duration(s.nanos("PolicyLimits.KeepaliveMs", true)),
+		MaxBodyBytes:        64 << 10,
+		HeartbeatInterval:   2 * time.Second,
+		ConnectAfterTerm:    400 * time.Millisecond,
+		AdmitAfterTerm:      700 * time.Millisecond,
+		MaxHeaderBytes:      16 << 10,
+		ReadTimeout:         2 * time.Second,
 		SlowRequestAfter:    250 * time.Millisecond,
-		SingleRequestIdle:      4 * time.Second,
-		ReusedIdle:      time.Minute,
-		CloseTimeout:     250 * time.Millisecond,
-		WriteTimeout:     5 * time.Second,
-		MaxFrameBytes:     64 << 10,
-		MaxListMessageBytes:      8 << 20,
-		FirstListTimeout:     500 * time.Millisecond,
-		ReadyTimeout:     6 * time.Second,
-		MaxWatchBackoff: time.Second,
-		MaxIDBytes:        64,
+		SingleRequestIdle:   4 * time.Second,
+		ReusedIdle:          time.Minute,
+		CloseTimeout:        250 * time.Millisecond,
+		WriteTimeout:        5 * time.Second,
+		MaxFrameBytes:       64 << 10,
+		MaxListMessageBytes: 8 << 20,
+		FirstListTimeout:    500 * time.Millisecond,
+		ReadyTimeout:        6 * time.Second,
+		MaxWatchBackoff:     time.Second,
+		MaxIDBytes:          64,
 	}
 	l.FrameReadTimeout = l.ConnectTimeout
-	for _, tariff := range c.Tariffs {
-		l.MaxDeadline = max(l.MaxDeadline, time.Duration(tariff.Patience))
+	for _, profile := range c.Tariffs {
+		l.MaxDeadline = max(l.MaxDeadline, time.Duration(profile.Patience))
 	}
 	l.KillAfterTerm = min(l.MaxDeadline, 3*time.Second) + l.AdmitAfterTerm
 	return l, s.err()
 }
 
-// Idle is how long a connection to a searcher may lie idle: it is closed well before the searcher would.
+// IdleTimeout returns how long a backend connection may be idle before it is closed here, which is well
+// before the backend would close it.
 func (l Limits) IdleTimeout() time.Duration { return l.KeepAliveTimeout - l.KeepAliveTimeout/8 }
 
-// Sweep is how often idle connections are looked for.
-func (l Limits) IdleSweepInterval() time.Duration { return max(l.KeepAliveTimeout/32, time.Millisecond) }
+// IdleSweepInterval returns the interval between checks for idle backend connections.
+func (l Limits) IdleSweepInterval() time.Duration {
+	return max(l.KeepAliveTimeout/32, time.Millisecond)
+}
 
-// spare are the descriptors kept for the runtime, the log, the listener and the list.
+// reservedDescriptors is the number of file descriptors reserved for the runtime, the log, the listener and
+// the membership watch.
 const reservedDescriptors = 32
 
-// Conns is how many connections to searchers there may be.
+// MaxBackendConns returns the maximum number of connections to backends.
 func (l Limits) MaxBackendConns() int { return max(1, (l.FileDescriptors-reservedDescriptors)/2) }
 
-// Clients is how many connections of clients there may be.
-func (l Limits) MaxClientConns() int { return max(1, l.FileDescriptors-reservedDescriptors-l.MaxBackendConns()) }
+// MaxClientConns returns the maximum number of client connections.
+func (l Limits) MaxClientConns() int {
+	return max(1, l.FileDescriptors-reservedDescriptors-l.MaxBackendConns())
+}
 
-// Staying is how many connections of clients there may be while some lie idle. The platform lets clients hold a third of
-// the descriptors, and one that stays for nothing must not be in the way of another's first request.
-func (l Limits) ClientEvictionThreshold() int { return min(max(1, l.FileDescriptors/4), l.MaxClientConns()) }
+// ClientEvictionThreshold returns the number of client connections from which on a new one evicts an idle
+// one. The platform lets clients hold a third of the descriptors; a connection that stays idle must not keep
+// out the first request of another client.
+func (l Limits) ClientEvictionThreshold() int {
+	return min(max(1, l.FileDescriptors/4), l.MaxClientConns())
+}
 
-// Silence is how long a watch may be silent: an empty line comes each beat. One that is silent for longer is broken, and what
-// it misses counts as told three beats after it fell silent.
-func (l Limits) MaxWatchSilence() time.Duration { return l.HeartbeatInterval + l.HeartbeatInterval/8 }
+// MaxWatchSilence returns how long a watch may send nothing before it counts as broken. An empty line comes
+// every heartbeat interval. Service discovery takes the updates that a broken watch misses as delivered three
+// heartbeat intervals after its last line.
+func (l Limits) MaxWatchSilence() time.Duration {
+	return l.HeartbeatInterval + l.HeartbeatInterval/8
+}
 
-// Asked is how long discovery may take for its first word once asked, after it has been silent for so long. The agent is on
-// this machine and replies at once, and one that is silent is silent for good on what it was asked then. Much longer
-// silence is given longer, in case the agent is slow and not away, but not so long that three calls in vain take 6 s.
+// FirstReplyTimeout returns how long service discovery may take to send the first byte of a reply, given how
+// long it has been silent. The agent is on this machine and replies at once; one that does not reply will
+// never reply to that call. A much longer silence is given more time, in case the agent is slow rather than
+// gone, but so little that three failed calls take less than 6 s.
 func (l Limits) FirstReplyTimeout(silent time.Duration) time.Duration {
 	return max(l.ReadTimeout/10, min(silent/32, l.MaxWatchSilence()/4))
 }
 
-// Whole is how long a message of the list may take to come whole before a whole list is asked for beside it. A silent watch and two
-// that drip behind it are over within 6 s.
+// ListMessageTimeout returns how long a message of the membership list may take to arrive completely before a
+// full list is requested in parallel. A silent watch followed by two that send slowly are over within 6 s.
 func (l Limits) ListMessageTimeout() time.Duration { return l.ReadTimeout/2 + l.ReadTimeout/16 }
 
-// Linger is how long after SIGTERM clients are served as before: longer than new connections come, and as long as
-// what is taken has all its time before SIGKILL.
+// ServeAfterTerm returns how long after SIGTERM clients are served as before: longer than new connections
+// arrive, and so short that each admitted request has its full deadline before SIGKILL.
 func (l Limits) ServeAfterTerm() time.Duration { return l.AdmitAfterTerm - l.ConnectAfterTerm/8 }
 
-// Leave is how long after SIGTERM lookups may still be answered, somewhat before SIGKILL may come.
+// AnswerAfterTerm returns how long after SIGTERM lookups may still be answered, which is shortly before
+// SIGKILL may come.
 func (l Limits) AnswerAfterTerm() time.Duration { return l.KillAfterTerm - l.ConnectAfterTerm/2 }
--- a/internal/charter/version.go
+++ b/internal/charter/overlay.go
@@ -16,36 +16,39 @@
 )
 
 const (
-	maxDocumentBytes = 32 << 10     // bytes
-	maxErrorTextBytes     = 80           // bytes of a path or a value that a fault tells
-	documentPath     = "(document)" // the path of a fault that no path has
+	maxDocumentBytes  = 32 << 10
+	maxErrorTextBytes = 80           // of the path or the value in a SettingError
+	documentPath      = "(document)" // path of an error that concerns the whole document
 )
 
-// Lay gives these terms, which are those of a start, with some of them as a document has them. The document is a JSON object in the
-// form of the settings, with any of their paths. These may differ from the start (rows count from 0, as in the lists of the start):
+// Overlay returns a copy of the settings with the changes of a document. The document is a JSON object in the
+// form of the settings, with any of their paths. These may differ from the base settings (rows count from 0,
+// as in the lists of the settings):
 //
-//	Profiles.i.AimMs, .DeadlineMs      ms, above 0; no deadline above the longest of the start
+//	Profiles.i.AimMs, .DeadlineMs      ms, above 0; no deadline above the longest of the base settings
 //	Profiles.i.KeyTtlMs                ms
-//	FamilyInfo.CompleteFrom.i, .LeastShare.i, .ClassPartial.i    0 to 1; the least share at most the complete one
-//	Tenants.i.Share, .AllowancePerS    0 to 1, in all at most 1; queries per second
+//	FamilyInfo.CompleteFrom.i, .LeastShare.i, .ClassPartial.i    0 to 1; LeastShare at most CompleteFrom
+//	Tenants.i.Share, .AllowancePerS    0 to 1, at most 1 in all; queries per second
 //	OverShareWorth                     0 to 1
 //	PolicyLimits.MaxRetryAfterMs, .MaxOpen                       ms; a whole number from 1
 //
-// Rows may be written in two ways. An object by number names just the rows that change, and in them just the fields that change:
-// {"Profiles":{"1":{"AimMs":300}},"FamilyInfo":{"LeastShare":{"1":0.4}}}. A list, as the start has it, has all rows, of which each
-// object has just the fields that change: {"Profiles":[{},{"AimMs":300}]}. What is not named is as at the start.
+// Rows may be written in two ways. An object keyed by row number has only the rows and the fields that change:
+// {"Profiles":{"1":{"AimMs":300}},"FamilyInfo":{"LeastShare":{"1":0.4}}}. A list, as in the settings, has all
+// rows; each of its objects has only the fields that change: {"Profiles":[{},{"AimMs":300}]}. What the
+// document does not name keeps its base value.
 //
-// A path with the start's own value is fine wherever it is. All else is a *Fault, the first by path, rows by number: another value
-// or an unknown path, a row that the start has not, a list of another length, a path told twice, a value out of range.
+// Any path may be given with its base value. Everything else is rejected with a *SettingError, the first in
+// the order of paths, with rows in numeric order: an unknown path, another value at a path that may not
+// change, a row that does not exist, a list of another length, a duplicate path, or a value out of range.
 func (t Settings) Overlay(doc []byte) (Settings, error) {
 	c, _, err := t.MixerConfig()
 	if err != nil {
 		return nil, err
 	}
 	v := &overlay{base: t, settings: maps.Clone(t), baseConfig: c, values: map[string]documentValue{}}
-	all, fault := v.parse(doc)
-	if fault != nil {
-		return nil, fault
+	all, documentErr := v.parse(doc)
+	if documentErr != nil {
+		return nil, documentErr
 	}
 	for _, key := range slices.Sorted(maps.Keys(all)) {
 		v.collect(key, all[key])
@@ -60,23 +63,24 @@
 	return v.settings, nil
 }
 
-// version is a document as it is laid over a start.
+// overlay is the state of applying one document to base settings.
 type overlay struct {
 	base, settings Settings
-	baseConfig      mixer.Charter // of the start
-	values       map[string]documentValue
-	errs       []SettingError
+	baseConfig     mixer.Charter
+	values         map[string]documentValue // by path
+	errs           []SettingError
 }
 
-// leaf is one value as the document has it.
+// documentValue is one value of the document.
 type documentValue struct {
-	text   string
-	numeric bool // or a list of numbers
+	text    string
+	numeric bool // a number or a list of numbers
 }
 
+// reject records an error at a path.
 func (v *overlay) reject(path, value string) { v.errs = append(v.errs, SettingError{path, value}) }
 
-// told gives what a fault tells of a path or value, which is text in any case.
+// errorText returns s as valid UTF-8 of at most maxErrorTextBytes.
 func errorText(s string) string {
 	s = strings.ToValidUTF8(s, "\uFFFD")
 	for n := maxErrorTextBytes; len(s) > maxErrorTextBytes; n-- {
@@ -87,12 +91,14 @@
 	return s
 }
 
-// read reads the document as far as its form goes; keys that stand twice in one object are noted.
-func (v *overlay) parse(doc []byte) (all map[string]any, fault *SettingError) {
+// parse parses the document and records duplicate keys. Its error is that of a document that is too long or
+// no JSON object.
+func (v *overlay) parse(doc []byte) (all map[string]any, documentErr *SettingError) {
 	if len(doc) > maxDocumentBytes {
 		return nil, &SettingError{documentPath, fmt.Sprintf("%d bytes, at most %d", len(doc), maxDocumentBytes)}
 	}
-	if err := json.Unmarshal(doc, new(json.RawMessage)); err != nil { // the whole of it, and not too deep
+	// Unmarshal rejects trailing data and excessive nesting, which a Decoder's first value does not show.
+	if err := json.Unmarshal(doc, new(json.RawMessage)); err != nil {
 		return nil, &SettingError{documentPath, errorText("not JSON: " + err.Error())}
 	}
 	d := json.NewDecoder(bytes.NewReader(doc))
@@ -104,7 +110,7 @@
 	return all, nil
 }
 
-// twice goes through one value of a sound document and notes the keys that stand twice in an object.
+// rejectDuplicateKeys reads one value of a valid document and rejects keys that occur twice in one object.
 func (v *overlay) rejectDuplicateKeys(d *json.Decoder, path, dot string) {
 	token, _ := d.Token()
 	switch token {
@@ -114,7 +120,7 @@
 			token, _ := d.Token()
 			key, _ := token.(string)
 			if keys[key] {
-				v.reject(path+dot+key, "told twice")
+				v.reject(path+dot+key, "duplicate path")
 			}
 			keys[key] = true
 			v.rejectDuplicateKeys(d, path+dot+key, ".")
@@ -128,7 +134,7 @@
 	}
 }
 
-// walk finds the values below a path.
+// collect adds the values at and below a path.
 func (v *overlay) collect(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -141,12 +147,12 @@
 	case []any:
 		v.collectList(path, value)
 	default:
-		_, number := value.(json.Number)
-		v.addValue(path, documentValue{formatScalar(value), number})
+		_, numeric := value.(json.Number)
+		v.addValue(path, documentValue{formatScalar(value), numeric})
 	}
 }
 
-// known tells whether the start has anything at or below a path, or may have a column's items there.
+// knownPath reports whether the base settings have a value below a path, or the path is a column.
 func (v *overlay) knownPath(path string) bool {
 	for key := range v.base {
 		if strings.HasPrefix(key, path+".") {
@@ -156,10 +162,11 @@
 	return v.isColumn(path)
 }
 
-// column tells whether a path is one of a value for each tariff.
+// isColumn reports whether a path is a column: a list with one value for each request profile.
 func (v *overlay) isColumn(path string) bool { return columnDefaults[path] != "" }
 
-// defaults are what the columns have where a start does not tell; the least share is then the complete one.
+// columnDefaults are the items of the columns that the base settings lack. That of the least share is not
+// used: it defaults to the complete share.
 var columnDefaults = map[string]string{completeFrom: "1", leastShare: "-", classPartial: "0"}
 
 const (
@@ -168,25 +175,26 @@
 	classPartial = "FamilyInfo.ClassPartial"
 )
 
-// list finds the values of a list: of rows, of a column, or of plain values that count as one.
+// collectList adds the values of a list, which has the rows of a table, the items of a column, or scalars that
+// together form one value.
 func (v *overlay) collectList(path string, items []any) {
 	_, rows := v.base[path+".count"]
-	plain, numbers := Settings{}, true
+	flat, numeric := Settings{}, true
 	for _, item := range items {
-		_, row := item.(map[string]any)
-		_, number := item.(json.Number)
-		rows, numbers = rows || row, numbers && number
+		_, isRow := item.(map[string]any)
+		_, isNumber := item.(json.Number)
+		rows, numeric = rows || isRow, numeric && isNumber
 	}
-	plain.flatten(path, items)
-	all := documentValue{plain[path], numbers && len(items) > 0}
+	flat.flatten(path, items)
+	joined := documentValue{flat[path], numeric && len(items) > 0}
 	switch {
 	case rows:
 		v.addValue(path+".count", documentValue{strconv.Itoa(len(items)), true})
-	case !v.isColumn(path) || v.equalsBase(path, all):
-		v.addValue(path, all)
+	case !v.isColumn(path) || v.equalsBase(path, joined):
+		v.addValue(path, joined)
 		return
 	case len(items) != len(v.baseConfig.Tariffs):
-		v.reject(path, all.text)
+		v.reject(path, joined.text)
 		return
 	}
 	for i, item := range items {
@@ -194,85 +202,88 @@
 	}
 }
 
-// leaf notes one value, once.
-func (v *overlay) addValue(path string, l documentValue) {
+// addValue records the value at a path and rejects a duplicate path.
+func (v *overlay) addValue(path string, value documentValue) {
 	if _, ok := v.values[path]; ok {
-		v.reject(path, "told twice")
+		v.reject(path, "duplicate path")
 	}
-	v.values[path] = l
+	v.values[path] = value
 }
 
-// same tells whether a value is the start's own. Numbers may be written in another way.
-func (v *overlay) equalsBase(path string, l documentValue) bool {
-	was, ok := v.base[path]
-	if !ok || was == l.text {
+// equalsBase reports whether a value equals that of the base settings. Numbers are compared by value, not by
+// their notation.
+func (v *overlay) equalsBase(path string, value documentValue) bool {
+	base, ok := v.base[path]
+	if !ok || base == value.text {
 		return ok
 	}
-	return l.numeric && slices.EqualFunc(strings.Split(was, ","), strings.Split(l.text, ","), func(a, b string) bool {
-		x, err := strconv.ParseFloat(a, 64)
-		y, wrong := strconv.ParseFloat(b, 64)
-		return err == nil && wrong == nil && x == y
+	return value.numeric && slices.EqualFunc(strings.Split(base, ","), strings.Split(value.text, ","), func(a, b string) bool {
+		x, xErr := strconv.ParseFloat(a, 64)
+		y, yErr := strconv.ParseFloat(b, 64)
+		return xErr == nil && yErr == nil && x == y
 	})
 }
 
-// lay lays the values over the start's, in the order of their paths: a complete share comes before a least one.
+// apply writes the changed values over the base settings in the order of their paths: complete shares come
+// before least shares, which default to them.
 func (v *overlay) apply() {
 	changed := map[string]float64{}
 	for _, path := range slices.SortedFunc(maps.Keys(v.values), comparePaths) {
-		l := v.values[path]
-		if v.equalsBase(path, l) {
+		value := v.values[path]
+		if v.equalsBase(path, value) {
 			continue
 		}
 		lo, hi, whole, ok := v.bounds(path)
-		x, err := strconv.ParseFloat(l.text, 64)
-		if !ok || !l.numeric || err != nil || !(x >= lo && x <= hi) || whole && x != math.Trunc(x) {
-			v.reject(path, l.text)
+		x, err := strconv.ParseFloat(value.text, 64)
+		if !ok || !value.numeric || err != nil || !(x >= lo && x <= hi) || whole && x != math.Trunc(x) {
+			v.reject(path, value.text)
 			continue
 		}
 		changed[path] = x
 		if column, row, ok := v.parseColumnItem(path); ok {
-			v.setColumnItem(column, row, l.text)
+			v.setColumnItem(column, row, value.text)
 		} else {
-			v.settings[path] = l.text
+			v.settings[path] = value.text
 		}
 	}
 	v.checkLeastShares(changed)
 	v.checkTenantShares(changed)
 }
 
-// bounds gives the range of a path that may differ from the start.
+// bounds returns the range of the value at a path and whether it must be a whole number. ok is false for a
+// path that may not change.
 func (v *overlay) bounds(path string) (lo, hi float64, whole, ok bool) {
-	const longest, above = 1e12, 1e-3 // ms; the clock counts microseconds
+	const minMillis, maxMillis = 1e-3, 1e12 // the clock counts whole microseconds
 	switch path {
 	case "OverShareWorth":
 		return 0, 1, false, true
 	case "PolicyLimits.MaxRetryAfterMs":
-		return 0, longest, false, true
+		return 0, maxMillis, false, true
 	case "PolicyLimits.MaxOpen":
 		return 1, 1e9, true, true
 	}
 	if _, _, ok := v.parseColumnItem(path); ok {
 		return 0, 1, false, true
 	}
-	at := strings.Split(path, ".")
-	if len(at) != 3 {
+	elements := strings.Split(path, ".")
+	if len(elements) != 3 {
 		return 0, 0, false, false
 	}
-	rows := map[string]int{"Profiles": len(v.baseConfig.Tariffs), "Tenants": len(v.baseConfig.Allowances)}[at[0]]
-	if _, ok := parseRow(at[1], rows); !ok {
+	rows := map[string]int{"Profiles": len(v.baseConfig.Tariffs), "Tenants": len(v.baseConfig.Allowances)}[elements[0]]
+	if _, ok := parseRow(elements[1], rows); !ok {
 		return 0, 0, false, false
 	}
-	switch at[0] + "." + at[2] {
+	switch elements[0] + "." + elements[2] {
 	case "Profiles.AimMs":
-		return above, longest, false, true
+		return minMillis, maxMillis, false, true
 	case "Profiles.DeadlineMs":
-		most := int64(0)
-		for _, t := range v.baseConfig.Tariffs {
-			most = max(most, t.Patience)
+		longest := int64(0)
+		for _, profile := range v.baseConfig.Tariffs {
+			longest = max(longest, profile.Patience)
 		}
-		return above, float64(most) / 1e6, false, true
+		return minMillis, float64(longest) / 1e6, false, true
 	case "Profiles.KeyTtlMs":
-		return 0, longest, false, true
+		return 0, maxMillis, false, true
 	case "Tenants.Share":
 		return 0, 1, false, true
 	case "Tenants.AllowancePerS":
@@ -281,13 +292,13 @@
 	return 0, 0, false, false
 }
 
-// row reads the number of one of so many rows.
+// parseRow parses a row number from 0 to rows-1 in canonical decimal form.
 func parseRow(s string, rows int) (i int, ok bool) {
 	i, err := strconv.Atoi(s)
 	return i, err == nil && i >= 0 && i < rows && s == strconv.Itoa(i)
 }
 
-// item reads the path of one item of a column.
+// parseColumnItem splits the path of one item of a column.
 func (v *overlay) parseColumnItem(path string) (column string, i int, ok bool) {
 	dot := max(0, strings.LastIndexByte(path, '.'))
 	if column = path[:dot]; !v.isColumn(column) {
@@ -297,10 +308,10 @@
 	return column, i, ok
 }
 
-// items gives the items of a column as they are laid so far.
+// columnItems returns the current items of a column.
 func (v *overlay) columnItems(column string) []string {
-	if has := v.settings[column]; has != "" && has != "-" {
-		return strings.Split(has, ",")
+	if joined := v.settings[column]; joined != "" && joined != "-" {
+		return strings.Split(joined, ",")
 	}
 	if column == leastShare {
 		return v.columnItems(completeFrom)
@@ -308,13 +319,14 @@
 	return slices.Repeat([]string{columnDefaults[column]}, len(v.baseConfig.Tariffs))
 }
 
+// setColumnItem sets one item of a column.
 func (v *overlay) setColumnItem(column string, row int, text string) {
 	items := v.columnItems(column)
 	items[row] = text
 	v.settings[column] = strings.Join(items, ",")
 }
 
-// shares checks that no least share is above the complete one, in the rows that have changed.
+// checkLeastShares rejects changed rows whose least share is above the complete share.
 func (v *overlay) checkLeastShares(changed map[string]float64) {
 	complete, least := v.columnItems(completeFrom), v.columnItems(leastShare)
 	for i := range v.baseConfig.Tariffs {
@@ -323,8 +335,8 @@
 			if _, ok := changed[path]; !ok {
 				continue
 			}
-			from, _ := strconv.ParseFloat(complete[i], 64)
-			if x, _ := strconv.ParseFloat(least[i], 64); x > from {
+			completeShare, _ := strconv.ParseFloat(complete[i], 64)
+			if x, _ := strconv.ParseFloat(least[i], 64); x > completeShare {
 				v.reject(path, v.values[path].text)
 			}
 			break
@@ -332,17 +344,18 @@
 	}
 }
 
-// customers checks that the customers' shares are no more than all, where any has been raised.
+// checkTenantShares rejects the first share that was raised if the tenants' shares add up to more than the
+// whole.
 func (v *overlay) checkTenantShares(changed map[string]float64) {
 	sum, raised := 0.0, ""
 	for i := range v.baseConfig.Allowances {
 		path := "Tenants." + strconv.Itoa(i) + ".Share"
-		was, _ := strconv.ParseFloat(v.base[path], 64)
+		base, _ := strconv.ParseFloat(v.base[path], 64)
 		x, ok := changed[path]
 		if !ok {
-			x = was
+			x = base
 		}
-		if sum += x; x > was && raised == "" {
+		if sum += x; x > base && raised == "" {
 			raised = path
 		}
 	}
@@ -351,17 +364,17 @@
 	}
 }
 
-// byPath orders paths, at each step numbers first, by their size.
+// comparePaths orders paths element by element, numbers before names and by their value.
 func comparePaths(a, b string) int {
 	return slices.CompareFunc(strings.Split(a, "."), strings.Split(b, "."), func(a, b string) int {
-		x, noX := strconv.Atoi(a)
-		y, noY := strconv.Atoi(b)
+		x, xErr := strconv.Atoi(a)
+		y, yErr := strconv.Atoi(b)
 		switch {
-		case noX == nil && noY == nil:
+		case xErr == nil && yErr == nil:
 			return cmp.Or(cmp.Compare(x, y), strings.Compare(a, b))
-		case noX == nil:
+		case xErr == nil:
 			return -1
-		case noY == nil:
+		case yErr == nil:
 			return 1
 		}
 		return strings.Compare(a, b)
