--- a/cmd/nettlefold/fleet_test.go
+++ b/cmd/nettlefold/fleet_test.go
@@ -147,7 +147,7 @@
 	if err := os.WriteFile(open, []byte(strings.Repeat("a", 32)), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	c := protocol.Config{Name: "n0", Charter: mixer.Charter{Zone: "z"}}
+	c := protocol.Config{Name: "n0", Charter: mixer.Config{Zone: "z"}}
 	before := runtime.NumGoroutine()
 	if r, err := gather(c, nil, nil, slog.Default()); r != nil || err != nil || runtime.NumGoroutine() != before {
 		t.Errorf("without a fleet: %v, %v, %d goroutines, were %d", r, err, runtime.NumGoroutine(), before)
--- a/cmd/nettlefold/learnt_test.go
+++ b/cmd/nettlefold/learnt_test.go
@@ -33,8 +33,8 @@
 		time.Sleep(3 * time.Millisecond)
 	}
 	wg.Wait()
-	stands := func(i int) (st mixer.Standing) {
-		why := struct{ Standing *mixer.Standing }{&st}
+	stands := func(i int) (st mixer.SearcherState) {
+		why := struct{ Standing *mixer.SearcherState }{&st}
 		if err := json.Unmarshal([]byte(fetch("http://"+admin+"/why?searcher="+w.searchers[i].Name)), &why); err != nil {
 			t.Error(err)
 		}
--- a/cmd/nettlefold/list_test.go
+++ b/cmd/nettlefold/list_test.go
@@ -106,7 +106,7 @@
 		}
 	}
 	in := func(i int) bool { // whether the mixer sends to the searcher
-		why := struct{ Standing *mixer.Standing }{}
+		why := struct{ Standing *mixer.SearcherState }{}
 		json.Unmarshal([]byte(fetch("http://"+admin+"/why?searcher="+w.searchers[i].Name)), &why)
 		return why.Standing != nil && why.Standing.Status == mixer.Live
 	}
--- a/cmd/nettlefold/subset.go
+++ b/cmd/nettlefold/subset.go
@@ -27,12 +27,12 @@
 )
 
 // newSubset makes what chooses, and the charter of a module that hears of the chosen alone.
-func newSubset(c protocol.Config, s *settings.Subset) (*chosen, mixer.Charter) {
+func newSubset(c protocol.Config, s *settings.Subset) (*chosen, mixer.Config) {
 	if s == nil {
 		return nil, c.Charter
 	}
 	o := subset.Options{Name: c.Name, Zone: c.Charter.Zone, OwnFirst: c.Charter.CrossPrice > 0, Cells: c.Charter.Cells, Least: s.Least, Most: s.Most,
-		Mixers: c.Charter.Mixers, Users: s.Users, Meetings: float64(s.Meetings), Memory: mixer.PaceHalf,
+		Mixers: c.Charter.Mixers, Users: s.Users, Meetings: float64(s.Meetings), Memory: mixer.PaceHalfLife,
 		Linger: int64(c.Limits.Patience + subsetAfter), Hold: int64(subsetHold), ColdFor: c.Charter.ColdFor}
 	holders := make([]int, max(1, c.Charter.Cells))
 	for _, m := range c.Known.Members {
@@ -50,7 +50,7 @@
 }
 
 // choose has the router's news pass here.
-func (s *chosen) choose(router *routing.Router, terms mixer.Charter, log *slog.Logger) {
+func (s *chosen) choose(router *routing.Router, terms mixer.Config, log *slog.Logger) {
 	if s != nil {
 		s.router, router.Filter = router, s
 		log.Info("a subset of the searchers is used", "mixers", terms.Mixers, "users_most", terms.Users, "users_mean_least", terms.UsersMean)
--- a/cmd/nettlefold/subset_test.go
+++ b/cmd/nettlefold/subset_test.go
@@ -52,7 +52,7 @@
 	}
 	told := func() (all []int) { // whom the module knows of as live
 		for i, s := range w.searchers {
-			var why struct{ Standing mixer.Standing }
+			var why struct{ Standing mixer.SearcherState }
 			if text := fetch("http://" + admin + "/why?searcher=" + s.Name); json.Unmarshal([]byte(text), &why) == nil && why.Standing.Status == mixer.Live {
 				all = append(all, i)
 			}
--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -192,7 +192,7 @@
 }
 
 // Customers gives the rows of the customers by name, from 1 on, as many as the charter of the same terms has allowances.
-func (t Terms) Customers(c mixer.Charter) map[string]int {
+func (t Terms) Customers(c mixer.Config) map[string]int {
 	rows := map[string]int{}
 	for i := range c.Allowances {
 		rows[t["Tenants."+strconv.Itoa(i)+".Name"]] = i + 1
@@ -201,9 +201,9 @@
 }
 
 // Charter gives what the module is told, and the rows of its tariffs by name.
-func (t Terms) Charter() (mixer.Charter, map[string]int, error) {
+func (t Terms) Charter() (mixer.Config, map[string]int, error) {
 	s := &reader{all: t}
-	c := mixer.Charter{
+	c := mixer.Config{
 		Zone:         s.all["Locality"],
 		Mixers:       s.count("NInstances", true, 1),
 		Cells:        s.count("FamilyInfo.Sets", true, 1),
@@ -255,11 +255,11 @@
 		t.Partial = s.column("FamilyInfo.ClassPartial", i, 0, 0, 1)
 		switch e := s.all[at+"Effect"]; e {
 		case "retryable":
-			t.Effect = mixer.Repeatable
+			t.Effect = mixer.Idempotent
 		case "dedup":
-			t.Effect = mixer.Tagged
+			t.Effect = mixer.Deduplicated
 		case "fragile":
-			t.Effect = mixer.OnceOnly
+			t.Effect = mixer.AtMostOnce
 		default:
 			s.bad(at+"Effect", e)
 		}
--- a/internal/charter/limits.go
+++ b/internal/charter/limits.go
@@ -47,7 +47,7 @@
 }
 
 // Limits gives the settings' limits, with PROTOCOL's and the bounds for safety. The charter is that of the same terms.
-func (t Terms) Limits(c mixer.Charter) (Limits, error) {
+func (t Terms) Limits(c mixer.Config) (Limits, error) {
 	s := &reader{all: t}
 	l := Limits{
 		Slices:    s.count("FamilyInfo.Slabs", true, 1),
--- a/internal/charter/version.go
+++ b/internal/charter/version.go
@@ -63,7 +63,7 @@
 // version is a document as it is laid over a start.
 type version struct {
 	start, terms Terms
-	charter      mixer.Charter // of the start
+	charter      mixer.Config // of the start
 	leaves       map[string]leaf
 	faults       []Fault
 }
--- a/internal/fleet/relay/words_test.go
+++ b/internal/fleet/relay/words_test.go
@@ -174,7 +174,7 @@
 }
 
 func newAsker(t *testing.T) *asker {
-	c := core.Charter{Tariffs: []core.Tariff{{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1}}, Zone: "z", Mixers: 2,
+	c := core.Config{Tariffs: []core.Tariff{{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1}}, Zone: "z", Mixers: 2,
 		Cells: 1, Reach: 1, PerCall: 1, MaxForwards: 2}
 	r, err := routing.New(c, map[string]int{"all": 0}, 1000, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -215,7 +215,7 @@
 		}
 		for _, f := range out {
 			time.Sleep(5 * time.Millisecond)
-			f.Report(core.Satisfied, []byte("v"))
+			f.Report(core.Succeeded, []byte("v"))
 		}
 	}
 	return all
@@ -251,7 +251,7 @@
 			}
 		}
 		for _, f := range others {
-			f.Report(core.Satisfied, []byte("v"))
+			f.Report(core.Succeeded, []byte("v"))
 		}
 		if late == nil {
 			t.Fatal("it is not among three")
@@ -261,7 +261,7 @@
 		if all := a.picks(60); slices.Contains(all, who) {
 			t.Errorf("told silent, and picked: %v", all)
 		}
-		late.Report(core.Satisfied, []byte("v"))
+		late.Report(core.Succeeded, []byte("v"))
 		if all := a.picks(60); !slices.Contains(all, who) {
 			t.Error("it has answered here, and is not picked")
 		}
@@ -332,7 +332,7 @@
 
 // BenchmarkTell is what a sheet costs a mixer of 37,000 searchers: the module's telling, under the router's lock, and the choice.
 func BenchmarkTell(b *testing.B) {
-	c := core.Charter{Tariffs: []core.Tariff{{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1}}, Zone: "z", Mixers: 6300,
+	c := core.Config{Tariffs: []core.Tariff{{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1}}, Zone: "z", Mixers: 6300,
 		Cells: 100, Reach: 1, PerCall: 1, MaxForwards: 2}
 	r, err := routing.New(c, map[string]int{"all": 0}, 1000, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/fleet/sites/eyes.go
+++ b/internal/fleet/sites/eyes.go
@@ -116,15 +116,15 @@
 	defer e.mu.Unlock()
 	b := e.places[spot].ring.at(e.clock() / e.span)
 	switch o {
-	case mixer.Satisfied, mixer.Errored, mixer.Bounced:
+	case mixer.Succeeded, mixer.Failed, mixer.Rejected:
 		b.answered++
 		if took > e.expected {
 			b.late++
 		}
-	case mixer.Unreached:
+	case mixer.Unreachable:
 		b.tried++
 		b.failed++
-	case mixer.Reset:
+	case mixer.ConnectionReset:
 		b.lost++
 	case mixer.TimedOut, mixer.Cancelled:
 		if took >= e.expected {
--- a/internal/fleet/sites/eyes_test.go
+++ b/internal/fleet/sites/eyes_test.go
@@ -45,7 +45,7 @@
 		if at := e.Spot(fmt.Sprint("s", asked%n)); at < 0 {
 			t.Fatalf("s%d is in no site", asked%n)
 		} else {
-			e.Outcome(at, mixer.Satisfied, 1)
+			e.Outcome(at, mixer.Succeeded, 1)
 		}
 		if got, _ := e.evidence(now); got[0].Listed+got[1].Listed < n || got[0].Live+got[1].Live != n {
 			t.Fatalf("of two lists at once: %+v", got)
--- a/internal/fleet/sites/sites_test.go
+++ b/internal/fleet/sites/sites_test.go
@@ -72,8 +72,8 @@
 	*now += 250 * ms
 	for i, table := range tables {
 		for _, site := range []string{"a", "b", "c"} {
-			if o := mixer.Satisfied; site == lost {
-				table.Eyes.Outcome(table.Eyes.Spot("s"+site), mixer.Unreached, ms)
+			if o := mixer.Succeeded; site == lost {
+				table.Eyes.Outcome(table.Eyes.Spot("s"+site), mixer.Unreachable, ms)
 			} else {
 				table.Eyes.Outcome(table.Eyes.Spot("s"+site), o, ms)
 			}
@@ -157,8 +157,8 @@
 	for _, o := range []struct {
 		mixer.Outcome
 		took int64
-	}{{mixer.Satisfied, ms}, {mixer.Bounced, 1001 * ms}, {mixer.TimedOut, 1000 * ms}, {mixer.TimedOut, 999 * ms},
-		{mixer.Cancelled, 1000 * ms}, {mixer.Reset, ms}, {mixer.Unreached, ms}, {mixer.Moot, ms}} {
+	}{{mixer.Succeeded, ms}, {mixer.Rejected, 1001 * ms}, {mixer.TimedOut, 1000 * ms}, {mixer.TimedOut, 999 * ms},
+		{mixer.Cancelled, 1000 * ms}, {mixer.ConnectionReset, ms}, {mixer.Unreachable, ms}, {mixer.NeverSent, ms}} {
 		e.Outcome(int16(site), o.Outcome, o.took)
 	}
 	now += 1990 * ms // nearly the window
@@ -226,7 +226,7 @@
 	site := e.Spot("sc")
 	for i, want := range []siteloss.Evidence{{Answered: 1}, {Answered: 2, Late: 1, Lost: 1}, {Answered: 3, Late: 1, Lost: 1}} {
 		e.Expect([]int64{1000 * ms, 400 * ms, 1000 * ms}[i])
-		e.Outcome(site, mixer.Satisfied, 500*ms)
+		e.Outcome(site, mixer.Succeeded, 500*ms)
 		e.Outcome(site, mixer.TimedOut, 500*ms)
 		want.Listed, want.Live = 1, 1
 		if all, _ := e.evidence(now); all[site] != want {
--- a/internal/fleet/words/ear.go
+++ b/internal/fleet/words/ear.go
@@ -142,7 +142,7 @@
 
 // Words joins what relays say into what the module is told, in order of the searchers' names. A searcher is silent where one relay's
 // quorum says so and none has vouched for it since.
-func (e *Ear) Words(now int64) []mixer.Word {
+func (e *Ear) Words(now int64) []mixer.PeerReport {
 	all := map[process]*joined{}
 	for _, h := range e.relays {
 		if !e.stands(now, h) {
@@ -162,14 +162,14 @@
 			}
 		}
 	}
-	words := make([]mixer.Word, 0, len(all))
+	words := make([]mixer.PeerReport, 0, len(all))
 	for p, j := range all {
 		if w := j.word(); w.Until > now {
 			w.Searcher, w.Started = p.searcher, p.started
 			words = append(words, w)
 		}
 	}
-	slices.SortFunc(words, func(x, y mixer.Word) int {
+	slices.SortFunc(words, func(x, y mixer.PeerReport) int {
 		return cmp.Or(strings.Compare(x.Searcher, y.Searcher), cmp.Compare(x.Started, y.Started))
 	})
 	return words
@@ -194,7 +194,7 @@
 }
 
 // word is the module's. Answers of the last moment before a word came are newer than what it rests on, so it counts from before them.
-func (j *joined) word() (w mixer.Word) {
+func (j *joined) word() (w mixer.PeerReport) {
 	w.Until = j.until
 	switch {
 	case j.silentUntil > 0 && j.soundAt <= j.silentAt:
--- a/internal/fleet/words/ear_test.go
+++ b/internal/fleet/words/ear_test.go
@@ -117,18 +117,18 @@
 	at := 100 * second
 	for name, c := range map[string]struct {
 		play func(e *Ear)
-		want mixer.Word
+		want mixer.PeerReport
 	}{
 		"one says silent": {func(e *Ear) { take(e, at, "a", silent, 600) },
-			mixer.Word{Silent: true, At: at - recent, Until: at + Lease, Suspecting: 3}},
+			mixer.PeerReport{Silent: true, At: at - recent, Until: at + Lease, Suspecting: 3}},
 		"another vouches later": {func(e *Ear) { take(e, at-ms, "a", silent, 10); take(e, at, "b", sound, 2) },
-			mixer.Word{Sound: true, Until: at + Lease, Suspecting: 1}},
+			mixer.PeerReport{Sound: true, Until: at + Lease, Suspecting: 1}},
 		"another vouched before": {func(e *Ear) { take(e, at-ms, "b", sound, 2); take(e, at, "a", silent, 10) },
-			mixer.Word{Silent: true, At: at - recent, Until: at + Lease, Suspecting: 1}},
+			mixer.PeerReport{Silent: true, At: at - recent, Until: at + Lease, Suspecting: 1}},
 		"it stands on": {func(e *Ear) { take(e, at-second, "a", silent, 10); take(e, at, "a", silent, 10) },
-			mixer.Word{Silent: true, At: at - second - recent, Until: at + Lease, Suspecting: 1}},
+			mixer.PeerReport{Silent: true, At: at - second - recent, Until: at + Lease, Suspecting: 1}},
 		"three paces": {func(e *Ear) { take(e, at, "a", slow, 9); take(e, at, "b", slow, 2); take(e, at-ms, "c", slow, 4) },
-			mixer.Word{Slow: 4, Weight: 15, At: at, Until: at + Lease}},
+			mixer.PeerReport{Slow: 4, Weight: 15, At: at, Until: at + Lease}},
 	} {
 		e := NewEar()
 		c.play(e)
@@ -141,9 +141,9 @@
 
 // TestJoin keeps loans and judgement apart.
 func TestJoin(t *testing.T) {
-	store := []mixer.Word{{Searcher: "a", Until: 20, Silent: true, Lent: 3, LentUntil: 50, AwayUntil: 60}, {Searcher: "b", Until: 20, Sound: true}}
-	got := Join(10, store, []mixer.Word{{Searcher: "c", Until: 30, Silent: true}, {Searcher: "a", Until: 30, Slow: 2}, {Searcher: "b"}})
-	want := []mixer.Word{{Searcher: "a", Until: 30, Slow: 2, Lent: 3, LentUntil: 50, AwayUntil: 60}, {Searcher: "b", Until: 20, Sound: true},
+	store := []mixer.PeerReport{{Searcher: "a", Until: 20, Silent: true, Lent: 3, LentUntil: 50, AwayUntil: 60}, {Searcher: "b", Until: 20, Sound: true}}
+	got := Join(10, store, []mixer.PeerReport{{Searcher: "c", Until: 30, Silent: true}, {Searcher: "a", Until: 30, Slow: 2}, {Searcher: "b"}})
+	want := []mixer.PeerReport{{Searcher: "a", Until: 30, Slow: 2, Lent: 3, LentUntil: 50, AwayUntil: 60}, {Searcher: "b", Until: 20, Sound: true},
 		{Searcher: "c", Until: 30, Silent: true}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
--- a/internal/fleet/words/join.go
+++ b/internal/fleet/words/join.go
@@ -10,8 +10,8 @@
 
 // Join puts together what a shared store's mixers and what the relays say, in order of the searchers' names: loans are the store's
 // alone, and what relays say of a process goes before what the store's mixers say of it. Where one stands no longer, the other does.
-func Join(now int64, store, relays []mixer.Word) []mixer.Word {
-	all := map[process]mixer.Word{}
+func Join(now int64, store, relays []mixer.PeerReport) []mixer.PeerReport {
+	all := map[process]mixer.PeerReport{}
 	for _, w := range store {
 		all[process{w.Searcher, w.Started}] = w
 	}
@@ -24,11 +24,11 @@
 		w.Lent, w.LentUntil, w.AwayUntil = was.Lent, was.LentUntil, was.AwayUntil
 		all[p] = w
 	}
-	joined := make([]mixer.Word, 0, len(all))
+	joined := make([]mixer.PeerReport, 0, len(all))
 	for _, w := range all {
 		joined = append(joined, w)
 	}
-	slices.SortFunc(joined, func(x, y mixer.Word) int {
+	slices.SortFunc(joined, func(x, y mixer.PeerReport) int {
 		return cmp.Or(strings.Compare(x.Searcher, y.Searcher), cmp.Compare(x.Started, y.Started))
 	})
 	return joined
--- a/internal/fleet/words/model_test.go
+++ b/internal/fleet/words/model_test.go
@@ -32,11 +32,11 @@
 	suspect bool
 	wait    int64
 	testAt  int64
-	word    mixer.Word
+	word    mixer.PeerReport
 }
 
 func (h *hollow) shuns(now int64) bool {
-	told := mixer.Word{}
+	told := mixer.PeerReport{}
 	if now < h.word.Until {
 		told = h.word
 	}
@@ -133,7 +133,7 @@
 	m.now += tick
 	hands := func(h *hollow) bool { return (m.now-h.phase)%Round < tick }
 	doubted := make([][]Told, len(m.ears))
-	words := make([]mixer.Word, len(m.ears))
+	words := make([]mixer.PeerReport, len(m.ears))
 	for i, e := range m.ears {
 		doubted[i], _ = e.Standing(m.now)
 		for _, w := range e.Words(m.now) {
@@ -151,7 +151,7 @@
 			h.wait, h.testAt = 0, m.now
 		}
 		h.word = words[h.relay]
-		own := []mixer.Own{{Searcher: sought, Started: 1, Heard: h.heard, Suspect: h.suspect}}
+		own := []mixer.Observation{{Searcher: sought, Started: 1, Heard: h.heard, Suspect: h.suspect}}
 		raw, err := h.sheets.Next(m.now, own, doubted[h.relay])
 		if err != nil {
 			m.t.Fatal(err)
--- a/internal/fleet/words/noise_test.go
+++ b/internal/fleet/words/noise_test.go
@@ -34,7 +34,7 @@
 	for range noisyRounds {
 		doubted, _ := b.ear.Standing(b.now)
 		for i := range views {
-			own := make([]mixer.Own, searchers)
+			own := make([]mixer.Observation, searchers)
 			for n := range own {
 				v := &views[i][n]
 				if rng.Float64() < met*float64(Round)/float64(second) && b.now >= v.until {
@@ -47,7 +47,7 @@
 				if rng.Float64() < wrong*float64(Round)/float64(second) && b.now >= v.until {
 					v.until = b.now + second/2 + rng.Int64N(second)
 				}
-				own[n] = mixer.Own{Searcher: fmt.Sprint("s", n), Started: 1, Heard: v.heard, Suspect: b.now < v.until, Slow: v.slow, Weight: v.weight}
+				own[n] = mixer.Observation{Searcher: fmt.Sprint("s", n), Started: 1, Heard: v.heard, Suspect: b.now < v.until, Slow: v.slow, Weight: v.weight}
 			}
 			raw, err := sheets[i].Next(b.now, own, doubted)
 			if err == nil && raw != nil {
--- a/internal/fleet/words/sheets.go
+++ b/internal/fleet/words/sheets.go
@@ -41,7 +41,7 @@
 
 // Next makes the sheet of what the mixer knows by itself, where it is to be told: nil where it says nothing new. Doubted are the words
 // of relays that stand.
-func (s *Sheets) Next(now int64, all []mixer.Own, doubted []Told) ([]byte, error) {
+func (s *Sheets) Next(now int64, all []mixer.Observation, doubted []Told) ([]byte, error) {
 	if !s.Due(now) {
 		return nil, nil
 	}
@@ -89,9 +89,9 @@
 
 // choose leaves what is worth telling: the suspects, in an order of this mixer's own, so that many mixers together tell of more than
 // one has room for; those that relays doubt and this mixer has lately been answered by; the slowest beyond chance.
-func (s *Sheets) choose(now int64, all []mixer.Own, kinds map[process]string) []mixer.Own {
+func (s *Sheets) choose(now int64, all []mixer.Observation, kinds map[process]string) []mixer.Observation {
 	type scored struct {
-		mixer.Own
+		mixer.Observation
 		score float64
 		hash  uint64
 	}
@@ -100,7 +100,7 @@
 		o := &all[i]
 		kind := kinds[process{o.Searcher, o.Started}]
 		score := (o.Slow - 1) * math.Sqrt(o.Weight)
-		x := scored{Own: *o, score: score}
+		x := scored{Observation: *o, score: score}
 		x.Cold = false // nothing is asked for or lent through relays
 		switch {
 		case o.Suspect:
@@ -124,9 +124,9 @@
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.Searcher, b.Searcher))
 	})
 	chosen := slices.Concat(still[:min(len(still), mostStill)], known, late[:min(len(late), mostSlow)])
-	own := make([]mixer.Own, len(chosen))
+	own := make([]mixer.Observation, len(chosen))
 	for i := range chosen {
-		own[i] = chosen[i].Own
+		own[i] = chosen[i].Observation
 	}
 	return own
 }
--- a/internal/fleet/words/size_test.go
+++ b/internal/fleet/words/size_test.go
@@ -13,10 +13,10 @@
 func BenchmarkSheet(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := NewSheets(second, "m", "z", 5)
-	own := make([]mixer.Own, 37000)
+	own := make([]mixer.Observation, 37000)
 	for i := range own {
 		n := float64(1 + rng.IntN(2))
-		own[i] = mixer.Own{Searcher: fmt.Sprintf("searcher-%05d", i), Started: 1764649432000000000, Heard: 900 * ms, Weight: n}
+		own[i] = mixer.Observation{Searcher: fmt.Sprintf("searcher-%05d", i), Started: 1764649432000000000, Heard: 900 * ms, Weight: n}
 		for range int(n) {
 			own[i].Slow += rng.ExpFloat64() / n
 		}
--- a/internal/fleet/words/slow_test.go
+++ b/internal/fleet/words/slow_test.go
@@ -58,7 +58,7 @@
 					t.Fatal("never")
 				}
 				know, own := 0, 0
-				words, doubted := make([]mixer.Word, 7), make([][]Told, 7)
+				words, doubted := make([]mixer.PeerReport, 7), make([][]Told, 7)
 				for i, e := range m.ears {
 					doubted[i], _ = e.Standing(m.now)
 					for _, w := range e.Words(m.now) {
@@ -72,13 +72,13 @@
 					k := &views[i]
 					m.meetSlow(h, k, times)
 					k.fade(m.now)
-					o := mixer.Own{Searcher: sought, Started: 1, Heard: k.heard, Weight: k.under}
+					o := mixer.Observation{Searcher: sought, Started: 1, Heard: k.heard, Weight: k.under}
 					if k.under > 0.01 {
 						o.Slow = k.over / k.under
 					}
 					if (m.now-h.phase)%Round < tick {
 						h.word = words[h.relay]
-						raw, err := h.sheets.Next(m.now, []mixer.Own{o}, doubted[h.relay])
+						raw, err := h.sheets.Next(m.now, []mixer.Observation{o}, doubted[h.relay])
 						if err == nil && raw != nil {
 							err = m.judges[h.relay].Heard(m.now, m.name(i), raw)
 						}
--- a/internal/fleet/words/words_test.go
+++ b/internal/fleet/words/words_test.go
@@ -352,10 +352,10 @@
 		last, told := int64(0), 0
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			now += rapid.Int64Range(1, 3*second).Draw(t, "on")
-			var own []mixer.Own
+			var own []mixer.Observation
 			var doubted []Told
 			for i := range rapid.SampledFrom([]int{2, 200}).Draw(t, "searchers") {
-				o := mixer.Own{Searcher: fmt.Sprintf("%064d", i), Started: 3, Heard: now - rng.Int64N(6*second), Suspect: rng.IntN(2) == 0,
+				o := mixer.Observation{Searcher: fmt.Sprintf("%064d", i), Started: 3, Heard: now - rng.Int64N(6*second), Suspect: rng.IntN(2) == 0,
 					Cold: true, Want: 1, Rate: 1, Traffic: 1, Loan: 1, Quiet: true, Slow: rng.Float64() * 30, Weight: rng.Float64() * 4}
 				own = append(own, o)
 				if rng.IntN(5) == 0 {
--- a/internal/lab/capacity/conns.go
+++ b/internal/lab/capacity/conns.go
@@ -186,7 +186,7 @@
 			return nil, fmt.Errorf("connection %d did not come", k)
 		}
 		time.Sleep(5 * time.Millisecond) // its other end is up too
-		f.Report(mixer.Satisfied, nil)
+		f.Report(mixer.Succeeded, nil)
 	}
 	return []float64{float64(searchers.Connections().Steps-steps) / (times - there), least.Seconds()}, nil
 }
--- a/internal/lab/capacity/list.go
+++ b/internal/lab/capacity/list.go
@@ -58,8 +58,8 @@
 func cellsOf(searchers int) int { return max(1, searchers/holders) }
 
 // Terms is what a mixer of the plan is told; what the plan does not name is as in example/config.json.
-func Terms(cells int) mixer.Charter {
-	return mixer.Charter{
+func Terms(cells int) mixer.Config {
+	return mixer.Config{
 		Tariffs: []mixer.Tariff{{Expected: int64(Answer * 1e9), Patience: int64(Answer * 1e9), CompleteFrom: 1, LeastShare: 1}},
 		Zone:    "zone-0", Mixers: Mixers, Cells: cells, Reach: 1, PerCall: 4, MaxForwards: 3, MayCopy: true, MayCancel: true,
 		ColdFrom: coldFrom, ColdFor: int64(coldFor * 1e9), FallMultiple: fallMultiple, FallFor: int64(fallFor * 1e9),
@@ -73,7 +73,7 @@
 
 // lineMost is the most that a message of the list may have, in bytes.
 var lineMost = func() int {
-	l, _ := charter.Terms{}.Limits(mixer.Charter{})
+	l, _ := charter.Terms{}.Limits(mixer.Config{})
 	return l.Line
 }()
 
@@ -156,7 +156,7 @@
 }
 
 // router makes one that knows a list.
-func router(c mixer.Charter, rows []routing.Entry) (*routing.Router, error) {
+func router(c mixer.Config, rows []routing.Entry) (*routing.Router, error) {
 	r, err := routing.New(c, map[string]int{"all": 0}, 1<<20, 1, slog.New(slog.DiscardHandler))
 	if err == nil {
 		r.Listed(rows, true)
@@ -231,7 +231,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := mixer.Kept{Fleet: mixer.Pace{Took: 8.123456789e9, Calls: 1000.123456789}}
+	k := mixer.Snapshot{Fleet: mixer.Pace{Took: 8.123456789e9, Calls: 1000.123456789}}
 	for i, m := range list.Members {
 		k.Process = append(k.Process, mixer.Pace{Searcher: m.Searcher, Started: m.Started,
 			Took: 8.123456789e6 * (1 + float64(i%97)/97), Calls: 1 + float64(i%89)/89})
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -86,7 +86,7 @@
 
 // What these sums take from the program is what the program has.
 func TestBoundsAreTheProgram(t *testing.T) {
-	l, _ := charter.Terms{}.Limits(mixer.Charter{})
+	l, _ := charter.Terms{}.Limits(mixer.Config{})
 	if l.Line != boundLine {
 		t.Errorf("a message of the list may have %d, the sums say %d", l.Line, boundLine)
 	}
--- a/internal/lab/capacity/query.go
+++ b/internal/lab/capacity/query.go
@@ -31,10 +31,10 @@
 		h.answered++
 	}
 }
-func (h *hollow) Bounce(string, int64)   { h.others++ }
+func (h *hollow) Reject(string, int64)   { h.others++ }
 func (h *hollow) Fail(string)            { h.others++ }
 func (h *hollow) CloseIdle(string)       { h.others++ }
-func (h *hollow) Timer(int64, mixer.Due) { h.timers++ }
+func (h *hollow) SetTimer(int64, mixer.TimerHandler) { h.timers++ }
 func (h *hollow) Subscribe()             {}
 func (h *hollow) Note(string)            { h.notes++ }
 
@@ -45,11 +45,11 @@
 	floor  *hollow
 	rng    *rand.Rand
 	cells  int
-	pieces []mixer.Piece
+	pieces []mixer.PartRequest
 }
 
 // newWorld makes a module that knows so many searchers in so many cells, and queries of so many parts.
-func newWorld(searchers, cells, parts int, c mixer.Charter) *world {
+func newWorld(searchers, cells, parts int, c mixer.Config) *world {
 	w := &world{now: 1790000000e9, rng: rand.New(rand.NewPCG(1, 2)), cells: cells, floor: &hollow{index: map[string]int{}}}
 	w.m = mixer.New(w.now, c, 1, w.floor)
 	rows := make([]mixer.Entry, searchers)
@@ -57,11 +57,11 @@
 		rows[i] = mixer.Entry{Searcher: "searcher-" + strconv.Itoa(i), Cell: i % cells,
 			Zone: "zone-" + strconv.Itoa(i%int(ZonesAll)), Status: mixer.Live}
 	}
-	w.m.Listed(w.now, rows, true)
+	w.m.UpdateList(w.now, rows, true)
 	for i := range parts {
 		id := "query." + strconv.Itoa(i)
 		w.floor.index[id] = i
-		w.pieces = append(w.pieces, mixer.Piece{ID: id, Weight: 1 / float64(parts)})
+		w.pieces = append(w.pieces, mixer.PartRequest{ID: id, Weight: 1 / float64(parts)})
 	}
 	return w
 }
@@ -70,7 +70,7 @@
 func (w *world) query() {
 	w.now += 1e9 * int64(Mixers) / int64(Queries)
 	start := w.rng.IntN(w.cells)
-	l := w.m.Take(w.now, mixer.Ask{ID: "query", NotAfter: w.now + int64(Answer*1e9), Parts: len(w.pieces)})
+	l := w.m.StartLookup(w.now, mixer.LookupRequest{ID: "query", NotAfter: w.now + int64(Answer*1e9), Parts: len(w.pieces)})
 	for i, p := range w.pieces {
 		p.Slice = start + i
 		l.AddPart(w.now, p)
@@ -78,15 +78,15 @@
 	w.now += took
 	for _, i := range w.floor.sent {
 		w.now++
-		l.Outcome(w.now, i, 0, mixer.Satisfied, took, false)
+		l.HandleOutcome(w.now, i, 0, mixer.Succeeded, took, false)
 	}
 	w.floor.sent = w.floor.sent[:0]
 }
 
 // fill has the budget's window full of parts, spread over it, without serving them: of a query whose client has gone at once.
 func (w *world) fill(window int64, parts int) {
-	l := w.m.Take(w.now, mixer.Ask{ID: "gone", NotAfter: w.now + int64(Answer*1e9), Parts: parts + 1})
-	l.Gone(w.now)
+	l := w.m.StartLookup(w.now, mixer.LookupRequest{ID: "gone", NotAfter: w.now + int64(Answer*1e9), Parts: parts + 1})
+	l.Abandon(w.now)
 	for range parts {
 		w.now += window / int64(parts)
 		l.AddPart(w.now, w.pieces[0])
@@ -94,7 +94,7 @@
 }
 
 // served is what a query costs the module alone, in the mean of several.
-func served(searchers, cells, parts int, c mixer.Charter) (allocations, bytes, forwards, timers, seconds float64, err error) {
+func served(searchers, cells, parts int, c mixer.Config) (allocations, bytes, forwards, timers, seconds float64, err error) {
 	w := newWorld(searchers, cells, parts, c)
 	times := max(4, 600/parts/max(1, searchers/cells/holders))
 	for range times {
@@ -160,7 +160,7 @@
 					for _, call := range step.Calls {
 						for _, f := range call.Forwards {
 							f.Leave()
-							f.Report(mixer.Satisfied, nil)
+							f.Report(mixer.Succeeded, nil)
 						}
 					}
 				})
--- a/internal/lab/capacity/sharing.go
+++ b/internal/lab/capacity/sharing.go
@@ -18,9 +18,9 @@
 const sharingNow = int64(10 * time.Second) // of model time
 
 // outstanding gives what a mixer knows by itself of searchers that all stand out, so that sheets are as full as they may be.
-func outstanding(searchers int) (all []mixer.Own) {
+func outstanding(searchers int) (all []mixer.Observation) {
 	for i := range searchers {
-		all = append(all, mixer.Own{Searcher: fmt.Sprintf("searcher-%05d", i), Started: 1_700_000_000_000_000_000 + int64(i),
+		all = append(all, mixer.Observation{Searcher: fmt.Sprintf("searcher-%05d", i), Started: 1_700_000_000_000_000_000 + int64(i),
 			Heard: sharingNow - 300_000_000, Pace: 1e8, Slow: 3 + float64(i%997)/1000, Weight: 5, Suspect: i%2 == 0})
 	}
 	return all
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -18,7 +18,7 @@
 
 // limits are those of a mixer of the plan; what the plan does not name is as in example/config.json.
 func limits() charter.Limits {
-	l, _ := charter.Terms{}.Limits(mixer.Charter{}) // what the settings do not name; the faults are of what they must name
+	l, _ := charter.Terms{}.Limits(mixer.Config{}) // what the settings do not name; the faults are of what they must name
 	l.Sockets, l.Streams, l.Connect = 2*int(Searchers)+100, 100, 250*time.Millisecond
 	l.KeepAlive = time.Duration(keepAlive * 1e9)
 	return l
--- a/internal/lab/capacity/wire.go
+++ b/internal/lab/capacity/wire.go
@@ -92,7 +92,7 @@
 				return
 			}
 			var r protocol.Reply
-			if r, err = protocol.ReadReply(got.Rest); err != nil || r.Outcome != mixer.Satisfied {
+			if r, err = protocol.ReadReply(got.Rest); err != nil || r.Outcome != mixer.Succeeded {
 				return
 			}
 			f.Hits = append(f.Hits, routing.Hit{Part: i, Value: r.Value})
--- a/internal/lab/fanout/cost_test.go
+++ b/internal/lab/fanout/cost_test.go
@@ -42,7 +42,7 @@
 				}
 			}
 			for i := range c.world.Searchers {
-				if s, _ := p.m.Standing(p.now, numbered(i)); s.Calls > 0 || s.Parts > 0 {
+				if s, _ := p.m.SearcherState(p.now, numbered(i)); s.Calls > 0 || s.Parts > 0 {
 					t.Fatalf("%s: %d calls and %d parts are out at %s once the query is over", name, s.Calls, s.Parts, numbered(i))
 				}
 			}
--- a/internal/lab/fanout/floor.go
+++ b/internal/lab/fanout/floor.go
@@ -29,7 +29,7 @@
 
 type timer struct {
 	after int64
-	whose mixer.Due
+	whose mixer.TimerHandler
 }
 
 func (f *floor) Forward(part, searcher string, within int64) {
@@ -39,10 +39,10 @@
 	f.cancelled = append(f.cancelled, cancelling{part, attempt})
 }
 func (f *floor) Answer(_ string, whole bool)        { f.ended, f.whole = f.ended+1, whole }
-func (f *floor) Bounce(string, int64)               { f.ended, f.whole = f.ended+1, false }
+func (f *floor) Reject(string, int64)               { f.ended, f.whole = f.ended+1, false }
 func (f *floor) Fail(string)                        { f.ended, f.whole = f.ended+1, false }
 func (f *floor) CloseIdle(string)                   { f.closed++ }
-func (f *floor) Timer(after int64, whose mixer.Due) { f.timers = append(f.timers, timer{after, whose}) }
+func (f *floor) SetTimer(after int64, whose mixer.TimerHandler) { f.timers = append(f.timers, timer{after, whose}) }
 func (f *floor) Subscribe()                         {}
 func (f *floor) Note(string)                        {}
 
@@ -53,7 +53,7 @@
 	part, attempt int
 	outcome       mixer.Outcome
 	took          int64     // since the attempt was sent
-	whose         mixer.Due // nil: an outcome
+	whose         mixer.TimerHandler // nil: an outcome
 }
 
 func (e event) before(o event) int {
--- a/internal/lab/fanout/module.go
+++ b/internal/lab/fanout/module.go
@@ -105,10 +105,10 @@
 }
 func (f fleetFloor) Cancel(string, int)        {}
 func (f fleetFloor) Answer(id string, _ bool)  { f.p.open[id].ended = true }
-func (f fleetFloor) Bounce(id string, _ int64) { f.p.refused, f.p.open[id].ended = f.p.refused+1, true }
+func (f fleetFloor) Reject(id string, _ int64) { f.p.refused, f.p.open[id].ended = f.p.refused+1, true }
 func (f fleetFloor) Fail(id string)            { f.p.refused, f.p.open[id].ended = f.p.refused+1, true }
 func (f fleetFloor) CloseIdle(string)          {}
-func (f fleetFloor) Timer(after int64, whose mixer.Due) {
+func (f fleetFloor) SetTimer(after int64, whose mixer.TimerHandler) {
 	f.p.due.push(dueEvent{at: f.p.now + after, whose: whose})
 }
 func (f fleetFloor) Subscribe()  {}
@@ -145,8 +145,8 @@
 			place[p.names[e.Searcher]] = len(p.own)
 			p.own, p.met = append(p.own, 0), append(p.met, false)
 		}
-		m.Listed(p.now, mine, true)
-		m.Resume(p.now, mixer.Kept{Fleet: mixer.Pace{Took: float64(f.Service) * 1e4, Calls: 1e4}})
+		m.UpdateList(p.now, mine, true)
+		m.Restore(p.now, mixer.Snapshot{Fleet: mixer.Pace{Took: float64(f.Service) * 1e4, Calls: 1e4}})
 		p.mixers, p.floors, p.place = append(p.mixers, m), append(p.floors, floor), append(p.place, place)
 	}
 	return p
@@ -158,10 +158,10 @@
 	id := strconv.Itoa(p.number)
 	q := &openQuery{mixer: of, began: p.now, left: p.Cells}
 	p.open[id] = q
-	q.lookup = p.mixers[of].Take(p.now, mixer.Ask{ID: id, NotAfter: p.now + 10e9, Parts: p.Cells})
+	q.lookup = p.mixers[of].StartLookup(p.now, mixer.LookupRequest{ID: id, NotAfter: p.now + 10e9, Parts: p.Cells})
 	p.Sent += p.Cells
 	for c := range p.Cells {
-		q.lookup.AddPart(p.now, mixer.Piece{ID: id + "." + strconv.Itoa(c), Slice: c, Weight: 1 / float64(p.Cells)})
+		q.lookup.AddPart(p.now, mixer.PartRequest{ID: id + "." + strconv.Itoa(c), Slice: c, Weight: 1 / float64(p.Cells)})
 	}
 }
 
@@ -199,7 +199,7 @@
 func (p *fleetPlayer) land(e dueEvent) {
 	p.now = max(p.now+1, e.at)
 	if e.whose != nil {
-		e.whose.Due(p.now)
+		e.whose.HandleTimer(p.now)
 		return
 	}
 	q := p.open[e.id]
@@ -214,7 +214,7 @@
 			p.Query.Add(time.Duration(p.now - q.began))
 		}
 	}
-	q.lookup.Outcome(p.now, e.part, 0, mixer.Satisfied, p.now-e.sent, true)
+	q.lookup.HandleOutcome(p.now, e.part, 0, mixer.Succeeded, p.now-e.sent, true)
 	if q.left == 0 {
 		delete(p.open, e.id)
 	}
@@ -223,7 +223,7 @@
 // dueEvent is an answer, or a timer where whose is set.
 type dueEvent struct {
 	at, sent    int64
-	whose       mixer.Due
+	whose       mixer.TimerHandler
 	id          string
 	part, place int
 }
--- a/internal/lab/fanout/play.go
+++ b/internal/lab/fanout/play.go
@@ -24,7 +24,7 @@
 // cells gives how many there are.
 func (w World) cells() int { return max(1, w.Searchers/w.Holders) }
 
-func (w World) charter() mixer.Charter {
+func (w World) charter() mixer.Config {
 	c := capacity.Terms(w.cells())
 	c.MayCopy = !w.NoCopy
 	if w.Lossy { // time to send again what is lost
@@ -43,7 +43,7 @@
 // allocate once its slices have grown.
 type player struct {
 	world   World
-	c       mixer.Charter
+	c       mixer.Config
 	now     int64
 	m       *mixer.Mixer
 	floor   *floor
@@ -51,7 +51,7 @@
 	agenda  agenda
 	index   map[string]int   // of a part, by its id
 	pace    map[string]int64 // ns that a searcher takes
-	pieces  []mixer.Piece
+	pieces  []mixer.PartRequest
 	queries int
 
 	attempts [][]attempt // by part
@@ -82,7 +82,7 @@
 		index: map[string]int{}, pace: make(map[string]int64, w.Searchers), in: make([]bool, w.Parts), attempts: make([][]attempt, w.Parts)}
 	p.m = mixer.New(p.now, p.c, 1, p.floor)
 	rows := make([]mixer.Entry, w.Searchers)
-	kept := mixer.Kept{Fleet: mixer.Pace{Took: float64(middle) * 1e4, Calls: 1e4}}
+	kept := mixer.Snapshot{Fleet: mixer.Pace{Took: float64(middle) * 1e4, Calls: 1e4}}
 	for i := range rows {
 		id := numbered(i)
 		rows[i] = mixer.Entry{Searcher: id, Cell: i % w.cells(), Zone: "zone-" + strconv.Itoa(i%int(capacity.ZonesAll)), Status: mixer.Live}
@@ -93,14 +93,14 @@
 			kept.Process = append(kept.Process, mixer.Pace{Searcher: id, Took: 4 * float64(p.pace[id]), Calls: 4})
 		}
 	}
-	p.m.Listed(p.now, rows, true)
+	p.m.UpdateList(p.now, rows, true)
 	for i := range w.Parts {
 		id := "query." + strconv.Itoa(i)
 		p.index[id] = i
-		p.pieces = append(p.pieces, mixer.Piece{ID: id, Weight: 1 / float64(w.Parts)})
+		p.pieces = append(p.pieces, mixer.PartRequest{ID: id, Weight: 1 / float64(w.Parts)})
 	}
 	if w.Met {
-		p.m.Resume(p.now, kept)
+		p.m.Restore(p.now, kept)
 		for range min(100, w.cells()/w.Parts) + 2 { // the module's own slices grow, all cells are met
 			p.query()
 		}
@@ -117,8 +117,8 @@
 // fill has the budget's window full, without serving what fills it: of a query whose client has gone at once.
 func (p *player) fill() {
 	parts := int(p.world.Budget.Seconds() * (capacity.Queries / capacity.Mixers) * (capacity.Parts + 1))
-	l := p.m.Take(p.now, mixer.Ask{ID: "gone", NotAfter: p.now + int64(capacity.Answer*1e9), Parts: parts + 1})
-	l.Gone(p.now)
+	l := p.m.StartLookup(p.now, mixer.LookupRequest{ID: "gone", NotAfter: p.now + int64(capacity.Answer*1e9), Parts: parts + 1})
+	l.Abandon(p.now)
 	for range parts {
 		p.now += int64(p.world.Budget) / int64(parts)
 		l.AddPart(p.now, p.pieces[0])
@@ -143,7 +143,7 @@
 	p.done, p.open = false, 0
 
 	began := time.Now()
-	l := p.m.Take(p.now, mixer.Ask{ID: "query", NotAfter: p.now + p.c.Tariffs[0].Patience, Parts: len(p.pieces)})
+	l := p.m.StartLookup(p.now, mixer.LookupRequest{ID: "query", NotAfter: p.now + p.c.Tariffs[0].Patience, Parts: len(p.pieces)})
 	for i := range p.pieces {
 		l.AddPart(p.now, p.pieces[i])
 	}
@@ -160,13 +160,13 @@
 			a := &p.attempts[e.part][e.attempt]
 			a.ended, e.took = p.now, p.now-a.sent
 			p.open--
-			p.in[e.part] = p.in[e.part] || e.outcome == mixer.Satisfied
+			p.in[e.part] = p.in[e.part] || e.outcome == mixer.Succeeded
 		}
 		began := time.Now()
 		if e.whose != nil {
-			e.whose.Due(p.now)
+			e.whose.HandleTimer(p.now)
 		} else {
-			l.Outcome(p.now, e.part, e.attempt, e.outcome, e.took, p.in[e.part] || p.done)
+			l.HandleOutcome(p.now, e.part, e.attempt, e.outcome, e.took, p.in[e.part] || p.done)
 		}
 		took := time.Since(began)
 		p.calls, p.outcomes, p.longestAfter = p.calls+1, p.outcomes+took, max(p.longestAfter, took)
--- a/internal/lab/fanout/real.go
+++ b/internal/lab/fanout/real.go
@@ -102,7 +102,7 @@
 				began := time.Now()
 				a.Leave()
 				middle := time.Now()
-				a.Report(mixer.Satisfied, nil)
+				a.Report(mixer.Succeeded, nil)
 				end := time.Now()
 				f.Outcomes += end.Sub(began)
 				f.LongestCall = max(f.LongestCall, middle.Sub(began), end.Sub(middle))
--- a/internal/lab/fleet/cold_test.go
+++ b/internal/lab/fleet/cold_test.go
@@ -18,13 +18,13 @@
 	expected, work int64 // of lookups and of a part, ms
 	uneven         bool  // parts have 0.1 or 1.9 times that work by chance, in one tariff
 	moves          bool  // a third of the mixers bears nearly all of the traffic, each third for 3 s
-	change         func(*mixer.Charter)
+	change         func(*mixer.Config)
 	trouble        func(w *World, step int)
 }
 
 // short are settings of little room: a small N.
-func short(c *mixer.Charter) { c.FallFor, c.FallMultiple = 500*ms, 1.5 }
-func large(c *mixer.Charter) { c.FallMultiple, c.ColdFrom = 4, 0.5 }
+func short(c *mixer.Config) { c.FallFor, c.FallMultiple = 500*ms, 1.5 }
+func large(c *mixer.Config) { c.FallMultiple, c.ColdFrom = 4, 0.5 }
 
 // drained leaves s0 alone in its cell at 2 s.
 func drained(w *World, step int) {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -88,15 +88,15 @@
 	w.Store.Stalled = true
 	// From one lease after the last word, and what a lender gives up beyond it.
 	w.Run(w.Now + 500*ms + sharing.GivenUp)
-	w.standings(1, w.Mixers, []*Searcher{w.Searchers[5], w.Searchers[3]}, func(n *Node, o *Searcher, st mixer.Standing) {
-		if st.Word != (mixer.Word{}) || st.Doubted || st.Shunned || st.Suspect {
+	w.standings(1, w.Mixers, []*Searcher{w.Searchers[5], w.Searchers[3]}, func(n *Node, o *Searcher, st mixer.SearcherState) {
+		if st.Word != (mixer.PeerReport{}) || st.Doubted || st.Shunned || st.Suspect {
 			t.Errorf("mixer %d of searcher %s, one lease after the last word: %+v", n.Index, o.Name, st)
 		}
 	})
 }
 
 // standings goes through how searchers stand with some mixers, every half second of so many.
-func (w *World) standings(halves int, at []*Node, of []*Searcher, each func(n *Node, o *Searcher, st mixer.Standing)) {
+func (w *World) standings(halves int, at []*Node, of []*Searcher, each func(n *Node, o *Searcher, st mixer.SearcherState)) {
 	for range halves {
 		w.Run(w.Now + 500*ms)
 		for _, n := range at {
@@ -112,13 +112,13 @@
 	s := small(3, true)
 	w := New(s)
 	w.Mixers[0].Broken = func(i int) bool { return i%2 == 0 }
-	w.standings(40, w.Mixers[1:], w.Searchers, func(n *Node, o *Searcher, st mixer.Standing) {
+	w.standings(40, w.Mixers[1:], w.Searchers, func(n *Node, o *Searcher, st mixer.SearcherState) {
 		if st.Word.Silent || st.Doubted {
 			t.Fatalf("after %v mixer %d holds the sound searcher %s silent: %+v", w.Now, n.Index, o.Name, st.Word)
 		}
 	})
 	n := 0
-	w.standings(1, w.Mixers[:1], w.Searchers, func(_ *Node, _ *Searcher, st mixer.Standing) {
+	w.standings(1, w.Mixers[:1], w.Searchers, func(_ *Node, _ *Searcher, st mixer.SearcherState) {
 		if st.Suspect {
 			n++
 		}
@@ -136,7 +136,7 @@
 			s.Rows = append(s.Rows, bad(o))
 		}
 	}
-	w.standings(40, w.Mixers[2:], w.Searchers, func(n *Node, o *Searcher, st mixer.Standing) {
+	w.standings(40, w.Mixers[2:], w.Searchers, func(n *Node, o *Searcher, st mixer.SearcherState) {
 		if st.Doubted || st.Word.Slow > 19 { // it says 20; what sound mixers met by chance is less
 			t.Fatalf("mixer %d believes a liar of searcher %s: %+v", n.Index, o.Name, st.Word)
 		}
@@ -152,7 +152,7 @@
 		}
 	}
 	w.Run(w.Now + 14_500*ms)
-	w.standings(1, w.Mixers, w.Searchers, func(n *Node, o *Searcher, st mixer.Standing) {
+	w.standings(1, w.Mixers, w.Searchers, func(n *Node, o *Searcher, st mixer.SearcherState) {
 		if n.Zone == "b" && (st.Doubted || st.Suspect) {
 			t.Errorf("mixer %d of the other zone passes over the sound %s", n.Index, o.Name)
 		}
--- a/internal/lab/fleet/floor.go
+++ b/internal/lab/fleet/floor.go
@@ -36,7 +36,7 @@
 			if n.M != m {
 				return // the mixer that waited is no more
 			}
-			in := o == mixer.Satisfied && !l.Ended
+			in := o == mixer.Succeeded && !l.Ended
 			p.in = p.in || in
 			l.h.Outcome(w.Now, p.index, copy, o, w.Now-began, p.in || l.Ended)
 		})
@@ -55,7 +55,7 @@
 		return
 	}
 	if s.Status == mixer.Dead {
-		outcome(2*net, mixer.Unreached)
+		outcome(2*net, mixer.Unreachable)
 		return
 	}
 	w.book(s)
@@ -74,7 +74,7 @@
 	done := max(s.free[first], w.Now+net) + int64(work)
 	s.free[first] = done
 	if took := done + net - w.Now; took <= within {
-		outcome(took, mixer.Satisfied)
+		outcome(took, mixer.Succeeded)
 	} else {
 		outcome(within, mixer.TimedOut)
 	}
@@ -116,7 +116,7 @@
 	l.Answered, l.Whole = true, whole
 }
 
-func (n floor) Bounce(id string, wait int64) {
+func (n floor) Reject(id string, wait int64) {
 	n.trace("bounce " + id)
 	n.end(id).Bounced = true
 }
@@ -130,11 +130,11 @@
 func (n floor) CloseIdle(string)   {}
 func (n floor) Subscribe()         {}
 func (n floor) Note(string)        {}
-func (n floor) Timer(after int64, whose mixer.Due) {
+func (n floor) SetTimer(after int64, whose mixer.TimerHandler) {
 	m := n.M
 	n.w.After(after, func() {
 		if n.M == m || m == nil {
-			whose.Due(n.w.Now)
+			whose.HandleTimer(n.w.Now)
 		}
 	})
 }
--- a/internal/lab/fleet/scenes.go
+++ b/internal/lab/fleet/scenes.go
@@ -13,7 +13,7 @@
 func Usual(seed int64, mixers int, load, home float64, shared bool) Setup {
 	s := Setup{Seed: seed, Mixers: mixers, Zones: 2, Searchers: 24, Parts: 2, Home: home, Work: 50 * ms, Cores: 2, Net: ms,
 		Shared: shared, ListLate: 500 * ms,
-		Charter: mixer.Charter{
+		Charter: mixer.Config{
 			Tariffs: []mixer.Tariff{{Expected: 800 * ms, Patience: 2000 * ms, CompleteFrom: 1, LeastShare: 1}},
 			Cells:   8, Reach: 1, PerCall: 4, MaxForwards: 4, MayCopy: true,
 			ColdFrom: 0.15, ColdFor: 18_000 * ms, FallMultiple: 2, FallFor: 1000 * ms,
--- a/internal/lab/fleet/store.go
+++ b/internal/lab/fleet/store.go
@@ -76,8 +76,8 @@
 	w.After(1+rng.Int63n(sharing.Round), round)
 }
 
-func (n *Node) own() (all []mixer.Own) {
-	n.M.Tell(n.w.Now, sharing.GivenUp, func(o mixer.Own) { all = append(all, o) })
+func (n *Node) own() (all []mixer.Observation) {
+	n.M.Tell(n.w.Now, sharing.GivenUp, func(o mixer.Observation) { all = append(all, o) })
 	return all
 }
 
--- a/internal/lab/fleet/subset_test.go
+++ b/internal/lab/fleet/subset_test.go
@@ -12,7 +12,7 @@
 func subsets(searchers, least, most int) func(*Setup) {
 	return func(s *Setup) {
 		s.Searchers, s.Zones, s.Charter.Cells = searchers, 4, 1
-		o := subset.Options{Cells: 1, Mixers: s.Mixers, Least: least, Most: most, Meetings: 64, Memory: mixer.PaceHalf,
+		o := subset.Options{Cells: 1, Mixers: s.Mixers, Least: least, Most: most, Meetings: 64, Memory: mixer.PaceHalfLife,
 			Linger: s.Charter.Tariffs[0].Patience, Hold: 30_000 * ms, ColdFor: s.Charter.ColdFor}
 		b := subset.Bound(o, searchers, searchers)
 		o.ColdShare, s.Charter.Users, s.Charter.UsersMean = b.ColdShare, b.Users, b.UsersMean
--- a/internal/lab/fleet/thin.go
+++ b/internal/lab/fleet/thin.go
@@ -40,7 +40,7 @@
 	u.Rates = slices.Repeat([]float64{s.Met * float64(s.Holders) / parts}, s.Mixers)
 	if s.Size > 0 {
 		u.Subset = func(name, zone string) subset.Options {
-			return subset.Options{Name: name, Zone: zone, Cells: 1, Least: s.Size, Most: s.Size, Meetings: 64, Memory: mixer.PaceHalf,
+			return subset.Options{Name: name, Zone: zone, Cells: 1, Least: s.Size, Most: s.Size, Meetings: 64, Memory: mixer.PaceHalfLife,
 				Linger: u.Charter.Tariffs[0].Patience, Hold: 30_000 * ms, ColdFor: u.Charter.ColdFor, ColdShare: 1}
 		}
 	}
--- a/internal/lab/fleet/world.go
+++ b/internal/lab/fleet/world.go
@@ -27,7 +27,7 @@
 	Mixers    int
 	Zones     int // mixers and searchers are spread over them in turn
 	Searchers int // spread over the cells in turn
-	Charter   mixer.Charter
+	Charter   mixer.Config
 	Parts     int                  // of a lookup, on slices in a row from a random one
 	Rates     []float64            // lookups a second, by mixer
 	Home      float64              // share of a mixer\'s lookups that begin at the slice of its region: its number modulo the cells
@@ -195,8 +195,8 @@
 	var step func()
 	step = func() {
 		if n.life == life {
-			var all []mixer.Use
-			n.M.Use(w.Now, n.Chooser.Used(), func(u mixer.Use) { all = append(all, u) })
+			var all []mixer.Usage
+			n.M.Use(w.Now, n.Chooser.Used(), func(u mixer.Usage) { all = append(all, u) })
 			n.M.Listed(w.Now, n.Chooser.Step(w.Now, all), false)
 			w.After(1000*ms, step)
 		}
@@ -264,9 +264,9 @@
 	l := &Lookup{Node: n.Index, At: w.Now, Expected: t.Expected, t: t, parts: w.Parts}
 	w.Lookups = append(w.Lookups, l)
 	n.lookups[id] = l
-	l.h = n.M.Take(w.Now, mixer.Ask{ID: id, NotAfter: w.Now + t.Patience, Parts: w.Parts})
+	l.h = n.M.Take(w.Now, mixer.LookupRequest{ID: id, NotAfter: w.Now + t.Patience, Parts: w.Parts})
 	for i := range w.Parts {
-		p := mixer.Piece{ID: fmt.Sprintf("%s/%d", id, i), Slice: (slice + i) % w.Charter.Cells, Weight: 1 / float64(w.Parts)}
+		p := mixer.PartRequest{ID: fmt.Sprintf("%s/%d", id, i), Slice: (slice + i) % w.Charter.Cells, Weight: 1 / float64(w.Parts)}
 		n.parts[p.ID] = &part{l: l, index: i}
 		l.h.AddPart(w.Now, p)
 	}
--- a/internal/lab/measure/loopback.go
+++ b/internal/lab/measure/loopback.go
@@ -70,7 +70,7 @@
 					continue
 				}
 				work := time.Duration((rng.ExpFloat64() + rng.ExpFloat64()) / 2 * float64(s.setup.Work))
-				time.AfterFunc(q.serve(work), func() { f.Report(mixer.Satisfied, nil) })
+				time.AfterFunc(q.serve(work), func() { f.Report(mixer.Succeeded, nil) })
 			}
 		}
 		if step.Final != nil {
--- a/internal/lab/record/draw.go
+++ b/internal/lab/record/draw.go
@@ -23,8 +23,8 @@
 func steps(rng *rand.Rand, lo, hi float64) int64 { return 5 * ms * int64(within(rng, lo/5, hi/5)) }
 
 // drawCharter draws settings from all that a deployment may state, and beyond: a reach over the number of cells too.
-func drawCharter(rng *rand.Rand) mixer.Charter {
-	c := mixer.Charter{
+func drawCharter(rng *rand.Rand) mixer.Config {
+	c := mixer.Config{
 		Zone: oneOf(rng, "a", "a", "b", ""), Mixers: oneOf(rng, 1, 2, 3, 20, 300),
 		Cells: oneOf(rng, 1, 2, 3, 4, 6, 8, 12, 1+rng.Intn(30)), Reach: 1 + rng.Intn(3), PerCall: oneOf(rng, 1, 1+rng.Intn(8)),
 		MaxForwards: 1 + rng.Intn(6), MayCopy: rng.Intn(2) == 0, MayCancel: rng.Intn(2) == 0,
@@ -54,7 +54,7 @@
 	if rng.Intn(2) == 0 {
 		t.LeastShare, t.Partial = t.CompleteFrom*within(rng, 0.2, 1), oneOf(rng, 0, 0.9, 0.9)
 	}
-	if t.Effect == mixer.Tagged {
+	if t.Effect == mixer.Deduplicated {
 		t.RepeatFor = steps(rng, 50, 1.2*float64(t.Expected/ms))
 	}
 	if rng.Intn(4) == 0 {
--- a/internal/lab/record/record_test.go
+++ b/internal/lab/record/record_test.go
@@ -142,8 +142,8 @@
 func TestNumbersAreKeptToTheBit(t *testing.T) {
 	for _, x := range []float64{1.0 / 3, math.Copysign(0, -1), math.SmallestNonzeroFloat64, math.MaxFloat64, 5e-7, 1e21} {
 		var b bytes.Buffer
-		m := record.New(1, mixer.Charter{Cells: 1, Reach: 1, Mixers: 1, Tariffs: []mixer.Tariff{{Expected: 1}}}, 1, nil, record.NewTranscript(&b))
-		m.Told(2, []mixer.Word{{Searcher: "s", Slow: x, Until: math.MaxInt64}})
+		m := record.New(1, mixer.Config{Cells: 1, Reach: 1, Mixers: 1, Tariffs: []mixer.Tariff{{Expected: 1}}}, 1, nil, record.NewTranscript(&b))
+		m.Told(2, []mixer.PeerReport{{Searcher: "s", Slow: x, Until: math.MaxInt64}})
 		if lines := strings.SplitAfter(b.String(), "\n"); len(lines) != 3 || strings.Contains(lines[0], "BudgetFor") {
 			t.Errorf("written: %q", lines)
 		} else if same, err := replay(lines); same != 2 || err != nil { // a replay writes anew what it has read
--- a/internal/lab/record/replay.go
+++ b/internal/lab/record/replay.go
@@ -48,7 +48,7 @@
 // Replay makes the calls of a transcript again, to a module of this build, and compares all that it does. It gives how many lines
 // were the same; the error is a *Difference where the module differs, and another where the transcript can't be read.
 func Replay(in io.Reader) (same int, err error) {
-	r := &replay{timers: map[int]mixer.Due{}, queries: map[int]*Lookup{}}
+	r := &replay{timers: map[int]mixer.TimerHandler{}, queries: map[int]*Lookup{}}
 	r.t = NewTranscript(&r.now)
 	s := bufio.NewScanner(in)
 	s.Buffer(nil, 64<<20)
@@ -89,7 +89,7 @@
 	t       *Transcript
 	now     bytes.Buffer // what is written of the call at hand
 	m       *Mixer
-	timers  map[int]mixer.Due // by number, not yet due
+	timers  map[int]mixer.TimerHandler // by number, not yet due
 	queries map[int]*Lookup   // by number
 }
 
@@ -181,7 +181,7 @@
 	now := a.time()
 	switch name {
 	case "new":
-		seed, c := a.time(), structure[mixer.Charter](a)
+		seed, c := a.time(), structure[mixer.Config](a)
 		return func() { r.m = New(now, c, seed, r, r.t) }
 	case "listed":
 		full, rows := a.bool(), structure[[]mixer.Entry](a)
@@ -189,28 +189,28 @@
 	case "refused":
 		return func() { r.m.ListRefused(now) }
 	case "told":
-		words := structure[[]mixer.Word](a)
+		words := structure[[]mixer.PeerReport](a)
 		return func() { r.m.Told(now, words) }
 	case "hold":
 		return func() { r.m.Hold(now) }
 	case "adopt":
-		c := structure[mixer.Charter](a)
+		c := structure[mixer.Config](a)
 		return func() { r.m.Adopt(now, c) }
 	case "ask":
-		return func() { r.m.Due(now) }
+		return func() { r.m.HandleTimer(now) }
 	case "tell":
 		within := a.time()
-		return func() { r.m.Tell(now, within, func(mixer.Own) {}) }
+		return func() { r.m.Tell(now, within, func(mixer.Observation) {}) }
 	case "standing":
 		searcher := a.next()
 		return func() { r.m.Standing(now, searcher) }
 	case "keep":
 		return func() { r.m.Keep(now) }
 	case "resume":
-		k := structure[mixer.Kept](a)
+		k := structure[mixer.Snapshot](a)
 		return func() { r.m.Resume(now, k) }
 	case "take":
-		ask := structure[mixer.Ask](a)
+		ask := structure[mixer.LookupRequest](a)
 		return func() {
 			l := r.m.Take(now, ask)
 			r.queries[l.number] = l
@@ -223,7 +223,7 @@
 		}
 		return func() {
 			delete(r.timers, number)
-			whose.Due(now)
+			whose.HandleTimer(now)
 		}
 	case "part", "outcome", "gone":
 		return r.readOf(name, now, a)
@@ -241,7 +241,7 @@
 	}
 	switch name {
 	case "part":
-		p := structure[mixer.Piece](a)
+		p := structure[mixer.PartRequest](a)
 		return func() { l.AddPart(now, p) }
 	case "outcome":
 		i, copy, o, took, over := a.int(), a.int(), mixer.Outcome(a.int()), a.time(), a.bool()
@@ -251,12 +251,12 @@
 }
 
 // Timer keeps what the transcript will call; the other actions are only written down.
-func (r *replay) Timer(_ int64, whose mixer.Due) { r.timers[whose.(*due).number] = whose }
+func (r *replay) SetTimer(_ int64, whose mixer.TimerHandler) { r.timers[whose.(*due).number] = whose }
 
 func (r *replay) Forward(string, string, int64) {}
 func (r *replay) Cancel(string, int)            {}
 func (r *replay) Answer(string, bool)           {}
-func (r *replay) Bounce(string, int64)          {}
+func (r *replay) Reject(string, int64)          {}
 func (r *replay) Fail(string)                   {}
 func (r *replay) CloseIdle(string)              {}
 func (r *replay) Subscribe()                    {}
--- a/internal/lab/record/trouble.go
+++ b/internal/lab/record/trouble.go
@@ -10,22 +10,22 @@
 func (w *world) serve(b *box, within int64) (took int64, o mixer.Outcome) {
 	fast := b.net + w.rng.Int63n(3*ms)
 	if b.Status == mixer.Dead {
-		return fast, mixer.Unreached
+		return fast, mixer.Unreachable
 	}
 	switch b.how {
 	case hangs:
 		return within, mixer.TimedOut
 	case errs:
-		return fast, mixer.Errored
+		return fast, mixer.Failed
 	case refuses:
-		return fast, mixer.Bounced
+		return fast, mixer.Rejected
 	case unreached:
-		return min(within, 250*ms), mixer.Unreached
+		return min(within, 250*ms), mixer.Unreachable
 	case resets:
-		return min(within, w.rng.Int63n(200*ms)), mixer.Reset
+		return min(within, w.rng.Int63n(200*ms)), mixer.ConnectionReset
 	case flaky:
 		if w.rng.Intn(2) == 0 {
-			return fast, oneOf(w.rng, mixer.Errored, mixer.Bounced, mixer.Reset)
+			return fast, oneOf(w.rng, mixer.Failed, mixer.Rejected, mixer.ConnectionReset)
 		}
 	case mutes:
 		if w.rng.Intn(3) > 0 {
@@ -33,7 +33,7 @@
 		}
 	}
 	if w.rng.Intn(300) == 0 {
-		return 0, mixer.Moot
+		return 0, mixer.NeverSent
 	}
 	work := w.rng.ExpFloat64() * float64(w.work) * b.slower * w.slow
 	if b.how == crawls {
@@ -52,7 +52,7 @@
 	if took = b.free[first] - w.now + b.net; took > within {
 		return within, mixer.TimedOut
 	}
-	return took, mixer.Satisfied
+	return took, mixer.Succeeded
 }
 
 // some gives searchers that are in trouble together: one, a few, a cell, a zone or nearly all.
@@ -162,7 +162,7 @@
 	case 0:
 		w.m.Standing(w.now, oneOf(w.rng, w.boxes...).Searcher)
 	case 1:
-		w.m.Tell(w.now, 500*ms, func(mixer.Own) {})
+		w.m.Tell(w.now, 500*ms, func(mixer.Observation) {})
 	case 2:
 		if k := w.m.Keep(w.now); w.rng.Intn(2) == 0 {
 			w.m.Resume(w.now, k)
@@ -178,9 +178,9 @@
 
 // words has other mixers say and lend something.
 func (w *world) words() {
-	var words []mixer.Word
+	var words []mixer.PeerReport
 	for _, b := range w.some() {
-		o := mixer.Word{Searcher: b.Searcher, Started: b.Started, At: w.now - span(w.rng, 0, 300), Until: w.now + span(w.rng, 0, 1500)}
+		o := mixer.PeerReport{Searcher: b.Searcher, Started: b.Started, At: w.now - span(w.rng, 0, 300), Until: w.now + span(w.rng, 0, 1500)}
 		if w.rng.Intn(2) == 0 {
 			o.Slow, o.Weight = within(w.rng, 0.3, 20), within(w.rng, 0, 20)
 		}
@@ -194,7 +194,7 @@
 		words = append(words, o)
 	}
 	if w.rng.Intn(20) == 0 {
-		words = append(words, mixer.Word{Searcher: "none", Until: math.MaxInt64})
+		words = append(words, mixer.PeerReport{Searcher: "none", Until: math.MaxInt64})
 	}
 	w.m.Told(w.now, words)
 }
--- a/internal/lab/record/world.go
+++ b/internal/lab/record/world.go
@@ -19,7 +19,7 @@
 	end     int64 // of arrivals
 	agenda  agenda.Agenda
 
-	c       mixer.Charter
+	c       mixer.Config
 	m       *Mixer
 	cores   int
 	work    int64 // mean work of a part
@@ -63,7 +63,7 @@
 
 // query is one query as its client sees it.
 type query struct {
-	mixer.Ask
+	mixer.LookupRequest
 	t        mixer.Tariff
 	h        *Lookup
 	parts    []*piece
@@ -156,7 +156,7 @@
 	for _, b := range w.boxes {
 		w.m.Standing(w.now, b.Searcher)
 	}
-	w.m.Tell(w.now, 500*ms, func(mixer.Own) {})
+	w.m.Tell(w.now, 500*ms, func(mixer.Observation) {})
 	w.m.Keep(w.now)
 	w.m.ListRefused(w.now)
 	w.m.ListRefused(w.now)
@@ -167,7 +167,7 @@
 	for range oneOf(w.rng, 1, 1, 1, 1, 2, 5) {
 		tariff := w.rng.Intn(len(w.c.Tariffs))
 		q := &query{t: w.c.Tariffs[tariff], deadline: w.now + w.c.Tariffs[tariff].Patience}
-		q.Ask = mixer.Ask{Tariff: tariff, Parts: w.drawParts(), Customer: w.rng.Intn(1 + len(w.c.Allowances))}
+		q.LookupRequest = mixer.LookupRequest{Tariff: tariff, Parts: w.drawParts(), Customer: w.rng.Intn(1 + len(w.c.Allowances))}
 		w.take(q)
 	}
 }
@@ -179,7 +179,7 @@
 		q.NotAfter = w.now + (q.deadline-w.now)*2/3
 	}
 	w.queries = append(w.queries, q)
-	q.h = w.m.Take(w.now, q.Ask)
+	q.h = w.m.Take(w.now, q.LookupRequest)
 	n := q.Parts
 	if w.rng.Intn(60) == 0 {
 		n = w.rng.Intn(n) // the rest never comes
@@ -208,16 +208,16 @@
 		p := &piece{q: q, index: len(q.parts), slice: on[i]}
 		id := fmt.Sprintf("%s.%d", q.ID, p.index)
 		q.parts, w.parts[id] = append(q.parts, p), p
-		q.h.AddPart(w.now, mixer.Piece{ID: id, Slice: on[i], Weight: weights[i], Effort: efforts[i]})
+		q.h.AddPart(w.now, mixer.PartRequest{ID: id, Slice: on[i], Weight: weights[i], Effort: efforts[i]})
 	}
 }
 
 // again has a client that was turned away try again, as a query of its own.
 func (w *world) again(q *query, wait int64) {
 	q.ended = true
-	if q.tries < 3 && q.t.Effect != mixer.OnceOnly && w.rng.Intn(2) == 0 {
+	if q.tries < 3 && q.t.Effect != mixer.AtMostOnce && w.rng.Intn(2) == 0 {
 		w.after(wait+w.rng.Int63n(200*ms), func() {
-			if next := (&query{Ask: q.Ask, t: w.c.Tariffs[q.Tariff], deadline: q.deadline, tries: q.tries + 1}); w.now < q.deadline {
+			if next := (&query{LookupRequest: q.LookupRequest, t: w.c.Tariffs[q.Tariff], deadline: q.deadline, tries: q.tries + 1}); w.now < q.deadline {
 				next.Again = true
 				w.take(next)
 			}
@@ -240,7 +240,7 @@
 		return
 	}
 	p.done[i] = true
-	p.in = p.in || o == mixer.Satisfied && !p.q.ended
+	p.in = p.in || o == mixer.Succeeded && !p.q.ended
 	p.q.h.Outcome(w.now, p.index, i, o, took, p.in || p.q.ended)
 }
 
@@ -268,7 +268,7 @@
 	w.after(w.rng.Int63n(8*ms), func() { w.hand(q, len(on), on) })
 }
 
-func (w *world) Bounce(id string, wait int64) { w.again(w.query(id), wait) }
+func (w *world) Reject(id string, wait int64) { w.again(w.query(id), wait) }
 func (w *world) Fail(id string)               { w.again(w.query(id), 0) }
 
 func (w *world) query(id string) *query {
@@ -282,11 +282,11 @@
 func (w *world) CloseIdle(string) {}
 func (w *world) Note(string)      {}
 
-func (w *world) Timer(after int64, whose mixer.Due) {
+func (w *world) SetTimer(after int64, whose mixer.TimerHandler) {
 	if w.late > 0 && w.rng.Intn(3) == 0 {
 		after += w.rng.Int63n(w.late)
 	}
-	w.after(after, func() { whose.Due(w.now) })
+	w.after(after, func() { whose.HandleTimer(w.now) })
 }
 
 func (w *world) Subscribe() {
--- a/internal/lab/sites/decide.go
+++ b/internal/lab/sites/decide.go
@@ -172,13 +172,13 @@
 // pace tells the module whom it may not meet yet, and who is silent.
 func (n *node) pace(out siteloss.Outputs) {
 	w := n.w
-	var words []mixer.Word
+	var words []mixer.PeerReport
 	for _, o := range w.searchers {
 		l := n.leaves[o.site]
 		if l.Share >= 1 {
 			continue
 		}
-		word := mixer.Word{Searcher: o.name, Started: o.started, At: w.clock.Now, Until: w.clock.Now + 2*w.Every,
+		word := mixer.PeerReport{Searcher: o.name, Started: o.started, At: w.clock.Now, Until: w.clock.Now + 2*w.Every,
 			Suspecting: w.Mixers / 8}
 		word.Silent = out.Sites[o.site].Out()
 		if !l.Meets(o.index) {
@@ -187,6 +187,6 @@
 		words = append(words, word)
 	}
 	if words != nil {
-		n.m.Told(w.clock.Now, words)
+		n.m.UpdatePeerReports(w.clock.Now, words)
 	}
 }
--- a/internal/lab/sites/node.go
+++ b/internal/lab/sites/node.go
@@ -51,7 +51,7 @@
 	for _, o := range w.searchers {
 		rows = append(rows, o.entry())
 	}
-	n.m.Listed(w.clock.Now, rows, true)
+	n.m.UpdateList(w.clock.Now, rows, true)
 	terms := siteloss.Terms{Own: n.site, Sites: nSites, Every: w.Every, Expected: w.Expected, Warming: w.ColdFor, Beat: 2000 * ms}
 	st, err := siteloss.New(w.clock.Now, terms, uint64(n.index)*1000+uint64(n.lives))
 	if err != nil {
@@ -103,9 +103,9 @@
 	id := fmt.Sprintf("%d.%d", n.lives, n.number)
 	t := &try{l: l, n: n, least: least}
 	n.tries[id] = t
-	t.h = n.m.Take(w.clock.Now, mixer.Ask{ID: id, Tariff: row, NotAfter: l.at + w.Patience, Parts: parts, Again: l.tried > 1})
+	t.h = n.m.StartLookup(w.clock.Now, mixer.LookupRequest{ID: id, Tariff: row, NotAfter: l.at + w.Patience, Parts: parts, Again: l.tried > 1})
 	for i, s := range slices {
-		p := mixer.Piece{ID: fmt.Sprintf("%s/%d", id, i), Slice: s, Weight: 1 / float64(parts)}
+		p := mixer.PartRequest{ID: fmt.Sprintf("%s/%d", id, i), Slice: s, Weight: 1 / float64(parts)}
 		n.pieces[p.ID] = &piece{t: t, index: i, cell: s}
 		t.h.AddPart(w.clock.Now, p)
 	}
@@ -132,7 +132,7 @@
 			if n.m != m || !n.alive {
 				return
 			}
-			if took := w.clock.Now - began; out == mixer.Satisfied {
+			if took := w.clock.Now - began; out == mixer.Succeeded {
 				e, c := &n.seen[len(n.seen)-1][o.site], &n.loads[len(n.loads)-1][o.cell]
 				e.Answered++
 				c.Work++ // parts, until it is told
@@ -143,13 +143,13 @@
 					c.Late++
 				}
 			}
-			p.in = p.in || out == mixer.Satisfied && !p.t.over
-			p.t.h.Outcome(w.clock.Now, p.index, copy, out, w.clock.Now-began, p.in || p.t.over)
+			p.in = p.in || out == mixer.Succeeded && !p.t.over
+			p.t.h.HandleOutcome(w.clock.Now, p.index, copy, out, w.clock.Now-began, p.in || p.t.over)
 		})
 	}
 	after, ok := w.serve(o, n.site)
 	if ok && after <= within {
-		outcome(after, mixer.Satisfied)
+		outcome(after, mixer.Succeeded)
 		return
 	}
 	if !ok { // nothing comes: it counts as lost once it would have been expected
@@ -192,16 +192,16 @@
 	}
 }
 
-func (f floor) Bounce(id string, wait int64) { f.w.again(f.end(id).l, wait) }
+func (f floor) Reject(id string, wait int64) { f.w.again(f.end(id).l, wait) }
 func (f floor) Fail(id string)               { f.w.again(f.end(id).l, 0) }
 func (f floor) Cancel(string, int)           {}
 func (f floor) CloseIdle(string)             {}
 func (f floor) Subscribe()                   {}
 func (f floor) Note(string)                  {}
-func (f floor) Timer(after int64, whose mixer.Due) {
+func (f floor) SetTimer(after int64, whose mixer.TimerHandler) {
 	f.w.clock.After(after, func() {
 		if f.lives == f.life && f.alive {
-			whose.Due(f.w.clock.Now)
+			whose.HandleTimer(f.w.clock.Now)
 		}
 	})
 }
--- a/internal/lab/sites/world.go
+++ b/internal/lab/sites/world.go
@@ -75,7 +75,7 @@
 	byName    map[string]*searcher
 	start     int64
 	rng       *rand.Rand
-	charter   mixer.Charter
+	charter   mixer.Config
 	rules     siteloss.Rules
 	lookups   []*lookup
 	out       bool // the site is lost
@@ -123,7 +123,7 @@
 
 // New makes a world.
 func New(s Setup) *World {
-	c := mixer.Charter{Mixers: s.Mixers, Cells: s.Cells, Reach: 1, PerCall: 4, MaxForwards: 4, MayCopy: true, MayAdvise: true,
+	c := mixer.Config{Mixers: s.Mixers, Cells: s.Cells, Reach: 1, PerCall: 4, MaxForwards: 4, MayCopy: true, MayAdvise: true,
 		MaxAdvice: 1000 * ms, ColdFrom: coldFrom, ColdFor: s.ColdFor, FallMultiple: coldTimes, FallFor: coldCount,
 		BudgetFor: 10_000 * ms, BudgetFree: 10, BudgetShare: 0.2}
 	w := &World{Setup: s, rng: rand.New(rand.NewSource(s.Seed)), byName: map[string]*searcher{}, board: make([]posted, s.Mixers),
@@ -208,7 +208,7 @@
 	for _, n := range w.nodes {
 		w.clock.After(1+w.rng.Int63n(500*ms), func() {
 			if n.alive {
-				n.m.Listed(w.clock.Now, []mixer.Entry{e}, false)
+				n.m.UpdateList(w.clock.Now, []mixer.Entry{e}, false)
 			}
 		})
 	}
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -30,7 +30,7 @@
 }
 
 // ShapeOf gives the shape of a charter's deployment.
-func ShapeOf(c mixer.Charter) Shape { return Shape{c.Cells, c.Reach, c.PerCall, c.Sized} }
+func ShapeOf(c mixer.Config) Shape { return Shape{c.Cells, c.Reach, c.PerCall, c.Sized} }
 
 // envelope is the file: the record as written, and its digest.
 type envelope struct {
@@ -42,11 +42,11 @@
 	Form  int
 	At    time.Time
 	Shape Shape
-	Kept  mixer.Kept
+	Kept  mixer.Snapshot
 }
 
 // Write puts a record in the place of the file, whole or not at all.
-func Write(path string, at time.Time, s Shape, k mixer.Kept) error {
+func Write(path string, at time.Time, s Shape, k mixer.Snapshot) error {
 	raw, err := json.Marshal(record{form, at, s, k})
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 }
 
 // Read gives a record with the time at which it held, or says why it is refused.
-func Read(path string, now time.Time, s Shape) (at time.Time, k mixer.Kept, err error) {
+func Read(path string, now time.Time, s Shape) (at time.Time, k mixer.Snapshot, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return at, k, fmt.Errorf("unreadable: %w", err)
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -15,7 +15,7 @@
 func TestRecordIsTakenWholeOrRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learnt.json")
 	at, shape := time.Unix(1e9, 5e6), Shape{4, 2, 1, true}
-	kept := mixer.Kept{Fleet: mixer.Pace{Took: 5e8, Calls: 4}, Process: []mixer.Pace{{Searcher: "s", Started: 7, Took: 1e8, Calls: 2}}}
+	kept := mixer.Snapshot{Fleet: mixer.Pace{Took: 5e8, Calls: 4}, Process: []mixer.Pace{{Searcher: "s", Started: 7, Took: 1e8, Calls: 2}}}
 	if err := Write(path, at, shape, kept); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/listing/twin_test.go
+++ b/internal/listing/twin_test.go
@@ -34,7 +34,7 @@
 type timer struct {
 	at    int64
 	count int
-	whose mixer.Due
+	whose mixer.TimerHandler
 }
 
 type due []timer
@@ -54,25 +54,25 @@
 func (w *world) Forward(part, searcher string, _ int64) {
 	var i int
 	fmt.Sscanf(part, "p%d", &i)
-	st, _ := w.m.Standing(w.now, searcher)
+	st, _ := w.m.SearcherState(w.now, searcher)
 	f := &sent{searcher: searcher, started: st.Started, part: i, copy: len(w.all[part]), at: w.now, l: w.l}
 	w.all[part] = append(w.all[part], f)
 	w.out = append(w.out, f)
 }
 func (w *world) Cancel(string, int)   {}
 func (w *world) Answer(string, bool)  { w.ends++ }
-func (w *world) Bounce(string, int64) { w.ends++ }
+func (w *world) Reject(string, int64) { w.ends++ }
 func (w *world) Fail(string)          { w.ends++ }
 func (w *world) CloseIdle(string)     {}
 func (w *world) Subscribe()           {}
 func (w *world) Note(string)          {}
-func (w *world) Timer(after int64, whose mixer.Due) {
+func (w *world) SetTimer(after int64, whose mixer.TimerHandler) {
 	heap.Push(&w.due, timer{w.now + after, w.due.Len() + int(w.now), whose})
 }
 
 func newWorld() *world {
 	w := &world{now: 1e18, all: map[string][]*sent{}}
-	w.m = mixer.New(w.now, mixer.Charter{
+	w.m = mixer.New(w.now, mixer.Config{
 		Tariffs: []mixer.Tariff{{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1}},
 		Zone:    "z0", Mixers: 3, Cells: cells, Reach: 2, PerCall: 2, MaxForwards: 3, MayCopy: true, MayCancel: true,
 		ColdFrom: 0.3, ColdFor: 20e9, FallMultiple: 2, FallFor: 1e9, Sized: true,
@@ -88,16 +88,16 @@
 	for len(w.due) > 0 && w.due[0].at <= until {
 		t := heap.Pop(&w.due).(timer)
 		w.now = max(w.now, t.at)
-		t.whose.Due(w.now)
+		t.whose.HandleTimer(w.now)
 	}
 	w.now = until
 }
 
 func (w *world) query(parts int) {
 	w.all, w.ends = map[string][]*sent{}, 0
-	w.l = w.m.Take(w.now, mixer.Ask{ID: "q", NotAfter: w.now + 2e9, Parts: parts})
+	w.l = w.m.StartLookup(w.now, mixer.LookupRequest{ID: "q", NotAfter: w.now + 2e9, Parts: parts})
 	for i := range parts {
-		w.l.AddPart(w.now, mixer.Piece{ID: fmt.Sprint("p", i), Slice: i, Weight: 1 / float64(parts)})
+		w.l.AddPart(w.now, mixer.PartRequest{ID: fmt.Sprint("p", i), Slice: i, Weight: 1 / float64(parts)})
 	}
 }
 
@@ -106,7 +106,7 @@
 	for range min(n, len(w.out)) {
 		f := w.out[0]
 		w.out = w.out[1:]
-		f.l.Outcome(w.now, f.part, f.copy, mixer.Satisfied, took, false)
+		f.l.HandleOutcome(w.now, f.part, f.copy, mixer.Succeeded, took, false)
 	}
 }
 
@@ -124,7 +124,7 @@
 		if e, ok := listed[f.searcher]; ok && e.Started == f.started {
 			left = append(left, f)
 		} else if withdrawn || ok {
-			f.l.Outcome(w.now, f.part, f.copy, mixer.Cancelled, 0, false)
+			f.l.HandleOutcome(w.now, f.part, f.copy, mixer.Cancelled, 0, false)
 		} else {
 			left = append(left, f)
 			w.leave()
@@ -135,7 +135,7 @@
 
 func (w *world) leave() {
 	if w.l != nil {
-		w.l.Gone(w.now)
+		w.l.Abandon(w.now)
 		w.l = nil
 	}
 }
@@ -176,8 +176,8 @@
 		}
 		tell := func(t *rapid.T, full bool) {
 			for _, n := range names {
-				st, _ := whole.m.Standing(whole.now, n)
-				also, _ := batched.m.Standing(batched.now, n) // asking brings what is saved up for a cold one up to date
+				st, _ := whole.m.SearcherState(whole.now, n)
+				also, _ := batched.m.SearcherState(batched.now, n) // asking brings what is saved up for a cold one up to date
 				if st.Suspect || st.ZoneSilent || also.Suspect || also.ZoneSilent {
 					whole.leave()
 					batched.leave()
@@ -211,10 +211,10 @@
 					ordered = append(ordered, e)
 				}
 			}
-			whole.m.Listed(whole.now, ordered, full)
+			whole.m.UpdateList(whole.now, ordered, full)
 			for rows := changed; len(rows) > 0; {
 				n := min(len(rows), rapid.IntRange(1, 3).Draw(t, "batch"))
-				batched.m.Listed(batched.now, rows[:n], false)
+				batched.m.UpdateList(batched.now, rows[:n], false)
 				rows = rows[n:]
 			}
 			withdrawn := rapid.Bool().Draw(t, "withdrawn")
@@ -255,8 +255,8 @@
 					t.Fatalf("%d out and %d ended, in batches %d and %d", len(whole.out), whole.ends, len(batched.out), batched.ends)
 				}
 				for _, n := range names {
-					a, known := whole.m.Standing(whole.now, n)
-					b, alsoKnown := batched.m.Standing(batched.now, n)
+					a, known := whole.m.SearcherState(whole.now, n)
+					b, alsoKnown := batched.m.SearcherState(batched.now, n)
 					if known != alsoKnown || a != b {
 						t.Fatalf("%s: %+v, in batches %+v", n, a, b)
 					}
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -15,7 +15,7 @@
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    int64
-	Charter                 mixer.Charter
+	Charter                 mixer.Config
 	Rows, Customers         map[string]int // tariffs; customers, from 1 on
 	Limits                  charter.Limits
 	Known                   List
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -115,7 +115,7 @@
 	return AppendFrame(to, Query, rest)
 }
 
-var ends = map[string]routing.Outcome{"ok": mixer.Satisfied, "err": mixer.Errored, "busy": mixer.Bounced}
+var ends = map[string]routing.Outcome{"ok": mixer.Succeeded, "err": mixer.Failed, "busy": mixer.Rejected}
 
 // ReadReply reads the rest of an answer's frame. Where it cannot be used, the reply has the id at least if that could be
 // read. The report is not used, so one that cannot be read is no fault.
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -139,7 +139,7 @@
 				t.Errorf("a rest of %d bytes", len(frame.Rest))
 			}
 			r, err := ReadReply(frame.Rest)
-			if err == nil && (r.ID == "" || r.Outcome != mixer.Satisfied && r.Outcome != mixer.Errored && r.Outcome != mixer.Bounced) {
+			if err == nil && (r.ID == "" || r.Outcome != mixer.Succeeded && r.Outcome != mixer.Failed && r.Outcome != mixer.Rejected) {
 				t.Errorf("reply %+v of %q", r, frame.Rest)
 			}
 		}
@@ -153,10 +153,10 @@
 		t.Errorf("call %q", got)
 	}
 	r, err := ReadReply([]byte("9b.3 ok 1840277719 -\n5be2\nx"))
-	if err != nil || r.ID != "9b.3" || r.Outcome != mixer.Satisfied || string(r.Value) != "5be2\nx" {
+	if err != nil || r.ID != "9b.3" || r.Outcome != mixer.Succeeded || string(r.Value) != "5be2\nx" {
 		t.Errorf("reply %+v, %v", r, err)
 	}
-	for text, want := range map[string]routing.Outcome{"a.1 err 0 -\n": mixer.Errored, "a.1 busy 0 -\n": mixer.Bounced} {
+	for text, want := range map[string]routing.Outcome{"a.1 err 0 -\n": mixer.Failed, "a.1 busy 0 -\n": mixer.Rejected} {
 		if r, err := ReadReply([]byte(text)); err != nil || r.Outcome != want {
 			t.Errorf("%q is %+v, %v", text, r, err)
 		}
--- a/internal/routing/adopt.go
+++ b/internal/routing/adopt.go
@@ -7,7 +7,7 @@
 // the start's, or nothing changes; mixer.Adopt says what of it counts. Lookups taken before end under the version they were
 // taken under, with its MaxAdvice too: the module is told the greatest of all versions, and each ticket cuts it to its own. What is
 // open stays open where the new most is below it; nothing more is let in until it is not.
-func (r *Router) Adopt(c mixer.Charter, open int) {
+func (r *Router) Adopt(c mixer.Config, open int) {
 	if len(c.Tariffs) != len(r.charter.Tariffs) || len(c.Allowances) != len(r.charter.Allowances) {
 		return
 	}
@@ -15,6 +15,6 @@
 		r.most, r.advice = open, c.MaxAdvice
 		r.longest = max(r.longest, c.MaxAdvice)
 		c.MaxAdvice = r.longest
-		r.m.Adopt(now, c)
+		r.m.UpdateConfig(now, c)
 	})
 }
--- a/internal/routing/adopt_test.go
+++ b/internal/routing/adopt_test.go
@@ -17,7 +17,7 @@
 )
 
 // versioned gives a router of one warm searcher with the tariffs told, where a part is sent once.
-func versioned(t *testing.T, c mixer.Charter, most int) *rig {
+func versioned(t *testing.T, c mixer.Config, most int) *rig {
 	c.Mixers, c.Cells, c.Reach, c.PerCall, c.MaxForwards, c.ColdFrom = 1, 1, 1, 1, 1, 1
 	r, err := New(c, map[string]int{"all": 0}, most, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
@@ -43,7 +43,7 @@
 	tariff := func(expected time.Duration) []mixer.Tariff {
 		return []mixer.Tariff{{Expected: int64(expected), Patience: 4e9, CompleteFrom: 1, LeastShare: 1}}
 	}
-	start := mixer.Charter{MayAdvise: true, MaxAdvice: 40e6, Tariffs: tariff(800 * time.Millisecond)}
+	start := mixer.Config{MayAdvise: true, MaxAdvice: 40e6, Tariffs: tariff(800 * time.Millisecond)}
 	long, brief := start, start
 	long.MaxAdvice, long.Tariffs = 1e9, tariff(2*time.Second)
 	brief.MaxAdvice, brief.Tariffs = 1e6, tariff(400*time.Millisecond)
@@ -69,7 +69,7 @@
 				step := g.pick(of[end.of])
 				f := step.Calls[0].Forwards[0]
 				if f.Leave(); fails {
-					f.Report(mixer.Unreached, nil)
+					f.Report(mixer.Unreachable, nil)
 					end.after = 0
 				}
 				step = g.pick(of[end.of])
@@ -100,7 +100,7 @@
 		for _, c := range g.pick(ticket).Calls {
 			for _, f := range c.Forwards {
 				f.Leave()
-				f.Report(mixer.Satisfied, []byte("v"))
+				f.Report(mixer.Succeeded, []byte("v"))
 			}
 		}
 		if f := g.pick(ticket).Final; f == nil || f.Verdict != Answered {
@@ -111,7 +111,7 @@
 	for i := range 20 { // 40 places, one lookup is still open
 		g.take(fmt.Sprint("again", i), 1)
 	}
-	g.r.Adopt(mixer.Charter{}, 1) // of other rows
+	g.r.Adopt(mixer.Config{}, 1) // of other rows
 	g.take("last", 1)
 }
 
@@ -136,7 +136,7 @@
 						time.Sleep(time.Duration(g.roll(30)) * time.Millisecond)
 						f.Leave()
 						adopt(g.r, rng)
-						f.Report([]Outcome{mixer.Satisfied, mixer.Satisfied, mixer.Errored, mixer.Unreached, mixer.Reset}[g.roll(5)], nil)
+						f.Report([]Outcome{mixer.Succeeded, mixer.Succeeded, mixer.Failed, mixer.Unreachable, mixer.ConnectionReset}[g.roll(5)], nil)
 					}
 				}
 				if f := step.Final; f != nil {
--- a/internal/routing/listing.go
+++ b/internal/routing/listing.go
@@ -84,12 +84,12 @@
 	r.run(nil, func(now int64) {
 		var say []Word
 		for _, e := range rows {
-			if of := words[e.Searcher]; len(of) > 0 && !r.m.Runs(e.Searcher, e.Started) {
+			if of := words[e.Searcher]; len(of) > 0 && !r.m.KnowsProcess(e.Searcher, e.Started) {
 				say = append(say, of...)
 			}
 		}
-		r.m.Listed(now, rows, false)
-		r.m.Told(now, say)
+		r.m.UpdateList(now, rows, false)
+		r.m.UpdatePeerReports(now, say)
 		through = true
 	})
 	held := time.Since(began)
--- a/internal/routing/listing_test.go
+++ b/internal/routing/listing_test.go
@@ -17,7 +17,7 @@
 
 // listRouter gives a router that knows no searcher yet.
 func listRouter(t testing.TB) *Router {
-	r, err := New(mixer.Charter{
+	r, err := New(mixer.Config{
 		Tariffs: []mixer.Tariff{{Expected: 60e9, Patience: 60e9, CompleteFrom: 1, LeastShare: 1}}, // no busy machine takes as long
 		Zone:    "z0", Mixers: 3, Cells: fleet / 4, Reach: 1, PerCall: 4, MaxForwards: 3, MayCopy: true, MayCancel: true, ColdFrom: 1,
 	}, map[string]int{"all": 0}, 1<<20, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -115,7 +115,7 @@
 			for _, c := range step.Calls {
 				for _, f := range c.Forwards {
 					f.Leave()
-					f.Report(mixer.Satisfied, []byte("v"))
+					f.Report(mixer.Succeeded, []byte("v"))
 				}
 			}
 			if step.Final != nil {
@@ -152,7 +152,7 @@
 	}
 	r.Listed(rows, true)
 	check("listed first", map[int]int{0: 1, last: 2, 1: 4, 2: 0})
-	r.call(nil, func(now int64) { r.m.Told(now, []Word{say(0, 5, 7), say(1, 5, 7)}) })
+	r.call(nil, func(now int64) { r.m.UpdatePeerReports(now, []Word{say(0, 5, 7), say(1, 5, 7)}) })
 	rows[0].Zone, rows[1].Started = "elsewhere", 6
 	r.Listed(rows, true)
 	check("one has moved, one is another process", map[int]int{0: 7, 1: 3})
@@ -301,7 +301,7 @@
 					for _, c := range step.Calls {
 						for _, f := range c.Forwards {
 							f.Leave()
-							f.Report(mixer.Satisfied, []byte("v"))
+							f.Report(mixer.Succeeded, []byte("v"))
 						}
 					}
 					ended = step.Final != nil
--- a/internal/routing/over_test.go
+++ b/internal/routing/over_test.go
@@ -13,11 +13,11 @@
 // more after that was ended.
 func TestWatchedForward(t *testing.T) {
 	for how, end := range map[string]func(g *rig, f *Forward){
-		"reported": func(_ *rig, f *Forward) { f.Report(mixer.Reset, nil) },
+		"reported": func(_ *rig, f *Forward) { f.Report(mixer.ConnectionReset, nil) },
 		"due": func(g *rig, f *Forward) {
 			g.r.mu.Lock()
 			defer g.r.mu.Unlock()
-			g.r.run(f, f.Due)
+			g.r.run(f, f.HandleTimer)
 		},
 		"lookup gone": func(g *rig, f *Forward) {
 			g.r.mu.Lock()
@@ -42,7 +42,7 @@
 			if f.Watch(&other); late.Load() != 1 {
 				t.Errorf("who comes later is told %d times", late.Load())
 			}
-			f.Report(mixer.Satisfied, nil)
+			f.Report(mixer.Succeeded, nil)
 			if told.Load() != 1 || late.Load() != 1 {
 				t.Error("a second outcome is told")
 			}
@@ -54,7 +54,7 @@
 	over := func() { t.Error("told though that was ended") }
 	f.Watch(&over)
 	f.Watch(nil)
-	f.Report(mixer.Reset, nil)
+	f.Report(mixer.ConnectionReset, nil)
 }
 
 // TestWatchRacesOutcome has watching and the outcome come together: it is always told.
@@ -67,7 +67,7 @@
 		over := func() { told <- true }
 		var wg sync.WaitGroup
 		wg.Go(func() { f.Watch(&over) })
-		wg.Go(func() { f.Report(mixer.Reset, nil) })
+		wg.Go(func() { f.Report(mixer.ConnectionReset, nil) })
 		wg.Wait()
 		select {
 		case <-told:
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -43,7 +43,7 @@
 
 	log     *slog.Logger
 	debug   bool // each step of each lookup is logged, with its id
-	charter mixer.Charter
+	charter mixer.Config
 	rows    map[string]int
 	anchor  time.Time
 	unix    int64 // the anchor as Unix time, ns
@@ -68,7 +68,7 @@
 }
 
 // New makes a router around a new module.
-func New(c mixer.Charter, rows map[string]int, most int, seed int64, log *slog.Logger) (*Router, error) {
+func New(c mixer.Config, rows map[string]int, most int, seed int64, log *slog.Logger) (*Router, error) {
 	for name, i := range rows {
 		if c.Tariffs[i].SecondStep > 0 {
 			return nil, fmt.Errorf("tariff %s: FamilyInfo.FetchParts is %d, but a second step has no words on sockets",
@@ -143,14 +143,14 @@
 }
 
 // Keep gives what the module has learnt that is worth keeping, and the time at which it holds.
-func (r *Router) Keep() (at time.Time, k mixer.Kept) {
-	r.call(nil, func(now int64) { at, k = time.Unix(0, now), r.m.Keep(now) })
+func (r *Router) Keep() (at time.Time, k mixer.Snapshot) {
+	r.call(nil, func(now int64) { at, k = time.Unix(0, now), r.m.Snapshot(now) })
 	return at, k
 }
 
 // Resume has the module take what another process kept at a time, and gives the number of searchers' processes met again.
-func (r *Router) Resume(at time.Time, k mixer.Kept) (met int) {
-	r.call(nil, func(int64) { met = r.m.Resume(at.UnixNano(), k) })
+func (r *Router) Resume(at time.Time, k mixer.Snapshot) (met int) {
+	r.call(nil, func(int64) { met = r.m.Restore(at.UnixNano(), k) })
 	return met
 }
 
@@ -164,7 +164,7 @@
 			return at
 		}
 		heap.Pop(&r.timers)
-		r.run(first.whose, first.whose.Due)
+		r.run(first.whose, first.whose.HandleTimer)
 	}
 	return time.Time{}
 }
@@ -189,7 +189,7 @@
 // timer is a call that comes due.
 type timer struct {
 	at, number int64
-	whose      mixer.Due
+	whose      mixer.TimerHandler
 }
 
 // timers is a heap, earliest first, those of one time in the order they were set.
@@ -209,7 +209,7 @@
 }
 
 // set sets a timer, and wakes Run if it is the next.
-func (r *Router) set(at int64, whose mixer.Due) {
+func (r *Router) set(at int64, whose mixer.TimerHandler) {
 	r.count++
 	heap.Push(&r.timers, timer{at, r.count, whose})
 	if r.timers[0].number == r.count {
@@ -252,7 +252,7 @@
 	}
 }
 
-func (r floor) Bounce(lookup string, wait int64) {
+func (r floor) Reject(lookup string, wait int64) {
 	if t := r.tickets[lookup]; t != nil {
 		t.end(Final{Verdict: Bounced, Wait: time.Duration(min(wait, t.advice))})
 	}
@@ -266,7 +266,7 @@
 
 func (r floor) CloseIdle(searcher string) { r.stale[searcher] = true }
 
-func (r floor) Timer(after int64, whose mixer.Due) {
+func (r floor) SetTimer(after int64, whose mixer.TimerHandler) {
 	r.set(r.last+after, whose)
 }
 
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -35,10 +35,10 @@
 )
 
 func newRig(t testing.TB, seed int64) *rig {
-	c := mixer.Charter{
+	c := mixer.Config{
 		Tariffs: []mixer.Tariff{
 			{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1},
-			{Expected: 2e9, Patience: 2e9, CompleteFrom: 0.6, LeastShare: 0.3, Partial: 0.5, Effect: mixer.OnceOnly},
+			{Expected: 2e9, Patience: 2e9, CompleteFrom: 0.6, LeastShare: 0.3, Partial: 0.5, Effect: mixer.AtMostOnce},
 		},
 		Zone: "z", Mixers: 2, Cells: cells, Reach: 2, PerCall: perCall, MaxForwards: 3, MayCopy: true, MayCancel: true,
 		ColdFrom: 0.3, ColdFor: 1e9, FallMultiple: 2, FallFor: 1e9,
@@ -169,7 +169,7 @@
 	g.mu.Unlock()
 	time.Sleep(time.Duration(g.roll(20)) * time.Millisecond)
 	if g.roll(12) == 0 {
-		f.Report(mixer.Unreached, nil)
+		f.Report(mixer.Unreachable, nil)
 	}
 	if !f.Leave() {
 		if !f.Over() {
@@ -185,20 +185,20 @@
 	time.Sleep(time.Duration(g.roll(150)*g.roll(20)) * time.Millisecond)
 	switch g.roll(8) {
 	case 0:
-		f.Report(mixer.Errored, nil)
+		f.Report(mixer.Failed, nil)
 	case 1:
-		f.Report(mixer.Bounced, nil)
+		f.Report(mixer.Rejected, nil)
 	case 2:
-		f.Report(mixer.Reset, nil)
+		f.Report(mixer.ConnectionReset, nil)
 	case 3: // never
 	default:
 		id := partID(l.ID, l.Parts[f.Part].Slice)
 		g.mu.Lock()
 		g.ok[id] = true
 		g.mu.Unlock()
-		f.Report(mixer.Satisfied, []byte("value of "+id))
-		f.Report(mixer.Satisfied, []byte("another value"))
-		f.Report(mixer.Reset, nil)
+		f.Report(mixer.Succeeded, []byte("value of "+id))
+		f.Report(mixer.Succeeded, []byte("another value"))
+		f.Report(mixer.ConnectionReset, nil)
 	}
 }
 
@@ -312,7 +312,7 @@
 			t.Errorf("%d are open, and one more lookup was let in", open)
 		}
 		parts[open-most].Leave()
-		parts[open-most].Report(mixer.Satisfied, []byte("v"))
+		parts[open-most].Report(mixer.Succeeded, []byte("v"))
 	}
 	if full("last") {
 		t.Error("59 are open, and a lookup was turned away")
@@ -332,7 +332,7 @@
 	}
 	f := g.pick(b).Calls[0].Forwards[0]
 	f.Leave()
-	f.Report(mixer.Satisfied, []byte("v"))
+	f.Report(mixer.Succeeded, []byte("v"))
 	if step := g.pick(b); step.Final == nil || step.Final.Verdict != Answered {
 		t.Errorf("the other lookup: %+v", step)
 	}
--- a/internal/routing/share.go
+++ b/internal/routing/share.go
@@ -4,9 +4,9 @@
 
 // Word, Own and Standing are the module's, for the layers above.
 type (
-	Word     = mixer.Word
-	Own      = mixer.Own
-	Standing = mixer.Standing
+	Word     = mixer.PeerReport
+	Own      = mixer.Observation
+	Standing = mixer.SearcherState
 )
 
 // Tell gives what this mixer knows of each listed searcher by itself, and the module's time of it. What its cold
@@ -15,7 +15,7 @@
 	r.call(nil, func(at int64) {
 		now = at
 		all = make([]Own, 0, r.tells)
-		r.m.Tell(at, within, func(o Own) { all = append(all, o) })
+		r.m.Observations(at, within, func(o Own) { all = append(all, o) })
 		r.tells = len(all)
 	})
 	return now, all
@@ -23,11 +23,11 @@
 
 // Use gives what the choice of the searchers to use goes by, of those named that are listed live. So many are gone through under one hold
 // of the lock as rows of the list are told.
-func (r *Router) Use(searchers []string) []mixer.Use {
-	all := make([]mixer.Use, 0, len(searchers))
+func (r *Router) Use(searchers []string) []mixer.Usage {
+	all := make([]mixer.Usage, 0, len(searchers))
 	for len(searchers) > 0 {
 		n := min(len(searchers), batch)
-		r.call(nil, func(now int64) { r.m.Use(now, searchers[:n], func(u mixer.Use) { all = append(all, u) }) })
+		r.call(nil, func(now int64) { r.m.Usage(now, searchers[:n], func(u mixer.Usage) { all = append(all, u) }) })
 		searchers = searchers[n:]
 	}
 	return all
@@ -40,11 +40,11 @@
 	r.list.mu.Lock()
 	defer r.list.mu.Unlock()
 	r.list.told = words
-	r.call(nil, func(now int64) { r.m.Told(now, words) })
+	r.call(nil, func(now int64) { r.m.UpdatePeerReports(now, words) })
 }
 
 // Hold keeps the mixer's own cold allowances back from now on for a time, in ns.
-func (r *Router) Hold(within int64) { r.call(nil, func(now int64) { r.m.Hold(now + within) }) }
+func (r *Router) Hold(within int64) { r.call(nil, func(now int64) { r.m.HoldColdAllowance(now + within) }) }
 
 // Now gives the module's time, for what is timed beside it.
 func (r *Router) Now() (now int64) {
@@ -54,6 +54,6 @@
 
 // Standing gives how a searcher stands with this mixer and why, false where it is not listed.
 func (r *Router) Standing(searcher string) (st Standing, listed bool) {
-	r.call(nil, func(now int64) { st, listed = r.m.Standing(now, searcher) })
+	r.call(nil, func(now int64) { st, listed = r.m.SearcherState(now, searcher) })
 	return st, listed
 }
--- a/internal/routing/ticket.go
+++ b/internal/routing/ticket.go
@@ -129,10 +129,10 @@
 			r.log.Debug("taken", "lookup", l.ID, "tariff", l.Tariff, "parts", len(l.Parts), "left", time.Until(l.Expires), "again", l.Again)
 		}
 		notAfter := r.unix + int64(l.Expires.Sub(r.anchor))
-		t.l = r.m.Take(now, mixer.Ask{
+		t.l = r.m.StartLookup(now, mixer.LookupRequest{
 			ID: l.ID, Tariff: r.rows[l.Tariff], NotAfter: notAfter, Parts: len(l.Parts), Again: l.Again, Customer: l.Customer})
 		for i, p := range l.Parts {
-			t.l.AddPart(now, mixer.Piece{ID: t.slots[i].id, Slice: p.Slice, Weight: p.Weight, Effort: int64(p.Effort)})
+			t.l.AddPart(now, mixer.PartRequest{ID: t.slots[i].id, Slice: p.Slice, Weight: p.Weight, Effort: int64(p.Effort)})
 		}
 	})
 	return t, err
@@ -153,7 +153,7 @@
 			t.r.call(t, func(now int64) {
 				if !t.ended {
 					t.close()
-					t.l.Gone(now)
+					t.l.Abandon(now)
 				}
 			})
 			return Step{}, ctx.Err()
@@ -194,7 +194,7 @@
 	if f.done.Load() {
 		return
 	}
-	o := mixer.Moot
+	o := mixer.NeverSent
 	if f.left {
 		o = mixer.Cancelled
 		t.step.Withdrawn = append(t.step.Withdrawn, f)
@@ -238,7 +238,7 @@
 		delete(t.r.slots, s.id)
 		for _, f := range s.forwards {
 			if !f.left {
-				t.r.next = append(t.r.next, func(now int64) { f.settle(now, mixer.Moot, nil) })
+				t.r.next = append(t.r.next, func(now int64) { f.settle(now, mixer.NeverSent, nil) })
 			}
 		}
 	}
@@ -274,11 +274,11 @@
 }
 
 // Due ends the wait for the forward.
-func (f *Forward) Due(now int64) {
+func (f *Forward) HandleTimer(now int64) {
 	if f.left {
 		f.settle(now, mixer.TimedOut, nil)
 	} else {
-		f.settle(now, mixer.Moot, nil)
+		f.settle(now, mixer.NeverSent, nil)
 	}
 }
 
@@ -298,9 +298,9 @@
 	if s.t.r.debug {
 		s.t.r.log.Debug("outcome", "part", s.id, "copy", f.copy, "outcome", o, "left", f.left, "took", time.Duration(now-f.at))
 	}
-	if o == mixer.Satisfied && !s.in && !s.t.ended {
+	if o == mixer.Succeeded && !s.in && !s.t.ended {
 		s.in, s.value = true, value
 		s.t.r.open--
 	}
-	s.t.l.Outcome(now, s.index, f.copy, o, now-f.at, s.in || s.t.ended)
+	s.t.l.HandleOutcome(now, s.index, f.copy, o, now-f.at, s.in || s.t.ended)
 }
--- a/internal/sharing/board.go
+++ b/internal/sharing/board.go
@@ -180,7 +180,7 @@
 
 // Compose makes the next sheet from what this mixer knows by itself, and gives away what it says it lends: Words must be
 // handed to the module before the sheet is written anywhere.
-func (b *Board) Compose(now int64, all []mixer.Own) *Sheet {
+func (b *Board) Compose(now int64, all []mixer.Observation) *Sheet {
 	b.number++
 	b.made[b.number%uint64(len(b.made))] = now
 	s := &Sheet{Version: version, Mixer: b.name, Zone: b.zone, Life: b.life, Number: b.number}
@@ -267,7 +267,7 @@
 
 // Words gives what is to be believed now, and what is lent and borrowed, for each process that any of it concerns, in
 // the order of their names. Own is what this mixer knows by itself.
-func (b *Board) Words(now int64, all []mixer.Own) []mixer.Word {
+func (b *Board) Words(now int64, all []mixer.Observation) []mixer.PeerReport {
 	b.mentioned(now)
 	said := map[process][]Teller{}
 	for _, o := range b.others {
@@ -278,11 +278,11 @@
 			said[p] = append(said[p], NewTeller(now, o.sheet.Zone, r, o.seen))
 		}
 	}
-	own := make(map[process]*mixer.Own, len(all))
+	own := make(map[process]*mixer.Observation, len(all))
 	for i := range all {
 		own[process{all[i].Searcher, all[i].Started}] = &all[i]
 	}
-	var words []mixer.Word
+	var words []mixer.PeerReport
 	for p, tellers := range said {
 		if own[p] == nil {
 			continue // not listed here, or another process
@@ -296,7 +296,7 @@
 		}
 	}
 	words = b.ledger.settle(now, words)
-	slices.SortFunc(words, func(x, y mixer.Word) int {
+	slices.SortFunc(words, func(x, y mixer.PeerReport) int {
 		return cmp.Or(cmp.Compare(x.Searcher, y.Searcher), cmp.Compare(x.Started, y.Started))
 	})
 	return words
--- a/internal/sharing/board_test.go
+++ b/internal/sharing/board_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-func known(searchers ...string) (all []mixer.Own) {
+func known(searchers ...string) (all []mixer.Observation) {
 	for _, s := range searchers {
-		all = append(all, mixer.Own{Searcher: s, Started: 7})
+		all = append(all, mixer.Observation{Searcher: s, Started: 7})
 	}
 	return all
 }
@@ -67,7 +67,7 @@
 		if words := b.Words(now+Lease, own); len(words) != 0 {
 			t.Errorf("%s: still said after a lease: %+v", c.what, words)
 		}
-		if other := b.Words(now, []mixer.Own{{Searcher: "s", Started: 8}}); len(other) != 0 {
+		if other := b.Words(now, []mixer.Observation{{Searcher: "s", Started: 8}}); len(other) != 0 {
 			t.Errorf("%s: said of another process: %+v", c.what, other)
 		}
 	}
@@ -100,7 +100,7 @@
 
 func TestALoanCountsOnceAndEndsByItsOwnSheet(t *testing.T) {
 	b := NewBoard(0, "me", "a", 9)
-	cold := []mixer.Own{{Searcher: "s", Started: 7, Cold: true, Rate: 1, Want: 5, Traffic: 5}}
+	cold := []mixer.Observation{{Searcher: "s", Started: 7, Cold: true, Rate: 1, Want: 5, Traffic: 5}}
 	b.Compose(1000*ms, cold)
 	lend := func(now int64, life, number, of uint64, rate float64) float64 {
 		said(t, b, now, "l", "a", 1, number, Row{Searcher: "s", Started: 7, Loans: []Loan{{"me", life, of, rate}}})
@@ -135,8 +135,8 @@
 
 func TestALenderGivesItsWholeShareOnceAndOnlyWhenQuiet(t *testing.T) {
 	now := sound.hold + 1
-	own := func(quiet bool, traffic float64) []mixer.Own {
-		return []mixer.Own{{Searcher: "s", Started: 7, Cold: true, Rate: 1, Loan: 2, Quiet: quiet, Traffic: traffic}}
+	own := func(quiet bool, traffic float64) []mixer.Observation {
+		return []mixer.Observation{{Searcher: "s", Started: 7, Cold: true, Rate: 1, Loan: 2, Quiet: quiet, Traffic: traffic}}
 	}
 	ask := Row{Searcher: "s", Started: 7, Ask: 9}
 	for _, c := range []struct {
@@ -179,7 +179,7 @@
 			name := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(rt, "who")
 			numbers[name]++
 			said(t, b, now, name, "a", 1, numbers[name], Row{Searcher: "s", Started: 7, Ask: float64(rapid.IntRange(0, 9).Draw(rt, "asks"))})
-			b.Compose(now, []mixer.Own{{Searcher: "s", Started: 7, Cold: true, Rate: 1, Loan: 2, Quiet: true, Traffic: 0.1}})
+			b.Compose(now, []mixer.Observation{{Searcher: "s", Started: 7, Cold: true, Rate: 1, Loan: 2, Quiet: true, Traffic: 0.1}})
 			if away := b.ledger.away(now, process{"s", 7}); away > 2+1e-9 {
 				rt.Fatalf("%v is lent of 2", away)
 			}
@@ -244,9 +244,9 @@
 // TestSizeGrowsWithTheMixersHeard states what a board of a large site holds and what a round carries: 1,000 searchers of
 // which every one stands out, so that sheets are as full as they may be.
 func TestSizeGrowsWithTheMixersHeard(t *testing.T) {
-	var all []mixer.Own
+	var all []mixer.Observation
 	for i := range 1000 {
-		all = append(all, mixer.Own{Searcher: fmt.Sprintf("searcher-%04d", i), Started: 1_700_000_000_000_000_000 + int64(i), Heard: 1,
+		all = append(all, mixer.Observation{Searcher: fmt.Sprintf("searcher-%04d", i), Started: 1_700_000_000_000_000_000 + int64(i), Heard: 1,
 			Pace: 1e8, Slow: 3 + float64(i)/1000, Weight: 5, Suspect: i%2 == 0})
 	}
 	held := map[int]int{}
--- a/internal/sharing/jury.go
+++ b/internal/sharing/jury.go
@@ -119,8 +119,8 @@
 
 // judge makes one word of what others say of a process; Until is 0 where nothing is believed. A process that has just answered
 // this mixer is not silent, whatever others say: their lines may be broken, its own is not.
-func (b *Board) judge(now int64, p process, tellers []Teller, own *mixer.Own) mixer.Word {
-	w := mixer.Word{Searcher: p.searcher, Started: p.started}
+func (b *Board) judge(now int64, p process, tellers []Teller, own *mixer.Observation) mixer.PeerReport {
+	w := mixer.PeerReport{Searcher: p.searcher, Started: p.started}
 	oldest := int64(math.MaxInt64)
 	for _, t := range tellers {
 		oldest = min(oldest, t.Seen)
--- a/internal/sharing/lease.go
+++ b/internal/sharing/lease.go
@@ -64,7 +64,7 @@
 // nothing there for a whole window. Traffic is that of the cell, also from before the process started: what is wanted of a
 // newcomer itself tells too late, as all seem idle at first. After a quiet window the part that the lender could have saved
 // up is in no window with what a borrower sends.
-func (b *Board) lend(now int64, p process, own *mixer.Own, asks []ask) (loans []Loan) {
+func (b *Board) lend(now int64, p process, own *mixer.Observation, asks []ask) (loans []Loan) {
 	asks = slices.DeleteFunc(asks, func(a ask) bool { return a.want < unlike*own.Traffic })
 	if !own.Quiet || len(asks) == 0 {
 		return nil
@@ -92,7 +92,7 @@
 // Confirm takes loans out of a sheet whose process was sent to after the sheet was made and before its share was given up: the
 // lender's own part would be in one window with what its borrowers send. All is told as it stands after that. What is taken
 // out stays given up, for nothing. It tells whether any was.
-func Confirm(s *Sheet, all []mixer.Own) bool {
+func Confirm(s *Sheet, all []mixer.Observation) bool {
 	quiet := make(map[process]bool, len(all))
 	for i := range all {
 		quiet[process{all[i].Searcher, all[i].Started}] = all[i].Quiet
@@ -182,18 +182,18 @@
 
 // settle puts what is lent and borrowed into the words on its process. What is borrowed counts until the first of the
 // loans ends, what is lent until the last does: both err to the safe side until the next round.
-func (l *ledger) settle(now int64, words []mixer.Word) []mixer.Word {
+func (l *ledger) settle(now int64, words []mixer.PeerReport) []mixer.PeerReport {
 	l.live(now)
 	at := map[process]int{}
 	for i, w := range words {
 		at[process{w.Searcher, w.Started}] = i
 	}
-	word := func(p process) *mixer.Word {
+	word := func(p process) *mixer.PeerReport {
 		i, ok := at[p]
 		if !ok {
 			i = len(words)
 			at[p] = i
-			words = append(words, mixer.Word{Searcher: p.searcher, Started: p.started})
+			words = append(words, mixer.PeerReport{Searcher: p.searcher, Started: p.started})
 		}
 		return &words[i]
 	}
--- a/internal/sharing/lease_test.go
+++ b/internal/sharing/lease_test.go
@@ -32,7 +32,7 @@
 // peer is one mixer of the search.
 type peer struct {
 	board   *Board
-	word    mixer.Word // as its module was last told
+	word    mixer.PeerReport // as its module was last told
 	held    int64
 	pending []byte // its last sheet, which may land at any time
 	lives   int
@@ -90,16 +90,16 @@
 	return &c
 }
 
-func own(want bool) []mixer.Own {
-	o := mixer.Own{Searcher: "s", Started: 7, Cold: true, Rate: 1, Loan: 1, Quiet: true}
+func own(want bool) []mixer.Observation {
+	o := mixer.Observation{Searcher: "s", Started: 7, Cold: true, Rate: 1, Loan: 1, Quiet: true}
 	if want {
 		o.Want, o.Traffic = 10, 10
 	}
-	return []mixer.Own{o}
+	return []mixer.Observation{o}
 }
 
 func (p *peer) listen(now int64, want bool) {
-	p.word = mixer.Word{}
+	p.word = mixer.PeerReport{}
 	for _, w := range p.board.Words(now, own(want)) {
 		p.word = w
 	}
--- a/internal/store/waits_test.go
+++ b/internal/store/waits_test.go
@@ -24,7 +24,7 @@
 // TestNoLookupWaitsForTheStore has lookups be taken, chosen for and answered while an exchange with a silent store
 // is under way, which is let go only behind them: nothing of them waits for it, however long it lasts.
 func TestNoLookupWaitsForTheStore(t *testing.T) {
-	c := mixer.Charter{Tariffs: []mixer.Tariff{{Expected: 60e9, Patience: 60e9, CompleteFrom: 1, LeastShare: 1, Effect: mixer.Repeatable}},
+	c := mixer.Config{Tariffs: []mixer.Tariff{{Expected: 60e9, Patience: 60e9, CompleteFrom: 1, LeastShare: 1, Effect: mixer.Idempotent}},
 		Mixers: 2, Cells: 1, Reach: 1, PerCall: 1, MaxForwards: 3, ColdFrom: 1, FallMultiple: 1, FallFor: 1e9}
 	router, err := routing.New(c, map[string]int{"t": 0}, 100, 1, quietLog())
 	if err != nil {
@@ -78,7 +78,7 @@
 		if !f.Leave() {
 			return fmt.Errorf("lookup %d: its part may not leave", i)
 		}
-		f.Report(mixer.Satisfied, nil)
+		f.Report(mixer.Succeeded, nil)
 		if step, err = l.Pick(ctx); err != nil || step.Final == nil || step.Final.Verdict != routing.Answered {
 			return fmt.Errorf("lookup %d: %+v, %w", i, step, err)
 		}
--- a/internal/subset/chooser.go
+++ b/internal/subset/chooser.go
@@ -229,7 +229,7 @@
 // Step takes what the module knows of the searchers, once a second or so, and gives the rows that it is to be told of. It adds at
 // once what is needed; of each cell at most one leaves at a step, and only what was not needed for as long as Hold says. Who leaves
 // is told of as draining, so that what is out there goes on, and as gone when nothing of it can be out.
-func (c *Chooser) Step(now int64, all []mixer.Use) (out []mixer.Entry) {
+func (c *Chooser) Step(now int64, all []mixer.Usage) (out []mixer.Entry) {
 	if c.Settled() {
 		return nil
 	}
@@ -242,7 +242,7 @@
 		if m == nil {
 			continue
 		}
-		c.cells[m.Cell].rate += o.Sent
+		c.cells[m.Cell].rate += o.SentRate
 		if m.Started == o.Started {
 			m.ill = o.Suspect
 		}
--- a/internal/subset/chooser_test.go
+++ b/internal/subset/chooser_test.go
@@ -118,7 +118,7 @@
 	return out
 }
 
-func (f faulty) Step(now int64, all []mixer.Use) []mixer.Entry {
+func (f faulty) Step(now int64, all []mixer.Usage) []mixer.Entry {
 	out := f.chooses.Step(now, all)
 	if f.step != nil {
 		out = f.step(now, nil, out)
@@ -325,7 +325,7 @@
 			if got := c.Changed(1000*second, rows); !slices.Equal(got, rows) {
 				t.Fatalf("told %v of %v", got, rows)
 			}
-			if !c.Settled() || c.Step(2000*second, []mixer.Use{{Searcher: "s0", Suspect: true, ZoneSilent: true, Sent: 1}}) != nil {
+			if !c.Settled() || c.Step(2000*second, []mixer.Usage{{Searcher: "s0", Suspect: true, ZoneSilent: true, SentRate: 1}}) != nil {
 				t.Fatal("a step says something")
 			}
 		}
--- a/internal/subset/cost_test.go
+++ b/internal/subset/cost_test.go
@@ -44,9 +44,9 @@
 // A step, with what the module tells of those that are used.
 func BenchmarkStep(b *testing.B) {
 	c, now := planned(88), second
-	var all []mixer.Use
+	var all []mixer.Usage
 	for _, e := range c.Changed(1, plan(88)) {
-		all = append(all, mixer.Use{Searcher: e.Searcher, Sent: 4e-9})
+		all = append(all, mixer.Usage{Searcher: e.Searcher, SentRate: 4e-9})
 	}
 	for b.Loop() {
 		now += second
--- a/internal/subset/judge_test.go
+++ b/internal/subset/judge_test.go
@@ -13,7 +13,7 @@
 // chooses is a Chooser, or one with a planted fault.
 type chooses interface {
 	Changed(now int64, rows []mixer.Entry) []mixer.Entry
-	Step(now int64, all []mixer.Use) []mixer.Entry
+	Step(now int64, all []mixer.Usage) []mixer.Entry
 	Settled() bool
 }
 
@@ -88,7 +88,7 @@
 }
 
 // own is what the module would tell.
-func (j *judge) own() (all []mixer.Use) {
+func (j *judge) own() (all []mixer.Usage) {
 	live := map[int]float64{}
 	for _, e := range j.told {
 		if e.Status == mixer.Live {
@@ -97,7 +97,7 @@
 	}
 	for _, e := range j.told {
 		if e.Status == mixer.Live {
-			all = append(all, mixer.Use{Searcher: e.Searcher, Started: e.Started, Suspect: j.ill[e.Searcher], Sent: j.sent[e.Cell] / live[e.Cell] / 1e9})
+			all = append(all, mixer.Usage{Searcher: e.Searcher, Started: e.Started, Suspect: j.ill[e.Searcher], SentRate: j.sent[e.Cell] / live[e.Cell] / 1e9})
 		}
 	}
 	return all
--- a/internal/transport/budget_test.go
+++ b/internal/transport/budget_test.go
@@ -27,7 +27,7 @@
 		p, spot := c.send(name, false)
 		if p.conn == nil {
 			refused++
-			if o := c.outcome(spot); o != mixer.Moot {
+			if o := c.outcome(spot); o != mixer.NeverSent {
 				t.Errorf("refused with %v", o)
 			}
 		}
@@ -78,7 +78,7 @@
 	}
 	waits, _ := c.send(c.names[0], false)
 	c.until("it is out", func() bool { return c.is(waits, written) })
-	if p, spot := c.send(c.names[10], false); p.conn != nil || c.outcome(spot) != mixer.Moot {
+	if p, spot := c.send(c.names[10], false); p.conn != nil || c.outcome(spot) != mixer.NeverSent {
 		t.Errorf("%v where nothing is idle", c.outcome(spot))
 	}
 	if st := c.s.Connections(); st.Open != most || st.TooMany != 1 {
@@ -126,7 +126,7 @@
 			left = slices.DeleteFunc(left, func(name string) bool {
 				p, spot := c.send(name, false)
 				if p.conn == nil {
-					if refused++; c.outcome(spot) != mixer.Moot {
+					if refused++; c.outcome(spot) != mixer.NeverSent {
 						t.Errorf("refused with %v", c.outcome(spot))
 					}
 				}
@@ -195,7 +195,7 @@
 		wg.Go(func() {
 			rng := rand.New(rand.NewSource(int64(g)))
 			for i := range 150 {
-				r := routerOf(t, mixer.OnceOnly, 1, "any")
+				r := routerOf(t, mixer.AtMostOnce, 1, "any")
 				r.Eyes = counts[g]
 				p, _ := parcel(t, r, fmt.Sprintf("q%d-%03d", g, i))
 				c.s.Send(c.names[rng.Intn(len(c.names))], rng.Intn(9) == 0, []*Parcel{p})
@@ -231,8 +231,8 @@
 // TestWhatARefusalTeaches compares the outcomes that a part may come to which is refused a new connection. Told as unreached, three
 // make its searcher suspect, though nobody has asked it; told as never sent they leave no mark, and the part goes on elsewhere.
 func TestWhatARefusalTeaches(t *testing.T) {
-	for outcome, want := range map[mixer.Outcome]bool{mixer.Unreached: true, mixer.Moot: false} {
-		r := router(t, mixer.Repeatable, "a", "b", "c")
+	for outcome, want := range map[mixer.Outcome]bool{mixer.Unreachable: true, mixer.NeverSent: false} {
+		r := router(t, mixer.Idempotent, "a", "b", "c")
 		for i := range 6 {
 			ticket := take(t, r, fmt.Sprint("q", i))
 			for range 3 { // each goes to one after the other, as many as one part may
@@ -264,7 +264,7 @@
 	if second, _ := c.send(c.names[0], true); second.conn != first.conn {
 		t.Error("a part was not sent on the one connection that there is")
 	}
-	if p, spot := c.send(c.names[1], true); p.conn != nil || c.outcome(spot) != mixer.Moot {
+	if p, spot := c.send(c.names[1], true); p.conn != nil || c.outcome(spot) != mixer.NeverSent {
 		t.Errorf("to another searcher: %v", c.outcome(spot))
 	}
 }
@@ -312,7 +312,7 @@
 // TestRefusedEverywhere has a query that must not run twice refused a connection to each holder in turn: after the tries that it may have it is
 // turned away, which tells its client that asking again is harmless.
 func TestRefusedEverywhere(t *testing.T) {
-	ticket := take(t, router(t, mixer.OnceOnly, "a", "b", "c", "d"), "q")
+	ticket := take(t, router(t, mixer.AtMostOnce, "a", "b", "c", "d"), "q")
 	asked := map[string]bool{}
 	for {
 		step := pick(t, ticket)
@@ -324,7 +324,7 @@
 		}
 		for _, call := range step.Calls {
 			asked[call.Searcher] = true
-			call.Forwards[0].Report(mixer.Moot, nil)
+			call.Forwards[0].Report(mixer.NeverSent, nil)
 		}
 	}
 }
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -117,7 +117,7 @@
 // request, and behind a byte of a next request. Nothing is sent on for it, first or again.
 func TestClientThatHasGone(t *testing.T) {
 	t.Run("before it is accepted", func(t *testing.T) {
-		s := open(t, mixer.Repeatable, behindGates, &toy.Searcher{}) // so net/http does not look in time
+		s := open(t, mixer.Idempotent, behindGates, &toy.Searcher{}) // so net/http does not look in time
 		nc := s.dial(t)
 		nc.Write(request("gone"))
 		nc.Close()
@@ -142,7 +142,7 @@
 	t.Run("behind a byte of a next request", func(t *testing.T) {
 		parts := make(chan toy.Part, 9)
 		take := func(p toy.Part) { parts <- p }
-		s := open(t, mixer.Repeatable, plain, &toy.Searcher{Handle: take}, &toy.Searcher{Handle: take})
+		s := open(t, mixer.Idempotent, plain, &toy.Searcher{Handle: take}, &toy.Searcher{Handle: take})
 		s.start(t)
 		nc := s.dial(t)
 		nc.Write(request("gone"))
@@ -203,7 +203,7 @@
 	for name, idle := range map[string]bool{"an idle connection": true, "one that ends with its answer": false} {
 		t.Run(name, func(t *testing.T) {
 			parts := make(chan toy.Part, 9)
-			s := open(t, mixer.Repeatable, behindGates, &toy.Searcher{Handle: func(p toy.Part) { parts <- p }})
+			s := open(t, mixer.Idempotent, behindGates, &toy.Searcher{Handle: func(p toy.Part) { parts <- p }})
 			s.start(t)
 			nc := s.dial(t)
 			r := bufio.NewReader(nc)
--- a/internal/transport/drop.go
+++ b/internal/transport/drop.go
@@ -52,7 +52,7 @@
 		if l.to.gone && len(l.to.conns) == 0 {
 			s.mark(l.to)
 		}
-		e := claimed{l: l, why: why, outcome: mixer.Reset}
+		e := claimed{l: l, why: why, outcome: mixer.ConnectionReset}
 		for _, p := range l.out {
 			switch p.state {
 			case queued:
@@ -62,7 +62,7 @@
 			}
 		}
 		if bad := (*protocol.BadFrame)(nil); errors.As(why, &bad) && len(e.failed) > 0 {
-			e.outcome = mixer.Errored
+			e.outcome = mixer.Failed
 			e.failed, e.withdrawn = blame(why, e.failed)
 		}
 		l.out, l.queue, l.raw = nil, nil, nil
@@ -85,7 +85,7 @@
 			"failed", len(e.failed), "withdrawn", len(e.withdrawn), "unreached", len(e.unreached))
 		report(e.failed, e.outcome)
 		report(e.withdrawn, mixer.Cancelled)
-		report(e.unreached, mixer.Unreached)
+		report(e.unreached, mixer.Unreachable)
 	}
 }
 
--- a/internal/transport/drop_test.go
+++ b/internal/transport/drop_test.go
@@ -58,7 +58,7 @@
 				}
 			}}
 			log := &meanwhile{}
-			w := playOn(t, far, slog.New(log), router(t, mixer.OnceOnly, "s"))
+			w := playOn(t, far, slog.New(log), router(t, mixer.AtMostOnce, "s"))
 			a, _ := w.send("a", false)
 			first := <-held
 			w.until("the first is out", func() bool { return w.is(a, written) })
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -34,7 +34,7 @@
 				}()
 			}
 			if i == 2 {
-				p, _ := parcel(t, router(t, mixer.Repeatable, "s"), "a")
+				p, _ := parcel(t, router(t, mixer.Idempotent, "s"), "a")
 				p.conn, p.state, l.out[p.Part.ID] = l, written, p
 			}
 			to.conns = append(to.conns, l)
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -108,12 +108,12 @@
 func (s *Searchers) room(now int64, to *searcher) (unused []claimed, refused mixer.Outcome) {
 	fast, short := s.pool.TooFast(now), s.conns >= s.lim.Conns()
 	if !fast && !short && !s.pool.TooMany() {
-		return nil, mixer.Satisfied
+		return nil, mixer.Succeeded
 	}
 	if !fast {
 		s.settle(math.MaxInt)
 		if e, why := s.pool.Spare(now); e != nil {
-			return s.claim(idleFor(why), e.Conn().(*conn)), mixer.Satisfied
+			return s.claim(idleFor(why), e.Conn().(*conn)), mixer.Succeeded
 		}
 	}
 	if !fast && short {
@@ -121,13 +121,13 @@
 			s.log.Warn("more connections to searchers are needed than there are descriptors for",
 				"connections", s.lim.Conns(), "searcher", to.name)
 		})
-		return nil, mixer.Unreached
+		return nil, mixer.Unreachable
 	}
 	s.pool.Refused(fast)
 	s.tight.Do(func() {
 		s.log.Warn("more connections to searchers are needed than the budget has", "rate", fast, "budget", s.pool.Budget(), "searcher", to.name)
 	})
-	return nil, mixer.Moot
+	return nil, mixer.NeverSent
 }
 
 // unlock lets go of the lock, after all that may have made connections idle, and finishes what was claimed under it and what is idle
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -50,7 +50,7 @@
 // send has a part go to a searcher, by a module of its own, which holds nothing back; it gives where its outcome is counted.
 func (c *crowd) send(to string, fresh bool) (*Parcel, int) {
 	c.t.Helper()
-	c.r = routerOf(c.t, mixer.OnceOnly, 1, "any")
+	c.r = routerOf(c.t, mixer.AtMostOnce, 1, "any")
 	c.r.Eyes = c.counts
 	c.sent++
 	p, _ := parcel(c.t, c.r, fmt.Sprint("q", c.sent))
@@ -135,7 +135,7 @@
 			c.s.mu.Unlock()
 			p, spot := c.send(name, false)
 			if p.conn == nil {
-				if victim != nil || c.outcome(spot) != mixer.Unreached {
+				if victim != nil || c.outcome(spot) != mixer.Unreachable {
 					t.Fatalf("refused with %v, idle longest %+v", c.outcome(spot), victim)
 				}
 				refused++
@@ -206,7 +206,7 @@
 // TestNeverWritten has a part come to its outcome before it is sent: the connection that was opened for it is idle, and no part out.
 func TestNeverWritten(t *testing.T) {
 	c := gather(t, conns.Budget{}, 1, 9)
-	c.r = routerOf(t, mixer.OnceOnly, 1, "any")
+	c.r = routerOf(t, mixer.AtMostOnce, 1, "any")
 	p, _ := parcel(t, c.r, "q")
 	p.Forward.Report(mixer.TimedOut, nil)
 	c.s.Send(c.names[0], false, []*Parcel{p})
@@ -221,7 +221,7 @@
 func TestIdleWhileItIsWritten(t *testing.T) {
 	s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
 	defer s.Close()
-	p, _ := parcel(t, router(t, mixer.OnceOnly, "s"), "a")
+	p, _ := parcel(t, router(t, mixer.AtMostOnce, "s"), "a")
 	near, _ := net.Pipe()
 	enter := func(out map[string]*Parcel) *conn {
 		l := &conn{to: &searcher{}, nc: near, used: time.Now(), cancel: func() {}, out: out}
--- a/internal/transport/leaving_test.go
+++ b/internal/transport/leaving_test.go
@@ -54,7 +54,7 @@
 func TestRequestReadWhileLeaving(t *testing.T) {
 	far := &toy.Searcher{}
 	l := &holding{held: make(chan struct{}), release: make(chan struct{})}
-	s := open(t, mixer.Repeatable, func(tcp net.Listener) net.Listener { l.Listener = tcp; return l }, far)
+	s := open(t, mixer.Idempotent, func(tcp net.Listener) net.Listener { l.Listener = tcp; return l }, far)
 	served := s.start(t)
 	type conn struct {
 		net.Conn
--- a/internal/transport/searchers.go
+++ b/internal/transport/searchers.go
@@ -117,7 +117,7 @@
 	to := s.all[name]
 	if to == nil || s.ctx.Err() != nil {
 		s.mu.Unlock()
-		report(call, mixer.Unreached)
+		report(call, mixer.Unreachable)
 		return
 	}
 	now := since(time.Now())
@@ -151,7 +151,7 @@
 	if best == nil {
 		spare, refused := s.room(now, to)
 		unused = append(unused, spare...)
-		if refused != mixer.Satisfied {
+		if refused != mixer.Succeeded {
 			s.unlock(unused...)
 			report(call, refused)
 			return
--- a/internal/transport/searchers_test.go
+++ b/internal/transport/searchers_test.go
@@ -29,7 +29,7 @@
 // play starts a searcher s, beside others that are listed only.
 func play(t *testing.T, far *toy.Searcher, others ...string) *played {
 	t.Helper()
-	return playOn(t, far, quiet, router(t, mixer.Repeatable, append(others, "s")...))
+	return playOn(t, far, quiet, router(t, mixer.Idempotent, append(others, "s")...))
 }
 
 func playOn(t *testing.T, far *toy.Searcher, log *slog.Logger, r *routing.Router) *played {
@@ -188,7 +188,7 @@
 
 // TestBlame has a spoilt answer without an id on a connection with a part that has been given up: one still out is blamed.
 func TestBlame(t *testing.T) {
-	r := router(t, mixer.Repeatable, "s")
+	r := router(t, mixer.Idempotent, "s")
 	var out []*Parcel
 	for _, id := range []string{"a", "b", "c"} {
 		p, _ := parcel(t, r, id)
@@ -225,7 +225,7 @@
 	frame := len(protocol.AppendCall(nil, []protocol.Part{{ID: part.ID, Text: part.Text, Within: 4990 * time.Millisecond}}))
 	for _, first := range []bool{false, true} { // whether the reader sees it before the writer does
 		for cut := range frame + 1 {
-			ticket := take(t, router(t, mixer.OnceOnly, "s", "other"), "a")
+			ticket := take(t, router(t, mixer.AtMostOnce, "s", "other"), "a")
 			call := pick(t, ticket).Calls[0]
 			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
 			near, _ := net.Pipe()
@@ -253,7 +253,7 @@
 func TestGivenUpWhileItIsWritten(t *testing.T) {
 	part := protocol.Part{ID: "a.0", Text: "some text"}
 	for _, within := range []bool{false, true} {
-		call := pick(t, take(t, router(t, mixer.Repeatable, "s"), "a")).Calls[0]
+		call := pick(t, take(t, router(t, mixer.Idempotent, "s"), "a")).Calls[0]
 		s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
 		near, _ := net.Pipe()
 		parcel := &Parcel{Forward: call.Forwards[0], Part: part}
--- a/internal/transport/states_test.go
+++ b/internal/transport/states_test.go
@@ -47,7 +47,7 @@
 			held = append(held, p)
 		}}
 		counts := &tally{}
-		rt := routerOf(t, mixer.OnceOnly, 1, "s") // one try: the next forward is that of the next part
+		rt := routerOf(t, mixer.AtMostOnce, 1, "s") // one try: the next forward is that of the next part
 		rt.Eyes = counts
 		w := playOn(t, far, quiet, rt)
 		defer far.Stop()
@@ -149,7 +149,7 @@
 				r.Fatalf("%s: outcomes %v", p.Part.ID, o)
 			case o[0].NeverRan() && strings.Contains(frames, "\nQ"+p.Part.ID+" "):
 				r.Fatalf("%s: outcome %v, but it is at the searcher", p.Part.ID, o[0])
-			case o[0] == mixer.Reset && !broken[p.conn]:
+			case o[0] == mixer.ConnectionReset && !broken[p.conn]:
 				r.Fatalf("%s: lost by ourselves", p.Part.ID)
 			}
 		}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -38,7 +38,7 @@
 
 func routerOf(t *testing.T, effect mixer.Effect, forwards int, searchers ...string) *routing.Router {
 	t.Helper()
-	c := mixer.Charter{
+	c := mixer.Config{
 		Tariffs: []mixer.Tariff{{Expected: 5e9, Patience: 5e9, CompleteFrom: 1, LeastShare: 1, Effect: effect}},
 		Mixers:  1, Cells: 1, Reach: 1, PerCall: 1, MaxForwards: forwards, ColdFrom: 1, FallMultiple: 1, FallFor: 1e9,
 	}
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -91,9 +91,9 @@
 	} else {
 		n, err = s.pass(l, nc, frame)
 	}
-	became, outcome := queued, mixer.Unreached
+	became, outcome := queued, mixer.Unreachable
 	if n == len(frame) {
-		became, outcome = written, mixer.Reset
+		became, outcome = written, mixer.ConnectionReset
 	}
 	cut := errors.Is(err, errGiven)
 	s.mu.Lock()
@@ -112,7 +112,7 @@
 	s.unlock()
 	switch {
 	case cut:
-		report(left, mixer.Moot)
+		report(left, mixer.NeverSent)
 	case closed: // the connection ended meanwhile, and left these to be told here
 		report(left, outcome)
 	}
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -27,7 +27,7 @@
 		t.Run(how, func(t *testing.T) {
 			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 9}, quiet)
 			defer s.Close()
-			w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
+			w := &played{t, router(t, mixer.AtMostOnce, "s", "other"), s, nil}
 			near, far := net.Pipe()
 			p, ticket := parcel(t, w.r, "a")
 			behind, _ := parcel(t, w.r, "behind")
@@ -82,7 +82,7 @@
 					Write: time.Minute, Streams: 9, Sockets: 99, Frame: 999}, quiet)
 				defer s.Close()
 				s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: l.Addr().String()}}})
-				w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
+				w := &played{t, router(t, mixer.AtMostOnce, "s", "other"), s, nil}
 				first, _ := w.send("first", false)
 				far, err := l.Accept()
 				if err != nil {
@@ -161,7 +161,7 @@
 			defer far.Close()
 			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
 			defer s.Close()
-			ticket := take(t, router(t, mixer.OnceOnly, "s", "other"), "a")
+			ticket := take(t, router(t, mixer.AtMostOnce, "s", "other"), "a")
 			call := pick(t, ticket).Calls[0]
 			p := &Parcel{Forward: call.Forwards[0], Part: protocol.Part{ID: "a.0"}}
 			l := &conn{to: &searcher{}, nc: near, began: time.Now().Add(-time.Minute), used: time.Now(), cancel: func() {},
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -193,7 +193,7 @@
 		return f.err
 	}
 	terms, err := charter.Pairs(f.left)
-	var ch mixer.Charter
+	var ch mixer.Config
 	var names map[string]int
 	if err == nil {
 		ch, names, err = terms.Charter()
@@ -203,7 +203,7 @@
 	}
 	i := &instance{
 		host: h, name: name, tariffs: names, customers: terms.Customers(ch),
-		lookups: map[string]*held{}, parts: map[string]*heldPart{}, byNumber: map[int64]*held{}, timers: map[int64]mixer.Due{},
+		lookups: map[string]*held{}, parts: map[string]*heldPart{}, byNumber: map[int64]*held{}, timers: map[int64]mixer.TimerHandler{},
 	}
 	for _, t := range ch.Tariffs {
 		i.secondStep = append(i.secondStep, t.SecondStep > 0)
--- a/internal/wire/instance.go
+++ b/internal/wire/instance.go
@@ -21,7 +21,7 @@
 	lookups    map[string]*held
 	byNumber   map[int64]*held
 	parts      map[string]*heldPart
-	timers     map[int64]mixer.Due
+	timers     map[int64]mixer.TimerHandler
 	lastRef    int64
 }
 
@@ -57,7 +57,7 @@
 	form := f.text("Form")
 	f.whole("Gen")
 	if form == "refused" {
-		return func() { i.m.ListRefused(i.host.now) }
+		return func() { i.m.ListFailed(i.host.now) }
 	}
 	sheet := f.whole("Sheet")
 	rows, ok := i.host.sheets[sheet]
@@ -66,9 +66,9 @@
 	}
 	switch form {
 	case "changes":
-		return func() { i.m.Listed(i.host.now, rows, false) }
+		return func() { i.m.UpdateList(i.host.now, rows, false) }
 	case "all", "remembered":
-		return func() { i.m.Listed(i.host.now, rows, true) }
+		return func() { i.m.UpdateList(i.host.now, rows, true) }
 	}
 	f.bad("Form", form)
 	return nil
@@ -103,7 +103,7 @@
 		return func() {
 			l := &held{id: id, number: number, fetch: i.secondStep[tariff]}
 			i.lookups[id], i.byNumber[number] = l, l
-			l.h = i.m.Take(i.host.now, mixer.Ask{
+			l.h = i.m.StartLookup(i.host.now, mixer.LookupRequest{
 				ID: id, Tariff: tariff, NotAfter: notAfter, Parts: int(amount), Again: bits&2 != 0, Customer: customer})
 		}
 	}
@@ -114,13 +114,13 @@
 		}
 		i.parts[id] = &heldPart{of: l, index: len(l.parts)}
 		l.parts = append(l.parts, id)
-		l.h.AddPart(i.host.now, mixer.Piece{ID: id, Slice: int(slice), Weight: amount, Effort: effort})
+		l.h.AddPart(i.host.now, mixer.PartRequest{ID: id, Slice: int(slice), Weight: amount, Effort: effort})
 	}
 }
 
 var outcomes = map[int64]mixer.Outcome{
-	0: mixer.Satisfied, 255: mixer.Errored, 254: mixer.Bounced, 253: mixer.TimedOut,
-	252: mixer.Unreached, 251: mixer.Reset, 250: mixer.Cancelled, 249: mixer.Moot,
+	0: mixer.Succeeded, 255: mixer.Failed, 254: mixer.Rejected, 253: mixer.TimedOut,
+	252: mixer.Unreachable, 251: mixer.ConnectionReset, 250: mixer.Cancelled, 249: mixer.NeverSent,
 }
 
 func (f *fields) outcome(field string) mixer.Outcome {
@@ -160,7 +160,7 @@
 		}
 		p.out--
 		i.letGo(id, p)
-		p.of.h.Outcome(i.host.now, p.index, int(copy), result, took, over)
+		p.of.h.HandleOutcome(i.host.now, p.index, int(copy), result, took, over)
 	}
 }
 
@@ -170,7 +170,7 @@
 		whose := i.timers[ref]
 		delete(i.timers, ref)
 		if whose != nil {
-			whose.Due(i.host.now)
+			whose.HandleTimer(i.host.now)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 	return func() {
 		if l := i.lookups[id]; l != nil {
 			i.end(id)
-			l.h.Gone(i.host.now)
+			l.h.Abandon(i.host.now)
 		}
 	}
 }
@@ -284,7 +284,7 @@
 	i.end(lookup)
 }
 
-func (i *instance) Bounce(lookup string, wait int64) {
+func (i *instance) Reject(lookup string, wait int64) {
 	i.say("reject", lookup, millis(wait))
 	i.end(lookup)
 }
@@ -296,7 +296,7 @@
 
 func (i *instance) CloseIdle(searcher string) { i.say("close_idle", searcher) }
 
-func (i *instance) Timer(after int64, whose mixer.Due) {
+func (i *instance) SetTimer(after int64, whose mixer.TimerHandler) {
 	i.lastRef++
 	i.timers[i.lastRef] = whose
 	i.say("set_timer", millis(after), strconv.FormatInt(i.lastRef, 10))
--- a/mixer/admission.go
+++ b/mixer/admission.go
@@ -6,7 +6,7 @@
 )
 
 // Take takes a lookup. It is planned once its parts have come.
-func (m *Mixer) Take(now int64, a Ask) *Lookup {
+func (m *Mixer) StartLookup(now int64, a LookupRequest) *Lookup {
 	t := &m.c.Tariffs[a.Tariff]
 	m.slide(now)
 	m.taken = append(m.taken, now)
@@ -23,7 +23,7 @@
 }
 
 // AddPart hands over one part of the step at hand.
-func (l *Lookup) AddPart(now int64, p Piece) {
+func (l *Lookup) AddPart(now int64, p PartRequest) {
 	l.m.taken = append(l.m.taken, now)
 	if l.ended {
 		return
--- a/mixer/adopt.go
+++ b/mixer/adopt.go
@@ -21,7 +21,7 @@
 //
 // Nothing that was counted or learnt begins anew: the forward budget, cold allowances and what searchers bear, what forwards
 // took, suspicion and customers' counts are as they would be without a version.
-func (m *Mixer) Adopt(_ int64, c Charter) {
+func (m *Mixer) UpdateConfig(_ int64, c Config) {
 	if m == nil || len(c.Tariffs) != len(m.c.Tariffs) || len(c.Allowances) != len(m.c.Allowances) {
 		return
 	}
--- a/mixer/adopt_test.go
+++ b/mixer/adopt_test.go
@@ -32,9 +32,9 @@
 	s.world.Answer(id, whole)
 }
 
-func (s *scribe) Bounce(id string, wait int64) {
+func (s *scribe) Reject(id string, wait int64) {
 	s.say("bounce", id, wait)
-	s.world.Bounce(id, wait)
+	s.world.Reject(id, wait)
 }
 
 func (s *scribe) Fail(id string) {
@@ -47,9 +47,9 @@
 	s.world.CloseIdle(searcher)
 }
 
-func (s *scribe) Timer(after int64, whose Due) {
+func (s *scribe) SetTimer(after int64, whose TimerHandler) {
 	s.say("timer", after)
-	s.world.Timer(after, whose)
+	s.world.SetTimer(after, whose)
 }
 
 func (s *scribe) Subscribe() {
@@ -87,12 +87,12 @@
 				}
 				for range rng.Intn(3) {
 					before := state(w.m)
-					if w.m.Adopt(w.now, w.c); state(w.m) != before {
+					if w.m.UpdateConfig(w.now, w.c); state(w.m) != before {
 						t.Fatalf("seed %d: a version changes\n%s\nto\n%s", seed, before, state(w.m))
 					}
 					adopted++
 				}
-				w.after(rng.Int63n(50*ms), func() { w.m.Adopt(w.now, w.c) }) // between any two calls
+				w.after(rng.Int63n(50*ms), func() { w.m.UpdateConfig(w.now, w.c) }) // between any two calls
 			})
 			runs[again] = s.calls
 		}
@@ -110,7 +110,7 @@
 }
 
 // other gives a charter with all that may change in flight drawn anew.
-func other(rng *rand.Rand, c Charter) Charter {
+func other(rng *rand.Rand, c Config) Config {
 	drawn := charter(rng)
 	c.Tariffs, c.Allowances = slices.Clone(c.Tariffs), slices.Clone(c.Allowances)
 	for i := range c.Tariffs {
@@ -137,7 +137,7 @@
 			if rng.Intn(6) == 0 {
 				before := state(w.m)
 				w.c = other(rng, w.c)
-				if w.m.Adopt(w.now, w.c); state(w.m) != before {
+				if w.m.UpdateConfig(w.now, w.c); state(w.m) != before {
 					t.Fatalf("seed %d: a version changes\n%s\nto\n%s", seed, before, state(w.m))
 				}
 				versions++
@@ -162,7 +162,7 @@
 	began := w.now
 	c := w.c
 	c.Tariffs = []Tariff{{Expected: 1000 * ms, Patience: 4000 * ms, CompleteFrom: 0.5, LeastShare: 0.5}}
-	w.m.Adopt(w.now, c)
+	w.m.UpdateConfig(w.now, c)
 	c.Tariffs[0].CompleteFrom = 1 // what the caller does with it later is nothing here
 	w.c.Tariffs = []Tariff{{Expected: 1000 * ms, Patience: 4000 * ms, CompleteFrom: 0.5, LeastShare: 0.5}}
 	next := w.take(0, 2, 0, 4000*ms, false)
@@ -178,7 +178,7 @@
 	short := w.take(0, 1, 1, 4000*ms, false)
 	began = w.now
 	w.c.Tariffs = []Tariff{{Expected: 3000 * ms, Patience: 4000 * ms, CompleteFrom: 1, LeastShare: 1}}
-	w.m.Adopt(w.now, w.c)
+	w.m.UpdateConfig(w.now, w.c)
 	long := w.take(0, 1, 1, 4000*ms, false)
 	if w.run(began + 1000*ms); !short.ended && !long.ended {
 		t.Error("one taken under the shorter time is waited for beyond it")
@@ -190,23 +190,23 @@
 
 // What no version may change stays as at the start, and a charter of other rows changes nothing.
 func TestOnlyWhatMayChangeIsTaken(t *testing.T) {
-	w := start(t, 1, 2, func(c *Charter) { c.Allowances = []float64{3} })
+	w := start(t, 1, 2, func(c *Config) { c.Allowances = []float64{3} })
 	began := w.m.c
-	c := Charter{Zone: "z", Mixers: 9, Cells: 9, Reach: 9, MaxForwards: 9, MayAdvise: true, MaxAdvice: 8, Allowances: []float64{4},
-		OverWorth: 0.1, Tariffs: []Tariff{{Expected: 5, Patience: 6, Effect: OnceOnly, RepeatFor: 7, CompleteFrom: 0.8, LeastShare: 0.3,
+	c := Config{Zone: "z", Mixers: 9, Cells: 9, Reach: 9, MaxForwards: 9, MayAdvise: true, MaxAdvice: 8, Allowances: []float64{4},
+		OverWorth: 0.1, Tariffs: []Tariff{{Expected: 5, Patience: 6, Effect: AtMostOnce, RepeatFor: 7, CompleteFrom: 0.8, LeastShare: 0.3,
 			Partial: 0.2, SecondStep: 9}}}
-	w.m.Adopt(w.now, c)
+	w.m.UpdateConfig(w.now, c)
 	want := began
 	want.Tariffs = []Tariff{{Expected: 5, Patience: 6, RepeatFor: 7, CompleteFrom: 0.8, LeastShare: 0.3, Partial: 0.2}}
 	want.MaxAdvice, want.Allowances, want.OverWorth = 8, []float64{4}, 0.1
 	if fmt.Sprintf("%+v", w.m.c) != fmt.Sprintf("%+v", want) {
 		t.Errorf("%+v, want %+v", w.m.c, want)
 	}
-	for _, odd := range []Charter{{}, {Tariffs: c.Tariffs}, {Tariffs: c.Tariffs, Allowances: []float64{1, 2}},
+	for _, odd := range []Config{{}, {Tariffs: c.Tariffs}, {Tariffs: c.Tariffs, Allowances: []float64{1, 2}},
 		{Tariffs: append(c.Tariffs, c.Tariffs...), Allowances: c.Allowances}} {
-		if w.m.Adopt(w.now, odd); fmt.Sprintf("%+v", w.m.c) != fmt.Sprintf("%+v", want) {
+		if w.m.UpdateConfig(w.now, odd); fmt.Sprintf("%+v", w.m.c) != fmt.Sprintf("%+v", want) {
 			t.Errorf("%+v is taken", odd)
 		}
 	}
-	(*Mixer)(nil).Adopt(w.now, c)
+	(*Mixer)(nil).UpdateConfig(w.now, c)
 }
--- a/mixer/cold.go
+++ b/mixer/cold.go
@@ -59,5 +59,5 @@
 		n, sum = n+k, sum+k*max(mean, float64(ms))
 	}
 	rate := max(each*m.c.usage(), n/(sum+coldSpread*tookGuess*m.long/math.Sqrt(m.c.users()))/m.c.users())
-	m.bears = Decay{max(rate, m.bears.Read(now, bearHalf)), now} // as before a jam, they can bear it again
+	m.bears = DecayingSum{max(rate, m.bears.Read(now, bearHalf)), now} // as before a jam, they can bear it again
 }
--- a/mixer/cost_test.go
+++ b/mixer/cost_test.go
@@ -16,10 +16,10 @@
 func (h *mute) Forward(part, _ string, _ int64) { h.sent = append(h.sent, h.index[part]) }
 func (h *mute) Cancel(string, int)              {}
 func (h *mute) Answer(string, bool)             {}
-func (h *mute) Bounce(string, int64)            {}
+func (h *mute) Reject(string, int64)            {}
 func (h *mute) Fail(string)                     {}
 func (h *mute) CloseIdle(string)                {}
-func (h *mute) Timer(int64, Due)                {}
+func (h *mute) SetTimer(int64, TimerHandler)                {}
 func (h *mute) Subscribe()                      {}
 func (h *mute) Note(string)                     {}
 
@@ -47,7 +47,7 @@
 
 // queries gives what serves one query of so many parts after the other, in a module that knows a thousand cells.
 func queries(parts, holders int) (query func()) {
-	c := Charter{Tariffs: []Tariff{{Expected: 57 * ms, Patience: 200 * ms, CompleteFrom: 1, LeastShare: 1}}, Mixers: 6300, Zone: "z0",
+	c := Config{Tariffs: []Tariff{{Expected: 57 * ms, Patience: 200 * ms, CompleteFrom: 1, LeastShare: 1}}, Mixers: 6300, Zone: "z0",
 		Cells: 1000, Reach: 1, PerCall: 1, MaxForwards: 3, MayCopy: true, MayCancel: true, ColdFrom: 1, FallMultiple: 2}
 	floor := &mute{index: map[string]int{}}
 	now, rng := int64(1790000000e9), rand.New(rand.NewSource(1))
@@ -56,16 +56,16 @@
 	for i := range rows {
 		rows[i] = Entry{Searcher: fmt.Sprint("s", i), Cell: i % c.Cells, Zone: fmt.Sprint("z", i%8)}
 	}
-	m.Listed(now, rows, true)
-	pieces := make([]Piece, parts)
+	m.UpdateList(now, rows, true)
+	pieces := make([]PartRequest, parts)
 	for i := range pieces {
-		pieces[i] = Piece{ID: fmt.Sprint("q.", i), Weight: 1 / float64(parts)}
+		pieces[i] = PartRequest{ID: fmt.Sprint("q.", i), Weight: 1 / float64(parts)}
 		floor.index[pieces[i].ID] = i
 	}
 	return func() {
 		now += 8 * ms
 		start := rng.Intn(c.Cells)
-		l := m.Take(now, Ask{ID: "q", NotAfter: now + 57*ms, Parts: parts})
+		l := m.StartLookup(now, LookupRequest{ID: "q", NotAfter: now + 57*ms, Parts: parts})
 		for i, p := range pieces {
 			p.Slice = start + i
 			l.AddPart(now, p)
@@ -73,7 +73,7 @@
 		now += 4 * ms
 		for _, i := range floor.sent {
 			now += 1000
-			l.Outcome(now, i, 0, Satisfied, 4*ms+int64(rng.Intn(int(ms))), false)
+			l.HandleOutcome(now, i, 0, Succeeded, 4*ms+int64(rng.Intn(int(ms))), false)
 		}
 		floor.sent = floor.sent[:0]
 	}
--- a/mixer/learn.go
+++ b/mixer/learn.go
@@ -11,7 +11,7 @@
 	}
 	s.out = slices.DeleteFunc(s.out, func(g *forward) bool { return g == f })
 	m.forget(s)
-	if o == Reset || o == Unreached || o == TimedOut && s.heard <= f.sent {
+	if o == ConnectionReset || o == Unreachable || o == TimedOut && s.heard <= f.sent {
 		f.miss(now)
 	}
 	switch o {
@@ -25,7 +25,7 @@
 			mean, _ := m.typical(now, f.part.l)
 			m.hearken(now, f.part, mean)
 		}
-	case Satisfied:
+	case Succeeded:
 		s.heard, s.unheard, s.suspect, s.wait = now, 0, false, 0
 		if mean, _ := m.typical(now, f.part.l); float64(took) <= lineLate*mean { // a late one tells no zone well
 			m.heard, s.zone.heard, s.zone.missed = now, now, 0
@@ -40,10 +40,10 @@
 		s.learn(now, float64(took), f.count)
 		m.rows[f.part.l.ask.Tariff].Add(now, float64(took), halfLife)
 		m.measure(now)
-	case Errored, Bounced, Unreached, Reset:
+	case Failed, Rejected, Unreachable, ConnectionReset:
 		// Guards against one that fails fast, whose count near zero would draw every pick, or turns away.
 		mean, _ := m.typical(now, f.part.l)
-		if s.unheard += int64(failedTimes * mean); o == Errored {
+		if s.unheard += int64(failedTimes * mean); o == Failed {
 			s.unheard -= int64((failedTimes - erredTimes) * mean)
 		}
 		s.learn(now, failedTimes*mean*float64(f.count), f.count)
--- a/mixer/list.go
+++ b/mixer/list.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Listed takes news of the list: changes, or with full set all of it.
-func (m *Mixer) Listed(now int64, rows []Entry, full bool) {
+func (m *Mixer) UpdateList(now int64, rows []Entry, full bool) {
 	m.refusals = 0
 	m.stir()
 	m.call++
@@ -34,8 +34,8 @@
 			s.size = e.Size
 		}
 		if s.started != e.Started { // a new process: nothing learnt of the old one holds
-			s.started, s.unheard, s.suspect, s.wait, s.word = e.Started, 0, false, 0, Word{}
-			s.pace, s.told, s.want, s.credit, s.creditAt = Ratio{}, Ratio{}, Decay{}, m.rng.Float64(), now
+			s.started, s.unheard, s.suspect, s.wait, s.word = e.Started, 0, false, 0, PeerReport{}
+			s.pace, s.told, s.want, s.credit, s.creditAt = DecayingRatio{}, DecayingRatio{}, DecayingSum{}, m.rng.Float64(), now
 		}
 		moved = append(moved, s)
 	}
@@ -56,17 +56,17 @@
 }
 
 // ListRefused is told that a list call failed. It is asked for again after a growing, jittered wait.
-func (m *Mixer) ListRefused(now int64) {
+func (m *Mixer) ListFailed(now int64) {
 	wait := askFirst << min(m.refusals, 6)
 	if m.c.AskWithin > 0 {
 		wait = min(wait, m.c.AskWithin/3)
 	}
 	m.refusals, m.asking = m.refusals+1, false
-	m.floor.Timer(wait/2+m.rng.Int63n(wait), m)
+	m.floor.SetTimer(wait/2+m.rng.Int63n(wait), m)
 }
 
 // Due asks for the list.
-func (m *Mixer) Due(now int64) {
+func (m *Mixer) HandleTimer(now int64) {
 	if !m.asking {
 		m.asking = true
 		m.floor.Subscribe()
@@ -74,7 +74,7 @@
 }
 
 // Told takes what other mixers say and lend. All of it ends by itself: who hears no more is as one alone.
-func (m *Mixer) Told(now int64, words []Word) {
+func (m *Mixer) UpdatePeerReports(now int64, words []PeerReport) {
 	m.call++
 	for _, w := range words {
 		if s := m.searchers[w.Searcher]; s != nil && s.started == w.Started {
@@ -93,10 +93,10 @@
 }
 
 // Hold keeps its own cold allowance back for a while: a mixer started anew may have lent it before.
-func (m *Mixer) Hold(until int64) { m.held = until }
+func (m *Mixer) HoldColdAllowance(until int64) { m.held = until }
 
 // said gives what others say of the process that runs, nothing once it is old.
-func (s *searcher) said(now int64) (w Word) {
+func (s *searcher) said(now int64) (w PeerReport) {
 	if now < s.word.Until {
 		w = s.word
 	}
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -57,24 +57,24 @@
 
 // Mixer is one mixer. It shares nothing with others but by Told and Tell.
 type Mixer struct {
-	c         Charter
-	floor     Floor
+	c         Config
+	floor     Environment
 	rng       *rand.Rand
-	rows      []Spread // by tariff, how long its forwards take
+	rows      []DecayingStats // by tariff, how long its forwards take
 	searchers map[string]*searcher
 	cells     [][]*searcher // by cell, in the order first listed
 
-	pace                Ratio // of the whole fleet: how long forwards took, times size, over the calls out there
+	pace                DecayingRatio // of the whole fleet: how long forwards took, times size, over the calls out there
 	zones               map[string]*zone
-	sent, copies, tests Decay   // forwards, copies and tests among them
-	idle, anew          Ratio   // forwards lost over sent, on connections that lay idle, on new ones
+	sent, copies, tests DecayingSum   // forwards, copies and tests among them
+	idle, anew          DecayingRatio   // forwards lost over sent, on connections that lay idle, on new ones
 	taken, spent        []int64 // when lookups and parts were taken and further forwards made, for the budget
-	borne, bears        Decay   // answers of warm searchers, parts per ns this mixer may count on of one
+	borne, bears        DecayingSum   // answers of warm searchers, parts per ns this mixer may count on of one
 	heard               int64   // last answer of any searcher
 	asking              bool    // a list call is out or the subscription runs
 	long                float64 // ns, the longest expected time
 	refusals            int
-	customers           []Decay // lookups taken of each, the first of those who are not told
+	customers           []DecayingSum // lookups taken of each, the first of those who are not told
 	held                int64   // until then its own cold allowance may still be lent from before its start
 	epoch, call         int64   // counts what may bear on lookups beside their own answers; calls
 	scratch                     // kept from one review to the next to spare allocations
@@ -95,7 +95,7 @@
 	started       int64
 	calls, parts  int     // this mixer's calls out, which water-filling levels, and the parts in them
 	call          *call   // the newest
-	pace, told    Ratio   // of its answers, and of the newest, which others are told
+	pace, told    DecayingRatio   // of its answers, and of the newest, which others are told
 	heard, sentAt int64   // last answer, last forward
 	unheard       int64   // what forwards sent since have waited in vain
 	suspect       bool    // not to be picked but for a test
@@ -103,8 +103,8 @@
 	credit        float64 // cold: of one part, how much may be sent, and up to when that was reckoned
 	creditAt      int64
 	out           []*forward
-	word          Word  // of others, on the process named there
-	want, sent    Decay // cold: forwards sent there, and those that would have been with credit; all forwards
+	word          PeerReport  // of others, on the process named there
+	want, sent    DecayingSum // cold: forwards sent there, and those that would have been with credit; all forwards
 	kept
 }
 
@@ -119,17 +119,17 @@
 func (f *forward) mayRun() bool { return !f.done || f.ran }
 
 // New makes a mixer.
-func New(now int64, c Charter, seed int64, floor Floor) *Mixer {
-	m := &Mixer{c: c, floor: floor, rng: rand.New(rand.NewSource(seed)), rows: make([]Spread, len(c.Tariffs))}
-	m.customers = make([]Decay, 1+len(c.Allowances))
+func New(now int64, c Config, seed int64, floor Environment) *Mixer {
+	m := &Mixer{c: c, floor: floor, rng: rand.New(rand.NewSource(seed)), rows: make([]DecayingStats, len(c.Tariffs))}
+	m.customers = make([]DecayingSum, 1+len(c.Allowances))
 	m.cells, m.searchers, m.zones = make([][]*searcher, c.Cells), map[string]*searcher{}, map[string]*zone{}
 	m.long = float64(ms)
 	for _, t := range c.Tariffs {
 		m.long = max(m.long, float64(t.Expected))
 	}
-	m.bears = Decay{1 / (bearGuess * m.long) / c.users(), now}
+	m.bears = DecayingSum{1 / (bearGuess * m.long) / c.users(), now}
 	if c.ListAsked {
-		m.Due(now)
+		m.HandleTimer(now)
 	}
 	return m
 }
--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestLeastCountedFirst(t *testing.T) {
-	w := start(t, 1, 3, func(c *Charter) { c.Cells = 1 })
+	w := start(t, 1, 3, func(c *Config) { c.Cells = 1 })
 	for i, want := range []int{1, 2, 3, 6} {
 		w.take(0, []int{1, 1, 1, 3}[i], 0, 4000*ms, false)
 		if counts, sum := w.counts(); sum != want || slices.Max(counts) != (want+2)/3 {
@@ -17,7 +17,7 @@
 }
 
 func TestAnyOfAsksJustEnough(t *testing.T) {
-	w := start(t, 2, 6, func(c *Charter) { c.Tariffs[0].CompleteFrom, c.Tariffs[0].LeastShare = 0.6, 0.6 })
+	w := start(t, 2, 6, func(c *Config) { c.Tariffs[0].CompleteFrom, c.Tariffs[0].LeastShare = 0.6, 0.6 })
 	l := w.take(0, 10, 0, 4000*ms, false)
 	_, sent := w.counts()
 	w.run(w.now + 2000*ms)
@@ -27,7 +27,7 @@
 }
 
 func TestPartsShareACall(t *testing.T) {
-	w := start(t, 3, 1, func(c *Charter) { c.Cells, c.PerCall = 1, 4 })
+	w := start(t, 3, 1, func(c *Config) { c.Cells, c.PerCall = 1, 4 })
 	w.take(0, 6, 0, 4000*ms, false)
 	if s := w.m.searchers["box0"]; s.calls != 2 || s.parts != 6 {
 		t.Errorf("6 parts to one searcher made %d calls with %d parts, want 2 with 6", s.calls, s.parts)
@@ -35,7 +35,7 @@
 }
 
 func TestSecondStep(t *testing.T) {
-	w := start(t, 4, 6, func(c *Charter) { c.Tariffs[0].SecondStep = 5 })
+	w := start(t, 4, 6, func(c *Config) { c.Tariffs[0].SecondStep = 5 })
 	l := w.take(0, 3, 0, 4000*ms, false)
 	w.run(w.now + 4000*ms)
 	if len(l.steps) != 2 || len(l.steps[1]) != 3 || !l.ended || w.answers != 2 {
@@ -95,7 +95,7 @@
 	seconds = map[int64]float64{}
 	var sent []int64
 	for seed := range int64(60) {
-		w := start(t, from+seed, 2, func(c *Charter) { c.Cells, c.Mixers = 1, 60 })
+		w := start(t, from+seed, 2, func(c *Config) { c.Cells, c.Mixers = 1, 60 })
 		for range 5 {
 			w.take(0, 2, 0, 4000*ms, false)
 			w.run(w.now + 6000*ms)
@@ -123,7 +123,7 @@
 }
 
 func TestColdFleetIsBegun(t *testing.T) {
-	w := newWorld(t, 17, plain(func(c *Charter) { c.Cells = 1 }))
+	w := newWorld(t, 17, plain(func(c *Config) { c.Cells = 1 }))
 	w.list(true, Entry{Searcher: "box0", Started: w.now}, Entry{Searcher: "box1", Started: w.now})
 	if w.warmUp(20); w.answers < 5 {
 		t.Errorf("%d of 20 lookups served in 6 s by a fleet that starts", w.answers)
@@ -134,7 +134,7 @@
 // of lookups that can still be in time.
 func TestEndedLookupsAreWithdrawn(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		w := start(t, 1, 2, func(c *Charter) { c.MayCancel, c.MaxForwards = allowed, 1 })
+		w := start(t, 1, 2, func(c *Config) { c.MayCancel, c.MaxForwards = allowed, 1 })
 		w.box["box0"].broken, w.box["box1"].broken = 3, 1 // one fails for good while the other is still waited for
 		l := w.take(0, 2, 0, 4000*ms, false)
 		if w.run(w.now + 260*ms); !l.ended {
--- a/mixer/newcomer_test.go
+++ b/mixer/newcomer_test.go
@@ -7,7 +7,7 @@
 // are taken, one for each allowance.
 func TestNewcomersAreTakenAsTheyAnswer(t *testing.T) {
 	for seed := range int64(6) {
-		w := start(t, seed, 4, func(c *Charter) {
+		w := start(t, seed, 4, func(c *Config) {
 			c.Tariffs[0].Expected, c.ColdFrom, c.ColdFor = 800*ms, 0.05, 20000*ms
 		})
 		w.warmUp(10)
--- a/mixer/pick.go
+++ b/mixer/pick.go
@@ -120,7 +120,7 @@
 func (l *Lookup) barred(now int64, p *part) bool {
 	once := func(f *forward) bool {
 		late := now-f.sent > l.t.RepeatFor-endMargin
-		return f.mayRun() && (l.t.Effect == OnceOnly || l.t.Effect == Tagged && late)
+		return f.mayRun() && (l.t.Effect == AtMostOnce || l.t.Effect == Deduplicated && late)
 	}
 	return p.over || len(p.forwards) >= l.m.c.MaxForwards || slices.ContainsFunc(p.forwards, once)
 }
--- a/mixer/pick_test.go
+++ b/mixer/pick_test.go
@@ -69,7 +69,7 @@
 	picks, copies, cold, tests, again, ties := 0, 0, 0, 0, 0, uint64(0)
 	for seed := range int64(400) {
 		rng := rand.New(rand.NewSource(seed))
-		c := Charter{Mixers: 1 + rng.Intn(3), Zone: "z0", Cells: 1 + rng.Intn(12), PerCall: 1 + rng.Intn(3), MaxForwards: 1 + rng.Intn(4),
+		c := Config{Mixers: 1 + rng.Intn(3), Zone: "z0", Cells: 1 + rng.Intn(12), PerCall: 1 + rng.Intn(3), MaxForwards: 1 + rng.Intn(4),
 			MayCopy: rng.Intn(3) > 0, MayCancel: true, ColdFrom: 0.2, ColdFor: 9000 * ms, FallMultiple: 2, FallFor: 1000 * ms, Sized: rng.Intn(2) == 0,
 			CrossPrice: float64(rng.Intn(2)) * 0.05, BudgetFor: int64(rng.Intn(2)) * 2000 * ms, BudgetFree: float64(rng.Intn(12)), BudgetShare: 0.2}
 		c.Reach = 1 + rng.Intn(min(2, c.Cells))
@@ -85,7 +85,7 @@
 			}
 			rows = append(rows, e)
 		}
-		m.Listed(now, rows, true)
+		m.UpdateList(now, rows, true)
 		of := func(i int) *searcher { return m.searchers[rows[i].Searcher] }
 		distinct := rng.Intn(3) > 0 // else nothing is known of any, and all are alike
 		for i := range rows {
@@ -105,9 +105,9 @@
 		}
 		m.sent.Add(now, float64(rng.Intn(20)), halfLife)
 		m.tests.Add(now, 0.45+0.1*float64(rng.Intn(3)), halfLife)
-		l := m.Take(now, Ask{ID: "q", NotAfter: now + 2000*ms, Parts: 1 + rng.Intn(90)})
+		l := m.StartLookup(now, LookupRequest{ID: "q", NotAfter: now + 2000*ms, Parts: 1 + rng.Intn(90)})
 		for i := range l.ask.Parts {
-			l.parts = append(l.parts, l.slab.add(l, Piece{ID: fmt.Sprint(i), Slice: rng.Intn(c.Cells), Weight: 1, Effort: int64(rng.Intn(2))}))
+			l.parts = append(l.parts, l.slab.add(l, PartRequest{ID: fmt.Sprint(i), Slice: rng.Intn(c.Cells), Weight: 1, Effort: int64(rng.Intn(2))}))
 		}
 		for range 3 { // reviews, with all sorts of outcomes between them
 			m.call++
@@ -162,9 +162,9 @@
 					if f.done || rng.Intn(2) == 0 {
 						continue
 					}
-					o := []Outcome{Satisfied, Satisfied, Errored, Unreached, Bounced, Reset}[rng.Intn(6)]
+					o := []Outcome{Succeeded, Succeeded, Failed, Unreachable, Rejected, ConnectionReset}[rng.Intn(6)]
 					f.done, f.ran = true, !o.NeverRan()
-					p.in = p.in || o == Satisfied
+					p.in = p.in || o == Succeeded
 					m.call++
 					m.settle(now, f, o, now-f.sent)
 				}
--- a/mixer/review.go
+++ b/mixer/review.go
@@ -85,33 +85,33 @@
 func (l *Lookup) rouse(now, at int64) {
 	if at = max(at, now+1); l.wake == 0 || at < l.wake {
 		l.wake = at
-		l.m.floor.Timer(at-now, l)
+		l.m.floor.SetTimer(at-now, l)
 	}
 }
 
 // Due looks at the lookup again.
-func (l *Lookup) Due(now int64) {
+func (l *Lookup) HandleTimer(now int64) {
 	l.wake = 0
 	l.m.call++
 	l.review(now)
 }
 
 // Gone is told that the client left.
-func (l *Lookup) Gone(now int64) { l.ended = true }
+func (l *Lookup) Abandon(now int64) { l.ended = true }
 
 // Outcome is told how a forward of part i ended.
-func (l *Lookup) Outcome(now int64, i, copy int, o Outcome, took int64, over bool) {
+func (l *Lookup) HandleOutcome(now int64, i, copy int, o Outcome, took int64, over bool) {
 	p := l.parts[i]
 	f := p.forwards[copy]
 	f.done, f.ran = true, !o.NeverRan()
 	l.m.call++
 	l.m.settle(now, f, o, took)
-	if o == Satisfied && !p.in {
+	if o == Succeeded && !p.in {
 		l.in += p.Weight
 	} else {
 		l.m.stir()
 	}
-	p.in, p.over = p.in || o == Satisfied, p.over || over
+	p.in, p.over = p.in || o == Succeeded, p.over || over
 	l.review(now)
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	for _, p := range l.parts {
-		if l.t.Effect != Repeatable && slices.ContainsFunc(p.forwards, (*forward).mayRun) {
+		if l.t.Effect != Idempotent && slices.ContainsFunc(p.forwards, (*forward).mayRun) {
 			l.m.floor.Fail(l.ask.ID)
 			return
 		}
@@ -162,5 +162,5 @@
 	if l.m.c.MayAdvise && now < l.end { // back while there is time, and not all at once
 		wait = min(l.m.c.MaxAdvice, int64(adviceShare*float64(l.end-now)*(0.5+l.m.rng.Float64())))
 	}
-	l.m.floor.Bounce(l.ask.ID, wait)
+	l.m.floor.Reject(l.ask.ID, wait)
 }
--- a/mixer/rules_test.go
+++ b/mixer/rules_test.go
@@ -7,8 +7,8 @@
 )
 
 // charter draws legal settings.
-func charter(rng *rand.Rand) Charter {
-	c := Charter{
+func charter(rng *rand.Rand) Config {
+	c := Config{
 		Mixers: 1 + rng.Intn(4), Cells: 3 + rng.Intn(6), PerCall: 1 + rng.Intn(8), ListAsked: rng.Intn(2) == 0,
 		AskWithin: 10000 * ms, MaxForwards: 1 + rng.Intn(5), MayCopy: rng.Intn(3) > 0, MayCancel: rng.Intn(2) == 0,
 		MayAdvise: true, MaxAdvice: 1000 * ms, ColdFrom: 0.1 + 0.4*rng.Float64(),
@@ -63,12 +63,12 @@
 			w.list(true, all[rng.Intn(3):]...)
 		case 4:
 			w.refusing = !w.refusing
-			w.m.ListRefused(w.now)
+			w.m.ListFailed(w.now)
 		case 5:
 			for id, l := range w.lookups {
 				if !l.ended && id[len(id)-1] == '7' {
 					l.ended = true
-					l.h.Gone(w.now)
+					l.h.Abandon(w.now)
 				}
 			}
 		default:
--- a/mixer/shape_test.go
+++ b/mixer/shape_test.go
@@ -5,7 +5,7 @@
 // Where the list tells sizes, equals that are not known yet are ordered by them; where it does not, they tell nothing.
 func TestLargerOfEqualsFirst(t *testing.T) {
 	for _, sized := range []bool{true, false} {
-		w, large := newWorld(t, 1, plain(func(c *Charter) { c.Cells, c.Sized = 1, sized })), 0
+		w, large := newWorld(t, 1, plain(func(c *Config) { c.Cells, c.Sized = 1, sized })), 0
 		rows := boxes(40, 1)
 		for i := range rows {
 			rows[i].Size = float64(1 + i%2)
@@ -27,7 +27,7 @@
 func TestWhoGoesBeyondItsShareIsTurnedAwayFirst(t *testing.T) {
 	var taken, served [2]int
 	for seed := range int64(6) {
-		w := start(t, seed, 2, func(c *Charter) {
+		w := start(t, seed, 2, func(c *Config) {
 			c.Cells, c.MayAdvise, c.MaxAdvice = 1, seed%2 == 0, 500*ms
 			c.Allowances, c.OverWorth = []float64{10, 10}, 0.1
 		})
@@ -56,7 +56,7 @@
 // What is given up gets its final answer at once, whether a return time may be said or not.
 func TestGivenUpIsNotHeld(t *testing.T) {
 	for _, advise := range []bool{true, false} {
-		w := start(t, 5, 1, func(c *Charter) { c.Cells, c.MayAdvise, c.MaxAdvice = 1, advise, 500*ms })
+		w := start(t, 5, 1, func(c *Config) { c.Cells, c.MayAdvise, c.MaxAdvice = 1, advise, 500*ms })
 		w.warmUp(10)
 		for range 200 {
 			before := len(w.m.searchers["box0"].out)
@@ -74,16 +74,16 @@
 
 // What a mixer has learnt of a slow searcher holds for the one that comes after it, where the same process runs.
 func TestWhatIsKeptIsTakenOver(t *testing.T) {
-	w := start(t, 7, 2, func(c *Charter) { c.Cells = 1 })
+	w := start(t, 7, 2, func(c *Config) { c.Cells = 1 })
 	w.box["box0"].far = 600 * ms
 	w.warmUp(10)
-	k := w.m.Keep(w.now)
+	k := w.m.Snapshot(w.now)
 	slow := [2]int{}
 	for seed := range int64(10) {
 		for kept := range slow {
 			v := newWorld(t, seed, w.c)
 			v.list(true, boxes(2, 1)...)
-			if kept == 1 && v.m.Resume(v.now, k) != 2 {
+			if kept == 1 && v.m.Restore(v.now, k) != 2 {
 				t.Error("processes that still run are not met again")
 			}
 			v.take(0, 1, 0, 4000*ms, false)
@@ -95,7 +95,7 @@
 	}
 	v := newWorld(t, 1, w.c)
 	v.list(true, Entry{Searcher: "box0", Started: 1}, Entry{Searcher: "box1"})
-	if met := v.m.Resume(v.now, k); met != 1 || v.m.searchers["box0"].pace.under.sum > 0 {
+	if met := v.m.Restore(v.now, k); met != 1 || v.m.searchers["box0"].pace.under.sum > 0 {
 		t.Errorf("%d processes met, %v is held of one that is not the same", met, v.m.searchers["box0"].pace)
 	}
 }
--- a/mixer/state.go
+++ b/mixer/state.go
@@ -19,12 +19,12 @@
 	done, ran bool   // has its outcome; may have run
 	gone      bool   // waited for no more
 	recalled  bool   // withdrawn, to be sent again elsewhere when that has its outcome
-	line      *Ratio // nil where the connection was in use
+	line      *DecayingRatio // nil where the connection was in use
 	missed    int64  // when it was counted as lost by line and zone, 0 if it was not
 }
 
 type part struct {
-	Piece
+	PartRequest
 	l        *Lookup
 	in, over bool
 	forwards []*forward
@@ -35,7 +35,7 @@
 // Lookup is the handle of one lookup.
 type Lookup struct {
 	m      *Mixer
-	ask    Ask
+	ask    LookupRequest
 	t      *Tariff
 	parts  []*part
 	step   int // first part of the step at hand
@@ -110,11 +110,11 @@
 const slabMost = 512
 
 // add makes one more part of a lookup.
-func (r *slab) add(l *Lookup, piece Piece) *part {
+func (r *slab) add(l *Lookup, piece PartRequest) *part {
 	if len(*r) == cap(*r) {
 		*r = make(slab, 0, min(max(1, l.expect-len(l.parts)), slabMost))
 	}
-	*r = append(*r, part{Piece: piece, l: l})
+	*r = append(*r, part{PartRequest: piece, l: l})
 	p := &(*r)[len(*r)-1]
 	p.forwards = p.place[:0]
 	return p
--- a/mixer/suspect.go
+++ b/mixer/suspect.go
@@ -62,7 +62,7 @@
 
 // connect closes what lies idle to s where idle connections lose more than new ones. It guards against
 // connections dropped unseen, which say nothing of the searcher. Where connecting fails, new ones lose more.
-func (m *Mixer) connect(now int64, s *searcher) *Ratio {
+func (m *Mixer) connect(now int64, s *searcher) *DecayingRatio {
 	line, share := &m.idle, m.anew.Read(now, lineHalf, 0, lean)
 	if line.over.Read(now, lineHalf)-lineTimes*share*line.under.Read(now, lineHalf) >= lineLost {
 		m.floor.CloseIdle(s.id)
--- a/mixer/suspect_test.go
+++ b/mixer/suspect_test.go
@@ -22,7 +22,7 @@
 // A searcher that falls silent is left and, once it answers again, comes back: sooner where a copy may back its tests.
 func TestSilentSearcherIsLeft(t *testing.T) {
 	for _, copies := range []bool{true, false} {
-		w := start(t, 6, 3, func(c *Charter) { c.Cells, c.MayCopy, c.MayCancel = 1, copies, !copies })
+		w := start(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, copies, !copies })
 		w.warmUp(10)
 		w.box["box1"].broken = 1
 		late := w.late(3, 300*ms)
@@ -46,7 +46,7 @@
 func TestWhatWaitsInVainIsRecalled(t *testing.T) {
 	late := 0
 	for seed := range int64(6) {
-		w := start(t, seed, 3, func(c *Charter) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
+		w := start(t, seed, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
 		w.warmUp(10)
 		w.box["box1"].broken = 1
 		for range 20 {
@@ -69,7 +69,7 @@
 func TestSuspectsAreTestedInTime(t *testing.T) {
 	for seed := range int64(12) {
 		expected := []int64{1000 * ms, 4000 * ms}[seed%2]
-		w := start(t, seed, 1, func(c *Charter) { c.Cells, c.Tariffs[0].Expected = 1, expected })
+		w := start(t, seed, 1, func(c *Config) { c.Cells, c.Tariffs[0].Expected = 1, expected })
 		w.warmUp(10)
 		w.box["box0"].broken = 2
 		w.late(1, 1500*ms)
@@ -173,7 +173,7 @@
 }
 
 func TestLostWithItsProcess(t *testing.T) {
-	w := newWorld(t, 9, plain(func(c *Charter) { c.Cells = 1 }))
+	w := newWorld(t, 9, plain(func(c *Config) { c.Cells = 1 }))
 	rows := boxes(2, 1)
 	w.list(true, rows[0])
 	w.box["box0"].broken = 1
@@ -265,7 +265,7 @@
 
 // zones gives a world of two zones whose mixer knows what forwards take, and the boxes of the second.
 func zones(seed int64, t *testing.T) (w *world, there []string) {
-	w = newWorld(t, seed, plain(func(c *Charter) { c.Cells = 20 }))
+	w = newWorld(t, seed, plain(func(c *Config) { c.Cells = 20 }))
 	rows := boxes(40, 20)
 	for i := range rows {
 		if rows[i].Zone = "here"; i >= 20 {
--- a/mixer/telling_test.go
+++ b/mixer/telling_test.go
@@ -19,17 +19,17 @@
 			}
 			e := all[words.Intn(len(all))]
 			ahead := func() int64 { return w.now + words.Int63n(4000*ms) - 1000*ms }
-			w.m.Told(w.now, []Word{{Searcher: e.Searcher, Started: e.Started - int64(words.Intn(2)), At: ahead(), Until: ahead(),
+			w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: e.Searcher, Started: e.Started - int64(words.Intn(2)), At: ahead(), Until: ahead(),
 				Slow: words.ExpFloat64() * 5, Weight: words.ExpFloat64() * 10, Silent: words.Intn(2) == 0, Sound: words.Intn(3) == 0,
 				Suspecting: words.Intn(5), AwayUntil: ahead()}})
 			if words.Intn(50) == 0 {
-				w.m.Hold(ahead())
+				w.m.HoldColdAllowance(ahead())
 			}
-			w.m.Tell(w.now, 2000*ms, func(o Own) {
+			w.m.Observations(w.now, 2000*ms, func(o Observation) {
 				if o.Loan < 0 || o.Rate < 0 || o.Loan > o.Rate+1/float64(w.c.FallFor)+1e-15 || o.Weight < 0 || o.Slow < 0 {
 					t.Fatalf("told: %+v", o)
 				}
-				if st, ok := w.m.Standing(w.now, o.Searcher); !ok || st.Started != o.Started || st.ColdWait < 0 {
+				if st, ok := w.m.SearcherState(w.now, o.Searcher); !ok || st.Started != o.Started || st.ColdWait < 0 {
 					t.Fatalf("standing: %+v", st)
 				}
 			})
@@ -67,14 +67,14 @@
 		w := newcomer(t)
 		until := w.now + 3000*ms
 		if lent {
-			w.m.Told(w.now, []Word{{Searcher: "box0", Started: w.told["box0"].Started, AwayUntil: until}})
+			w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: "box0", Started: w.told["box0"].Started, AwayUntil: until}})
 		} else {
-			w.m.Hold(until)
+			w.m.HoldColdAllowance(until)
 		}
 		if n := w.sentCold(2990 * ms); n != 0 {
 			t.Errorf("lent %v: %d parts are sent of a share that is away", lent, n)
 		}
-		if st, _ := w.m.Standing(w.now, "box0"); lent && st.ColdWait <= until-w.now {
+		if st, _ := w.m.SearcherState(w.now, "box0"); lent && st.ColdWait <= until-w.now {
 			t.Errorf("it waits %d ms for a part, its share is away for %d", st.ColdWait/ms, (until-w.now)/ms)
 		}
 		w.run(until)
@@ -94,7 +94,7 @@
 	w.c.FallMultiple = 1e6
 	one := newcomer(t)
 	alone, later := one.sentCold(2000*ms), one.sentCold(2000*ms) // warmer by then
-	w.m.Told(w.now, []Word{{Searcher: "box0", Started: w.told["box0"].Started, Lent: lent, LentUntil: w.now + 2000*ms}})
+	w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: "box0", Started: w.told["box0"].Started, Lent: lent, LentUntil: w.now + 2000*ms}})
 	n := w.sentCold(2000 * ms)
 	if n < alone+3 || n > alone+10+1 {
 		t.Errorf("%d parts in two seconds, alone %d and borrowed 10", n, alone)
@@ -120,28 +120,28 @@
 func TestAWordOrdersEqualsUntilItIsOldOrOverruled(t *testing.T) {
 	w := start(t, 3, 6, nil) // boxes 0, 2 and 4 hold cell 0
 	w.shares(10)
-	slow := func(at int64) Word {
-		return Word{Searcher: "box2", At: at, Until: w.now + 60_000*ms, Slow: 10, Weight: 8}
+	slow := func(at int64) PeerReport {
+		return PeerReport{Searcher: "box2", At: at, Until: w.now + 60_000*ms, Slow: 10, Weight: 8}
 	}
-	w.m.Told(w.now, []Word{slow(w.now)})
+	w.m.UpdatePeerReports(w.now, []PeerReport{slow(w.now)})
 	if n := w.shares(20)["box2"]; n != 0 {
 		t.Errorf("%d of 20 parts go to one said to be slow", n)
 	}
-	w.m.Told(w.now, []Word{{Searcher: "box2", Started: 5, At: w.now, Until: w.now + 60_000*ms, Slow: 1, Weight: 8}})
+	w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: "box2", Started: 5, At: w.now, Until: w.now + 60_000*ms, Slow: 1, Weight: 8}})
 	if n := w.shares(10)["box2"]; n != 0 {
 		t.Errorf("%d of 10 parts go to it for a word on another process", n)
 	}
 	s := w.m.searchers["box2"]
 	alone := func() float64 { return s.pace.Read(w.now, paceHalf, w.m.pace.Read(w.now, halfLife, 0, 0), lean) }
-	w.m.Told(w.now, []Word{slow(w.now)})
+	w.m.UpdatePeerReports(w.now, []PeerReport{slow(w.now)})
 	if with := w.m.unit(w.now, s); with < 4*alone() {
 		t.Errorf("held to take %d ms for a word of ten times, alone %d", int64(with)/ms, int64(alone())/ms)
 	}
 	// Own answers newer than the word weigh by themselves: it is leant on as the fleet's figure is.
 	w.list(false, Entry{Searcher: "box0", Status: Dead}, Entry{Searcher: "box4", Status: Dead})
-	w.m.Told(w.now, []Word{{Searcher: "box2"}})
+	w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: "box2"}})
 	w.shares(20)
-	w.m.Told(w.now, []Word{slow(0)})
+	w.m.UpdatePeerReports(w.now, []PeerReport{slow(0)})
 	if with := w.m.unit(w.now, s); with > 3*alone() || with < 1.2*alone() {
 		t.Errorf("held to take %d ms by a word older than its own answers, alone %d", int64(with)/ms, int64(alone())/ms)
 	}
@@ -155,7 +155,7 @@
 	w := start(t, 3, 6, nil)
 	w.shares(10)
 	say := func() {
-		w.m.Told(w.now, []Word{{Searcher: "box2", At: w.now, Until: w.now + 30_000*ms, Silent: true, Suspecting: 2}})
+		w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: "box2", At: w.now, Until: w.now + 30_000*ms, Silent: true, Suspecting: 2}})
 	}
 	say()
 	if n := w.shares(20)["box2"]; n != 0 {
@@ -172,7 +172,7 @@
 	}
 	s.heard = 0
 	for _, other := range []string{"box0", "box4"} {
-		w.m.Told(w.now, []Word{{Searcher: other, At: w.now, Until: w.now + 30_000*ms, Silent: true, Suspecting: 2}})
+		w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: other, At: w.now, Until: w.now + 30_000*ms, Silent: true, Suspecting: 2}})
 	}
 	if l := w.take(0, 1, 0, 2000*ms, false); !l.ended {
 		t.Error("a lookup is kept waiting for holders none of which answers")
@@ -201,7 +201,7 @@
 	if !s.suspect || !w.m.mayTest(w.now) {
 		t.Fatalf("suspect %v, the allowance for tests is back %v", s.suspect, w.m.mayTest(w.now))
 	}
-	w.m.Told(w.now, []Word{{Searcher: "box2", At: w.now, Until: w.now + 2000*ms, Sound: true}})
+	w.m.UpdatePeerReports(w.now, []PeerReport{{Searcher: "box2", At: w.now, Until: w.now + 2000*ms, Sound: true}})
 	if n := w.shares(1)["box2"]; n != 1 || s.suspect {
 		t.Errorf("%d parts go to it, suspect %v", n, s.suspect)
 	}
--- a/mixer/types.go
+++ b/mixer/types.go
@@ -9,27 +9,27 @@
 type Effect int
 
 const (
-	Repeatable Effect = iota // may run again
-	Tagged                   // a repeat is known by its mark and dropped for a while
-	OnceOnly                 // must never run twice
+	Idempotent Effect = iota // may run again
+	Deduplicated                   // a repeat is known by its mark and dropped for a while
+	AtMostOnce                 // must never run twice
 )
 
 // Outcome says how one forward ended.
 type Outcome int
 
 const (
-	Satisfied Outcome = iota // its answer is in
-	Errored                  // the searcher returned an error
-	Bounced                  // turned away unseen
+	Succeeded Outcome = iota // its answer is in
+	Failed                  // the searcher returned an error
+	Rejected                  // turned away unseen
 	TimedOut                 // no answer in time
-	Unreached                // no connection was made
-	Reset                    // the connection broke
+	Unreachable                // no connection was made
+	ConnectionReset                    // the connection broke
 	Cancelled                // withdrawn by the mixer
-	Moot                     // never sent
+	NeverSent                     // never sent
 )
 
 // NeverRan tells whether the outcome proves that the forward did no work.
-func (o Outcome) NeverRan() bool { return o == Bounced || o == Unreached || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Rejected || o == Unreachable || o == NeverSent }
 
 // Tariff is what the charter says of one sort of lookup. Times are nanoseconds.
 type Tariff struct {
@@ -44,7 +44,7 @@
 }
 
 // Charter is what a mixer is told at its start. Adopt says what of it may change while it serves.
-type Charter struct {
+type Config struct {
 	Tariffs []Tariff
 	Zone    string // where this mixer stands
 	Mixers  int    // how many there are
@@ -80,11 +80,11 @@
 }
 
 // users is by how many mixers a searcher's cold allowance is shared.
-func (c *Charter) users() float64 { return float64(cmp.Or(c.Users, c.Mixers)) }
+func (c *Config) users() float64 { return float64(cmp.Or(c.Users, c.Mixers)) }
 
 // usage is which part of what a searcher answers a mixer that uses it may hold to be one user's: 1 where all use it. Who uses it are
 // fewer than the most, so that its answers to each are more than so many could have.
-func (c *Charter) usage() float64 {
+func (c *Config) usage() float64 {
 	return float64(cmp.Or(c.UsersMean, 1)) / float64(cmp.Or(c.Users, 1))
 }
 
@@ -109,7 +109,7 @@
 
 // Word is what other mixers are believed to say of one process of a searcher, and what of cold allowances is lent.
 // Times are of this mixer's clock.
-type Word struct {
+type PeerReport struct {
 	Searcher   string
 	Started    int64   // of the process
 	At, Until  int64   // when the newest that stands behind it was seen, and when it is no longer believed
@@ -125,7 +125,7 @@
 }
 
 // Ask is a lookup as it is taken.
-type Ask struct {
+type LookupRequest struct {
 	ID       string
 	Tariff   int   // row of the charter
 	NotAfter int64 // when the client leaves
@@ -135,7 +135,7 @@
 }
 
 // Piece is one part as it is handed over.
-type Piece struct {
+type PartRequest struct {
 	ID     string
 	Slice  int
 	Weight float64
@@ -143,35 +143,35 @@
 }
 
 // Due is whoever a timer was set for.
-type Due interface{ Due(now int64) }
+type TimerHandler interface{ HandleTimer(now int64) }
 
 // Floor is how the mixer acts. Every call takes effect at the time of the call that led to it.
-type Floor interface {
+type Environment interface {
 	Forward(part, searcher string, within int64)
 	Cancel(part string, forward int)
 	Answer(lookup string, whole bool)
-	Bounce(lookup string, wait int64)
+	Reject(lookup string, wait int64)
 	Fail(lookup string)
 	CloseIdle(searcher string) // its connections that are not in use
-	Timer(after int64, whose Due)
+	SetTimer(after int64, whose TimerHandler)
 	Subscribe()
 	Note(text string)
 }
 
 // Decay is a sum whose terms lose half their size every half-life.
-type Decay struct {
+type DecayingSum struct {
 	sum float64
 	at  int64
 }
 
 // Add brings the sum up to date and adds x.
-func (d *Decay) Add(now int64, x float64, half int64) {
+func (d *DecayingSum) Add(now int64, x float64, half int64) {
 	d.sum = d.Read(now, half) + x
 	d.at = now
 }
 
 // Read gives the sum as of now.
-func (d *Decay) Read(now int64, half int64) float64 {
+func (d *DecayingSum) Read(now int64, half int64) float64 {
 	if d.sum == 0 || now == d.at {
 		return d.sum
 	}
@@ -182,7 +182,7 @@
 func left(age, half int64) float64 { return math.Exp2(-float64(age) / float64(half)) }
 
 // as gives the sum as of now, where what is left of a term as old as another sum is known.
-func (d *Decay) as(now, half int64, o *Decay, left float64) float64 {
+func (d *DecayingSum) as(now, half int64, o *DecayingSum, left float64) float64 {
 	if d.at != o.at {
 		return d.Read(now, half)
 	}
@@ -193,16 +193,16 @@
 }
 
 // Ratio is one decaying sum over another.
-type Ratio struct{ over, under Decay }
+type DecayingRatio struct{ over, under DecayingSum }
 
 // Add brings both sums up to date and adds to each.
-func (r *Ratio) Add(now int64, over, under float64, half int64) {
+func (r *DecayingRatio) Add(now int64, over, under float64, half int64) {
 	o, u := r.read(now, half)
-	r.over, r.under = Decay{o + over, now}, Decay{u + under, now}
+	r.over, r.under = DecayingSum{o + over, now}, DecayingSum{u + under, now}
 }
 
 // read gives both sums as of now. What is left of a term is reckoned once where both are of one time.
-func (r *Ratio) read(now, half int64) (over, under float64) {
+func (r *DecayingRatio) read(now, half int64) (over, under float64) {
 	if now == r.under.at {
 		return r.over.Read(now, half), r.under.sum
 	}
@@ -211,12 +211,12 @@
 }
 
 // Undo takes back what was added over at a time, as far as it still weighs in.
-func (r *Ratio) Undo(now, at int64, over float64, half int64) {
+func (r *DecayingRatio) Undo(now, at int64, over float64, half int64) {
 	r.over.Add(now, -over*left(now-at, half), half)
 }
 
 // Read gives the ratio as of now, leaning on a value with a weight.
-func (r *Ratio) Read(now int64, half int64, on, weight float64) float64 {
+func (r *DecayingRatio) Read(now int64, half int64, on, weight float64) float64 {
 	over, under := r.read(now, half)
 	over, under = over+on*weight, under+weight
 	if under == 0 {
@@ -226,21 +226,21 @@
 }
 
 // Fade gives what is left of 1 since the newest terms were added.
-func (r *Ratio) Fade(now int64, half int64) float64 {
+func (r *DecayingRatio) Fade(now int64, half int64) float64 {
 	return left(now-r.under.at, half)
 }
 
 // Spread is the mean and deviation of decaying terms.
-type Spread struct{ n, sum, squares Decay }
+type DecayingStats struct{ n, sum, squares DecayingSum }
 
 // Add brings the sums up to date and adds x.
-func (s *Spread) Add(now int64, x float64, half int64) {
+func (s *DecayingStats) Add(now int64, x float64, half int64) {
 	n, sum, squares := s.read(now, half)
-	s.n, s.sum, s.squares = Decay{n + 1, now}, Decay{sum + x, now}, Decay{squares + x*x, now}
+	s.n, s.sum, s.squares = DecayingSum{n + 1, now}, DecayingSum{sum + x, now}, DecayingSum{squares + x*x, now}
 }
 
 // read gives the sums as of now; all are of one time.
-func (s *Spread) read(now, half int64) (n, sum, squares float64) {
+func (s *DecayingStats) read(now, half int64) (n, sum, squares float64) {
 	if now == s.n.at {
 		return s.n.sum, s.sum.sum, s.squares.sum
 	}
@@ -249,7 +249,7 @@
 }
 
 // Read gives how many terms weigh in as of now, and their mean and deviation.
-func (s *Spread) Read(now int64, half int64) (n, mean, dev float64) {
+func (s *DecayingStats) Read(now int64, half int64) (n, mean, dev float64) {
 	n, sum, squares := s.read(now, half)
 	if n == 0 {
 		return 0, 0, 0
--- a/mixer/world_test.go
+++ b/mixer/world_test.go
@@ -14,7 +14,7 @@
 	rng             *rand.Rand
 	now, lag        int64 // lag passes before a second step's parts come
 	queue           []event
-	c               Charter
+	c               Config
 	m               *Mixer
 	told            map[string]Entry // the list as the mixer was last told
 	box             map[string]*box
@@ -76,7 +76,7 @@
 	w.now = until
 }
 
-func newWorld(t testing.TB, seed int64, c Charter) *world {
+func newWorld(t testing.TB, seed int64, c Config) *world {
 	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e15, c: c, told: map[string]Entry{},
 		box: map[string]*box{}, lookups: map[string]*seen{}, parts: map[string]*seenPart{}, cold: map[Entry][]int64{}, lag: 5 * ms}
 	w.m = New(w.now, c, seed, w)
@@ -93,7 +93,7 @@
 			w.box[e.Searcher] = &box{}
 		}
 	}
-	w.m.Listed(w.now, rows, full)
+	w.m.UpdateList(w.now, rows, full)
 }
 
 // take hands over a lookup with parts of equal weight on slices in a row.
@@ -108,7 +108,7 @@
 	l := &seen{t: w.c.Tariffs[tariff], notAfter: w.now + patience}
 	w.lookups[id] = l
 	w.taken = append(w.taken, w.now)
-	l.h = w.m.Take(w.now, Ask{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts, Again: again, Customer: who})
+	l.h = w.m.StartLookup(w.now, LookupRequest{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts, Again: again, Customer: who})
 	w.hand(l, id, parts, slice)
 	return l
 }
@@ -117,7 +117,7 @@
 	step := len(l.steps)
 	l.steps = append(l.steps, nil)
 	for i := range parts {
-		p := Piece{ID: fmt.Sprint(id, "s", step, "p", i), Slice: (slice + i) % w.c.Cells, Weight: 1 / float64(parts)}
+		p := PartRequest{ID: fmt.Sprint(id, "s", step, "p", i), Slice: (slice + i) % w.c.Cells, Weight: 1 / float64(parts)}
 		w.parts[p.ID] = &seenPart{l: l, index: step*len(l.steps[0]) + i, slice: p.Slice, weight: p.Weight}
 		l.steps[step] = append(l.steps[step], p.ID)
 		w.taken = append(w.taken, w.now)
@@ -143,7 +143,7 @@
 		if !p.done[i] && !w.c.MayCopy {
 			w.t.Fatalf("copy of %s, none are allowed", part)
 		}
-		late := p.l.t.Effect == OnceOnly || p.l.t.Effect == Tagged && w.now > p.sent[i]+p.l.t.RepeatFor
+		late := p.l.t.Effect == AtMostOnce || p.l.t.Effect == Deduplicated && w.now > p.sent[i]+p.l.t.RepeatFor
 		if late && (!p.done[i] || p.ran[i]) {
 			w.t.Fatalf("part %s of effect %d sent again", part, p.l.t.Effect)
 		}
@@ -164,8 +164,8 @@
 			return // withdrawn
 		}
 		p.done[i], p.ran[i] = true, !o.NeverRan()
-		p.in = p.in || o == Satisfied && !p.l.ended
-		p.l.h.Outcome(w.now, p.index, i, o, took, p.in || p.l.ended)
+		p.in = p.in || o == Succeeded && !p.l.ended
+		p.l.h.HandleOutcome(w.now, p.index, i, o, took, p.in || p.l.ended)
 	})
 }
 
@@ -174,12 +174,12 @@
 	case 1:
 		return TimedOut, within
 	case 2:
-		return []Outcome{Errored, Bounced, Reset}[w.rng.Intn(3)], 2 * ms
+		return []Outcome{Failed, Rejected, ConnectionReset}[w.rng.Intn(3)], 2 * ms
 	case 3:
-		return Unreached, min(within, 250*ms)
+		return Unreachable, min(within, 250*ms)
 	case 5:
 		if w.rng.Intn(2) == 0 {
-			return Errored, 2 * ms
+			return Failed, 2 * ms
 		}
 	}
 	used := b.used
@@ -189,7 +189,7 @@
 	slices.Sort(b.free[:])
 	b.free[0] = max(b.free[0], w.now) + 50*ms + w.rng.Int63n(100*ms)
 	if took := b.free[0] - w.now + b.far; took <= within {
-		return Satisfied, took
+		return Succeeded, took
 	}
 	return TimedOut, within
 }
@@ -255,12 +255,12 @@
 	}
 }
 
-func (w *world) Bounce(id string, wait int64) {
+func (w *world) Reject(id string, wait int64) {
 	l := w.end(id, "bounce")
 	for _, part := range slices.Concat(l.steps...) {
 		p := w.parts[part]
 		for i := range p.sent {
-			if l.t.Effect == OnceOnly && (!p.done[i] || p.ran[i]) {
+			if l.t.Effect == AtMostOnce && (!p.done[i] || p.ran[i]) {
 				w.t.Fatalf("bounce of once-only lookup %s, part %s may have run", id, part)
 			}
 		}
@@ -279,7 +279,7 @@
 	}
 	p.done[forward] = true // it may have run
 	took := w.now - p.sent[forward]
-	w.after(0, func() { p.l.h.Outcome(w.now, p.index, forward, Cancelled, took, p.in || p.l.ended) })
+	w.after(0, func() { p.l.h.HandleOutcome(w.now, p.index, forward, Cancelled, took, p.in || p.l.ended) })
 }
 
 func (w *world) CloseIdle(searcher string) {
@@ -287,24 +287,24 @@
 	w.closed++
 }
 
-func (w *world) Timer(after int64, whose Due) {
+func (w *world) SetTimer(after int64, whose TimerHandler) {
 	if after <= 0 {
 		w.t.Fatalf("timer after %d ns", after)
 	}
-	w.after(after, func() { whose.Due(w.now) })
+	w.after(after, func() { whose.HandleTimer(w.now) })
 }
 
 func (w *world) Subscribe() {
 	if w.refusing {
-		w.after(20*ms, func() { w.m.ListRefused(w.now) })
+		w.after(20*ms, func() { w.m.ListFailed(w.now) })
 	}
 }
 
 func (w *world) Note(string) {}
 
 // plain gives settings without surprises: two cells, three searchers each, one tariff.
-func plain(change func(*Charter)) Charter {
-	c := Charter{Mixers: 1, Cells: 2, Reach: 1, PerCall: 1, MaxForwards: 3, MayCopy: true, ColdFrom: 0.2,
+func plain(change func(*Config)) Config {
+	c := Config{Mixers: 1, Cells: 2, Reach: 1, PerCall: 1, MaxForwards: 3, MayCopy: true, ColdFrom: 0.2,
 		ColdFor: 10000 * ms, FallMultiple: 2, FallFor: 1000 * ms, Tariffs: []Tariff{{Expected: 2000 * ms,
 			Patience: 4000 * ms, CompleteFrom: 1, LeastShare: 1}}}
 	if change != nil {
@@ -328,7 +328,7 @@
 }
 
 // start gives a world of n sound boxes with plain settings.
-func start(t testing.TB, seed int64, n int, change func(*Charter)) *world {
+func start(t testing.TB, seed int64, n int, change func(*Config)) *world {
 	w := newWorld(t, seed, plain(change))
 	w.list(true, boxes(n, w.c.Cells)...)
 	return w
@@ -344,7 +344,7 @@
 
 // warmed gives a world of one cell whose mixer knows what forwards to its boxes take.
 func warmed(t *testing.T, seed int64, n int) *world {
-	w := start(t, seed, n, func(c *Charter) { c.Cells = 1 })
+	w := start(t, seed, n, func(c *Config) { c.Cells = 1 })
 	w.warmUp(10)
 	return w
 }
