--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -205,7 +205,7 @@
 
 // TenantRows returns the row of each tenant by name, counted from 1. The charter c must come from the same
 // settings; its number of allowances is the number of rows.
-func (t Settings) TenantRows(c mixer.Charter) map[string]int {
+func (t Settings) TenantRows(c mixer.Config) map[string]int {
 	rows := map[string]int{}
 	for i := range c.Allowances {
 		rows[t["Tenants."+strconv.Itoa(i)+".Name"]] = i + 1
@@ -215,9 +215,9 @@
 
 // MixerConfig returns the configuration of the mixer and the row of each request profile by name. Its error
 // is a *SettingError.
-func (t Settings) MixerConfig() (mixer.Charter, map[string]int, error) {
+func (t Settings) MixerConfig() (mixer.Config, map[string]int, error) {
 	s := &settingReader{settings: t}
-	c := mixer.Charter{
+	c := mixer.Config{
 		Zone:         s.settings["Locality"],
 		Mixers:       s.integer("NInstances", true, 1),
 		Cells:        s.integer("FamilyInfo.Sets", true, 1),
@@ -269,11 +269,11 @@
 		p.Partial = s.listItem("FamilyInfo.ClassPartial", i, 0, 0, 1)
 		switch e := s.settings[row+"Effect"]; e {
 		case "retryable":
-			p.Effect = mixer.Repeatable
+			p.Effect = mixer.Idempotent
 		case "dedup":
-			p.Effect = mixer.Tagged
+			p.Effect = mixer.Deduplicated
 		case "fragile":
-			p.Effect = mixer.OnceOnly
+			p.Effect = mixer.AtMostOnce
 		default:
 			s.reject(row+"Effect", e)
 		}
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	formatVersion    = 1
-	maxAge  = time.Minute // what was learnt has faded to a tenth by then
-	maxFileBytes = 4 << 20     // bytes
-	maxFigure    = 1e15        // ns or calls; sums beyond it are no sound mixer's
+	formatVersion = 1
+	maxAge        = time.Minute // what was learnt has faded to a tenth by then
+	maxFileBytes  = 4 << 20     // bytes
+	maxFigure     = 1e15        // ns or calls; sums beyond it are no sound mixer's
 )
 
 // Shape is what a record must agree in with who reads it, or its figures mean something else.
@@ -30,7 +30,7 @@
 }
 
 // ShapeOf gives the shape of a charter's deployment.
-func LayoutOf(c mixer.Charter) Layout { return Layout{c.Cells, c.Reach, c.PerCall, c.Sized} }
+func LayoutOf(c mixer.Config) Layout { return Layout{c.Cells, c.Reach, c.PerCall, c.Sized} }
 
 // envelope is the file: the record as written, and its digest.
 type envelope struct {
@@ -42,11 +42,11 @@
 	Form  int
 	At    time.Time
 	Shape Layout
-	Kept  mixer.Kept
+	Kept  mixer.Snapshot
 }
 
 // Write puts a record in the place of the file, whole or not at all.
-func Write(path string, at time.Time, s Layout, k mixer.Kept) error {
+func Write(path string, at time.Time, s Layout, k mixer.Snapshot) error {
 	raw, err := json.Marshal(record{formatVersion, at, s, k})
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 }
 
 // Read gives a record with the time at which it held, or says why it is refused.
-func Read(path string, now time.Time, s Layout) (at time.Time, k mixer.Kept, err error) {
+func Read(path string, now time.Time, s Layout) (at time.Time, k mixer.Snapshot, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return at, k, fmt.Errorf("unreadable: %w", err)
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -15,13 +15,13 @@
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    int64
-	Charter                 mixer.Charter
+	Charter                 mixer.Config
 	Rows, Customers         map[string]int // tariffs; customers, from 1 on
 	Limits                  charter.Limits
 	Known                   List
 
 	terms map[string]string // everything but discovery and known, as written
-	start charter.Settings     // the settings as written, which a version is laid over
+	start charter.Settings  // the settings as written, which a version is laid over
 }
 
 type config struct {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -193,7 +193,7 @@
 		return f.err
 	}
 	terms, err := charter.ParsePairs(f.left)
-	var ch mixer.Charter
+	var ch mixer.Config
 	var names map[string]int
 	if err == nil {
 		ch, names, err = terms.MixerConfig()
@@ -203,7 +203,7 @@
 	}
 	i := &instance{
 		host: h, name: name, tariffs: names, customers: terms.TenantRows(ch),
-		lookups: map[string]*held{}, parts: map[string]*heldPart{}, byNumber: map[int64]*held{}, timers: map[int64]mixer.Due{},
+		lookups: map[string]*held{}, parts: map[string]*heldPart{}, byNumber: map[int64]*held{}, timers: map[int64]mixer.TimerHandler{},
 	}
 	for _, t := range ch.Tariffs {
 		i.secondStep = append(i.secondStep, t.SecondStep > 0)
@@ -273,7 +273,9 @@
 }
 
 // time reads milliseconds as whole nanoseconds.
-func (f *fields) time(field string) int64 { return charter.MillisToNanos(f.number(field, f.text(field))) }
+func (f *fields) time(field string) int64 {
+	return charter.MillisToNanos(f.number(field, f.text(field)))
+}
 
 // timeOr is time for a value that may be absent.
 func (f *fields) timeOr(field string, absent int64) int64 {
