--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -40,7 +40,7 @@
 	}
 	deltas := memberDeltas{}
 	for _, set := range c.shown {
-		if delta := set.Delta(next); len(delta.Added)+len(delta.Removed) < len(next.Agents) {
+		if delta := set.DeltaTo(next); len(delta.Added)+len(delta.Removed) < len(next.Agents) {
 			deltas[set.Digest] = delta
 		}
 	}
@@ -57,7 +57,7 @@
 		table.Agents = append(table.Agents, s.agent)
 	}
 	slices.SortFunc(table.Agents, compareIDs)
-	encoded, err := rpc.NewOneWay(distribute.KindAgents, table)
+	encoded, err := rpc.EncodeOneWay(distribute.KindAgents, table)
 	if err != nil {
 		c.log.Error().Err(err).Str("step", "table").Msg("the table of agents cannot be encoded")
 		return
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -32,7 +32,7 @@
 // firstByteDeadline returns the time after which no response may begin on a version of the weights, 0 if there
 // is no limit.
 func (t *Table) firstByteDeadline(model string, version int64) time.Duration {
-	since, superseded := t.versionTimes[model].Of(version)
+	since, superseded := t.versionTimes[model].Since(version)
 	if !superseded {
 		return 0
 	}
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -146,6 +146,6 @@
 // versionExpired reports whether a version of the weights was superseded so long ago that the response to a new
 // request might begin after the version's limit.
 func (t *Table) versionExpired(now time.Duration, model string, version int64) bool {
-	since, superseded := t.versionTimes[model].Of(version)
+	since, superseded := t.versionTimes[model].Since(version)
 	return superseded && now-since > time.Duration(versionSendShare*float64(t.settings.VersionLimit))
 }
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -97,9 +97,9 @@
 	settings       Settings
 	config         *config.Table
 	evacuatedZones map[string]uint64
-	versionTimes   map[string]superseded.Times // by model: when versions of the weights were superseded
-	backends       map[string]*Backend         // by ID
-	backendOrder   []string                    // IDs in the order of the platform's list
+	versionTimes   map[string]superseded.History // by model: when versions of the weights were superseded
+	backends       map[string]*Backend           // by ID
+	backendOrder   []string                      // IDs in the order of the platform's list
 	byService      map[string][]*Backend
 	byAddr         map[string]*Backend
 	stores         map[string]*Backend // KV stores by address; they serve no requests
@@ -136,7 +136,7 @@
 		index:        newIndex(),
 		retryBudgets: map[string]*retryBudget{},
 		estimates:    map[string]*engineEstimates{},
-		versionTimes: map[string]superseded.Times{},
+		versionTimes: map[string]superseded.History{},
 		random:       random,
 		started:      now,
 	}
@@ -172,8 +172,8 @@
 // SetState sets the operator's evacuations and the ordered versions of the models. versions holds, by model, the
 // earliest times at which versions may have been ordered, by this table's clock. A zone that is no longer
 // evacuated is assumed to be cold.
-func (t *Table) SetState(now time.Duration, evacuated, restored map[string]uint64, models map[string]replicated.Model,
-	versions map[string]superseded.Times) {
+func (t *Table) SetState(now time.Duration, evacuated, restored map[string]uint64, models map[string]replicated.ModelVersion,
+	versions map[string]superseded.History) {
 	for zone := range t.evacuatedZones {
 		if _, ok := evacuated[zone]; !ok {
 			t.markZoneCold(now, zone)
@@ -181,7 +181,7 @@
 	}
 	t.evacuatedZones = evacuated
 	for name, m := range models {
-		t.versionTimes[name] = t.versionTimes[name].Merge(versions[name].With(m.Version, superseded.Always))
+		t.versionTimes[name] = t.versionTimes[name].Merge(versions[name].With(m.Version, superseded.DistantPast))
 	}
 }
 
--- a/internal/lab/capacity/conns.go
+++ b/internal/lab/capacity/conns.go
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	lim := limits()
-	lim.Sockets = 2*4 + 32
+	lim.FileDescriptors = 2*4 + 32
 	searchers := transport.NewSearchers(lim, slog.New(slog.DiscardHandler))
 	defer searchers.Close()
 	searchers.Listed(list)
@@ -186,7 +186,7 @@
 			return nil, fmt.Errorf("connection %d did not come", k)
 		}
 		time.Sleep(5 * time.Millisecond) // its other end is up too
-		f.Report(mixer.Satisfied, nil)
+		f.Report(mixer.Succeeded, nil)
 	}
 	return []float64{float64(searchers.Connections().Steps-steps) / (times - there), least.Seconds()}, nil
 }
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -34,8 +34,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(far.Stop)
-	s := NewSearchersWithin(b, charter.Limits{KeepAlive: time.Hour, Connect: 5 * time.Second, Rest: time.Second,
-		Write: 5 * time.Second, Streams: 9, Sockets: 2*room + 32, Frame: 999}, quiet)
+	s := NewSearchersWithin(b, charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: 5 * time.Second, FrameReadTimeout: time.Second,
+		WriteTimeout: 5 * time.Second, MaxStreamsPerConn: 9, FileDescriptors: 2*room + 32, MaxFrameBytes: 999}, quiet)
 	t.Cleanup(s.Close)
 	var list protocol.List
 	for i := range searchers {
@@ -50,7 +50,7 @@
 // send has a part go to a searcher, by a module of its own, which holds nothing back; it gives where its outcome is counted.
 func (c *crowd) send(to string, fresh bool) (*Parcel, int) {
 	c.t.Helper()
-	c.r = routerOf(c.t, mixer.OnceOnly, 1, "any")
+	c.r = routerOf(c.t, mixer.AtMostOnce, 1, "any")
 	c.r.Eyes = c.counts
 	c.sent++
 	p, _ := parcel(c.t, c.r, fmt.Sprint("q", c.sent))
@@ -135,7 +135,7 @@
 			c.s.mu.Unlock()
 			p, spot := c.send(name, false)
 			if p.conn == nil {
-				if victim != nil || c.outcome(spot) != mixer.Unreached {
+				if victim != nil || c.outcome(spot) != mixer.Unreachable {
 					t.Fatalf("refused with %v, idle longest %+v", c.outcome(spot), victim)
 				}
 				refused++
@@ -166,8 +166,8 @@
 		c := gather(t, b, 6, 100)
 		c.s.Close()
 		c.far.Stop()
-		s := NewSearchersWithin(b, charter.Limits{KeepAlive: time.Second, Connect: time.Second, Rest: time.Second, Write: time.Second,
-			Streams: 9, Sockets: 99, Frame: 999}, quiet)
+		s := NewSearchersWithin(b, charter.Limits{KeepAliveTimeout: time.Second, ConnectTimeout: time.Second, FrameReadTimeout: time.Second, WriteTimeout: time.Second,
+			MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, quiet)
 		t.Cleanup(s.Close)
 		held := make(chan toy.Part, 9)
 		far.Handle = func(p toy.Part) { held <- p }
@@ -206,7 +206,7 @@
 // TestNeverWritten has a part come to its outcome before it is sent: the connection that was opened for it is idle, and no part out.
 func TestNeverWritten(t *testing.T) {
 	c := gather(t, conns.Budget{}, 1, 9)
-	c.r = routerOf(t, mixer.OnceOnly, 1, "any")
+	c.r = routerOf(t, mixer.AtMostOnce, 1, "any")
 	p, _ := parcel(t, c.r, "q")
 	p.Forward.Report(mixer.TimedOut, nil)
 	c.s.Send(c.names[0], false, []*Parcel{p})
@@ -219,9 +219,9 @@
 // TestIdleWhileItIsWritten has a part given up while its frame is on its way: the connection is idle at once, and then used last, when the
 // frame is out.
 func TestIdleWhileItIsWritten(t *testing.T) {
-	s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+	s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 	defer s.Close()
-	p, _ := parcel(t, router(t, mixer.OnceOnly, "s"), "a")
+	p, _ := parcel(t, router(t, mixer.AtMostOnce, "s"), "a")
 	near, _ := net.Pipe()
 	enter := func(out map[string]*Parcel) *conn {
 		l := &conn{to: &searcher{}, nc: near, used: time.Now(), cancel: func() {}, out: out}
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -25,9 +25,9 @@
 func TestFrameOfWhichNothingHasLeft(t *testing.T) {
 	for how, give := range ways {
 		t.Run(how, func(t *testing.T) {
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 9}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 9}, quiet)
 			defer s.Close()
-			w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
+			w := &played{t, router(t, mixer.AtMostOnce, "s", "other"), s, nil}
 			near, far := net.Pipe()
 			p, ticket := parcel(t, w.r, "a")
 			behind, _ := parcel(t, w.r, "behind")
@@ -78,11 +78,11 @@
 					t.Fatal(err)
 				}
 				defer l.Close()
-				s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Connect: time.Second, Rest: time.Second,
-					Write: time.Minute, Streams: 9, Sockets: 99, Frame: 999}, quiet)
+				s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: time.Second, FrameReadTimeout: time.Second,
+					WriteTimeout: time.Minute, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, quiet)
 				defer s.Close()
 				s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: l.Addr().String()}}})
-				w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
+				w := &played{t, router(t, mixer.AtMostOnce, "s", "other"), s, nil}
 				first, _ := w.send("first", false)
 				far, err := l.Accept()
 				if err != nil {
@@ -159,9 +159,9 @@
 				t.Fatal(err)
 			}
 			defer far.Close()
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 			defer s.Close()
-			ticket := take(t, router(t, mixer.OnceOnly, "s", "other"), "a")
+			ticket := take(t, router(t, mixer.AtMostOnce, "s", "other"), "a")
 			call := pick(t, ticket).Calls[0]
 			p := &Parcel{Forward: call.Forwards[0], Part: protocol.Part{ID: "a.0"}}
 			l := &conn{to: &searcher{}, nc: near, began: time.Now().Add(-time.Minute), used: time.Now(), cancel: func() {},
