--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -24,10 +24,15 @@
 	RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, RetryBudgetWindow: 10 * time.Second, DiscoveryLag: 800 * time.Millisecond,
 }
 
+// backendInfo returns the entry of backend n, which serves model m in zone a with a version of its weights.
 func backendInfo(n int, version int64) BackendInfo {
-	return BackendInfo{ID: fmt.Sprint("b", n), Service: "llm", Addr: fmt.Sprintf("10.0.0.%d:80", n), Zone: "a", Slots: 64, Versions: map[string]int64{"m": version}}
+	return BackendInfo{
+		ID: fmt.Sprint("b", n), Service: "llm", Addr: fmt.Sprintf("10.0.0.%d:80", n), Zone: "a", Slots: 64,
+		Versions: map[string]int64{"m": version},
+	}
 }
 
+// newTable returns the table of a mixer in zone a, one of two mixers, with a list of backends.
 func newTable(t testing.TB, list ...BackendInfo) *Table {
 	t.Helper()
 	doc, err := config.Parse([]byte(testConfig))
@@ -41,11 +46,12 @@
 
 var testParts = []kvindex.Part{{ID: "sys", Tokens: 1000}, {ID: "manual", Tokens: 12000}, {ID: "own", Tokens: 3000}}
 
+// promptRequest returns a request whose prompt consists of testParts.
 func promptRequest() *Request {
 	return &Request{Service: "llm", Model: "m", Parts: testParts, PromptTokens: 16000, BodyBytes: 1000}
 }
 
-// keeps has a backend keep the first n parts under a salt.
+// setCachedParts replaces the cached parts of a backend by the first n of testParts under a salt.
 func setCachedParts(table *Table, id, salt string, n int) {
 	b := &kvindex.Batch{Backend: id, Snapshot: true}
 	for i, key := range kvindex.Keys(salt, "m", testParts)[:n] {
@@ -73,8 +79,9 @@
 	require.Equal(t, "10.0.0.2:80", c.FetchAddr)
 }
 
-// TestPickWaterFillsHolders holds the pick to the rule: the least own count, raised with each pick, lowered when an answer begins or the
-// attempt ends, whatever way.
+// TestPickWaterFillsHolders checks that holders are picked by the fewest pending fetches. The count is
+// incremented by each pick and decremented at the first byte or at the end of the request, whatever its
+// outcome.
 func TestPickWaterFillsHolders(t *testing.T) {
 	table := newTable(t, backendInfo(1, 1), backendInfo(2, 1), backendInfo(3, 1), backendInfo(4, 1))
 	holders := map[string]bool{"b2": true, "b3": true, "b4": true}
@@ -96,7 +103,7 @@
 			table.RecordFirstByte(0, c, "llm")
 		}
 		table.End(0, c, []Outcome{Completed, Refused, Failed, Cancelled, WrongInstance}[i%5])
-		table.End(0, c, Completed) // a second end counts for nothing
+		table.End(0, c, Completed) // a second call has no effect
 	}
 	for id := range holders {
 		require.Zero(t, table.Backend(id).pendingFetches, id)
@@ -106,7 +113,7 @@
 }
 
 func TestPickSkipsUnusableHolders(t *testing.T) {
-	for name, spoil := range map[string]func(table *Table){
+	for name, makeUnusable := range map[string]func(table *Table){
 		"evacuated": func(table *Table) { table.SetState(0, map[string]uint64{"z": 1}, nil, nil, nil) },
 		"draining": func(table *Table) {
 			l := backendInfo(2, 1)
@@ -116,9 +123,9 @@
 		"loading": func(table *Table) {
 			table.SetBackends(0, []BackendInfo{backendInfo(1, 1), inZoneZ(backendInfo(2, 1))}, map[string]string{"b2": PhaseLoading})
 		},
-		"gone":               func(table *Table) { table.SetBackends(0, []BackendInfo{backendInfo(1, 1)}, nil) },
-		"of another version": func(table *Table) { table.Index().Remove("b2"); setCachedParts(table, "b2", "v0", 2) },
-		"of a walled tenant": func(table *Table) { table.Index().Remove("b2"); setCachedParts(table, "b2", "v1/t9", 2) },
+		"removed":               func(table *Table) { table.SetBackends(0, []BackendInfo{backendInfo(1, 1)}, nil) },
+		"of another version":    func(table *Table) { table.Index().Remove("b2"); setCachedParts(table, "b2", "v0", 2) },
+		"of an isolated tenant": func(table *Table) { table.Index().Remove("b2"); setCachedParts(table, "b2", "v1/t9", 2) },
 		"failing": func(table *Table) {
 			c := table.Pick(0, &Request{Service: "llm", Model: "m", Parts: testParts, TriedBackends: []string{"b1"}})
 			table.End(0, c, Failed)
@@ -128,8 +135,8 @@
 			table := newTable(t, backendInfo(1, 1), inZoneZ(backendInfo(2, 1)))
 			setCachedParts(table, "b2", "v1", 2)
 			table.SetOtherLoads(map[string]Load{"b2": {QueuedPrefillMS: 60000}})
-			require.Equal(t, "10.0.0.2:80", table.Pick(0, promptRequest()).FetchAddr, "fit before")
-			spoil(table)
+			require.Equal(t, "10.0.0.2:80", table.Pick(0, promptRequest()).FetchAddr, "the holder is usable before")
+			makeUnusable(table)
 			c := table.Pick(100*time.Millisecond, promptRequest())
 			require.Equal(t, "b1", c.ID)
 			require.Empty(t, c.FetchAddr)
@@ -149,22 +156,24 @@
 	require.Equal(t, "v1/tenant", table.Pick(0, r).Salt)
 }
 
-// TestPickStopsSupersededVersionBeforeLimit goes through the time of a version.
+// TestPickStopsSupersededVersionBeforeLimit guards against responses that begin on a superseded version after
+// its limit: requests are not sent near the limit, and those without a first byte are withdrawn before it.
 func TestPickStopsSupersededVersionBeforeLimit(t *testing.T) {
 	table := newTable(t, backendInfo(1, 1), backendInfo(2, 2))
 	table.SetState(time.Second, nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, map[string]superseded.History{"m": superseded.History{}.With(2, time.Second)})
-	only := &Request{Service: "llm", Model: "m", TriedBackends: []string{"b2"}}
-	c := table.Pick(2*time.Second, only)
+	onlyOld := &Request{Service: "llm", Model: "m", TriedBackends: []string{"b2"}}
+	c := table.Pick(2*time.Second, onlyOld)
 	require.NotNil(t, c)
 	require.Greater(t, table.FirstByteDeadline(c), 10*time.Second)
-	require.Less(t, table.FirstByteDeadline(c), 11*time.Second, "what has not begun is taken back before the limit")
-	require.Nil(t, table.Pick(10*time.Second, only))
-	fresh := newTable(t, backendInfo(1, 1), backendInfo(2, 2))
-	fresh.SetState(0, nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, nil)
-	require.Nil(t, fresh.Pick(0, only), "who cannot tell its age takes it for overdue")
+	require.Less(t, table.FirstByteDeadline(c), 11*time.Second, "a request without a first byte is withdrawn before the limit")
+	require.Nil(t, table.Pick(10*time.Second, onlyOld))
+	restarted := newTable(t, backendInfo(1, 1), backendInfo(2, 2))
+	restarted.SetState(0, nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, nil)
+	require.Nil(t, restarted.Pick(0, onlyOld), "a version is expired if the time of its successor is not known")
 }
 
-// TestColdBackendRateAcrossMixers counts, over any second, what all mixers send to a cold backend, also through new lives of processes.
+// TestColdBackendRateAcrossMixers checks the limit on the requests that all mixers together send to a cold
+// backend within any second. Each mixer process is killed and restarted once.
 func TestColdBackendRateAcrossMixers(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 72, 400} {
 		var members []string
@@ -173,15 +182,15 @@
 		}
 		var sent []time.Duration
 		for _, self := range members {
-			for life := range 2 { // each is killed and starts again
+			for run := range 2 {
 				table := newTable(t, backendInfo(1, 1))
-				table.started = time.Duration(life) * 1500 * time.Millisecond
+				table.started = time.Duration(run) * 1500 * time.Millisecond
 				table.SetMembers(Members{Self: self, All: members})
 				cold := backendInfo(1, 1)
 				cold.ColdMS = 60000
 				table.SetBackends(table.started, []BackendInfo{cold}, nil)
 				for now := table.started; now < table.started+6*time.Second; now += 20 * time.Millisecond {
-					if life == 0 && now >= 1500*time.Millisecond {
+					if run == 0 && now >= 1500*time.Millisecond { // killed
 						break
 					}
 					if c := table.Pick(now, &Request{Service: "llm", Model: "m"}); c != nil {
@@ -193,27 +202,28 @@
 		}
 		most := 0
 		for _, from := range sent {
-			k := 0
+			inSecond := 0
 			for _, at := range sent {
 				if at >= from && at < from+time.Second {
-					k++
+					inSecond++
 				}
 			}
-			most = max(most, k)
+			most = max(most, inSecond)
 		}
-		require.LessOrEqual(t, float64(most), 6*1.5+5, "%d mixers", n)
-		require.NotEmpty(t, sent, "%d mixers", n)
+		require.LessOrEqual(t, float64(most), 6*1.5+5, "requests within one second from %d mixers", n)
+		require.NotEmpty(t, sent, "requests from %d mixers", n)
 	}
 }
 
-// TestRetryBudgetAcrossMixers spends all that every mixer may, killed and new ones too, within one window.
+// TestRetryBudgetAcrossMixers takes all retries that any mixer may within one window, with each mixer killed and
+// restarted once.
 func TestRetryBudgetAcrossMixers(t *testing.T) {
 	for _, n := range []int{1, 9, 72} {
 		var members []string
 		for i := range n {
 			members = append(members, fmt.Sprint("mixer", i))
 		}
-		requests, repeats := 0, 0
+		requests, retries := 0, 0
 		for _, self := range members {
 			for range 2 {
 				table := newTable(t)
@@ -223,12 +233,12 @@
 					requests++
 				}
 				for table.TakeRetry(3*time.Second, "llm") {
-					repeats++
+					retries++
 				}
 			}
 		}
-		require.LessOrEqual(t, float64(repeats), 0.2*float64(requests)+60, "%d mixers", n)
-		require.Positive(t, repeats)
+		require.LessOrEqual(t, float64(retries), 0.2*float64(requests)+60, "retries of %d mixers", n)
+		require.Positive(t, retries)
 	}
 }
 
@@ -247,7 +257,7 @@
 	require.Nil(t, table.Pick(2*time.Second, promptRequest()))
 	table.SetState(4*time.Second, nil, map[string]uint64{"a": 4}, nil, nil)
 	require.NotNil(t, table.Pick(4*time.Second, promptRequest()))
-	require.Nil(t, table.Pick(4*time.Second+100*time.Millisecond, promptRequest()), "one a second while it is cold")
+	require.Nil(t, table.Pick(4*time.Second+100*time.Millisecond, promptRequest()), "a cold backend gets one request per second")
 	require.NotNil(t, table.Pick(9*time.Second, promptRequest()))
 	require.NotNil(t, table.Pick(9*time.Second+100*time.Millisecond, promptRequest()))
 }
@@ -259,23 +269,23 @@
 	c := table.Pick(100*time.Millisecond, &Request{Service: "llm", Model: "m"})
 	require.Equal(t, "b2", c.ID)
 	table.SetOtherLoads(map[string]Load{"b2": {QueuedPrefillMS: 60000}})
-	trial := table.Pick(time.Second, &Request{Service: "llm", Model: "m"})
-	require.Equal(t, "b1", trial.ID, "one tries it")
-	require.Equal(t, "b2", table.Pick(time.Second, &Request{Service: "llm", Model: "m"}).ID, "no second one beside")
-	table.RecordFirstByte(1100*time.Millisecond, trial, "llm")
+	probe := table.Pick(time.Second, &Request{Service: "llm", Model: "m"})
+	require.Equal(t, "b1", probe.ID, "one request probes the backend after its backoff")
+	require.Equal(t, "b2", table.Pick(time.Second, &Request{Service: "llm", Model: "m"}).ID, "no second request during the probe")
+	table.RecordFirstByte(1100*time.Millisecond, probe, "llm")
 	require.Equal(t, "b1", table.Pick(1200*time.Millisecond, &Request{Service: "llm", Model: "m"}).ID)
 }
 
 func TestPickRefusesRequestThatWouldMissTarget(t *testing.T) {
 	table := newTable(t, backendInfo(1, 1))
 	r := &Request{Service: "llm", Model: "m", PromptTokens: 1000, TargetMS: 1000, RemainingMS: 10000}
-	require.Zero(t, table.Pick(0, r).RetryAfterMS, "nothing waits")
+	require.Zero(t, table.Pick(0, r).RetryAfterMS, "the backend has no queue")
 	table.SetOtherLoads(map[string]Load{"b1": {QueuedPrefillMS: 4000}})
-	later := table.Pick(0, r).RetryAfterMS
-	require.Positive(t, later)
-	require.LessOrEqual(t, later, 1500.0)
+	retryAfterMS := table.Pick(0, r).RetryAfterMS
+	require.Positive(t, retryAfterMS)
+	require.LessOrEqual(t, retryAfterMS, 1500.0)
 	r.Retried = true
-	require.Zero(t, table.Pick(0, r).RetryAfterMS, "who comes again is taken while its time suffices")
+	require.Zero(t, table.Pick(0, r).RetryAfterMS, "a retried request is admitted while its remaining time suffices")
 	r.RemainingMS = 3000
 	require.Positive(t, table.Pick(0, r).RetryAfterMS)
 }
--- a/internal/dispatch/shares_test.go
+++ b/internal/dispatch/shares_test.go
@@ -8,9 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-const largeMembers, largeBackends = 295, 326
+const (
+	largeMembers  = 295
+	largeBackends = 326
+)
 
-// largeTable is a mixer's among many, and a list of many backends.
+// largeTable returns a table with many members and many backends.
 func largeTable(t testing.TB) (table *Table, members Members, list []BackendInfo) {
 	t.Helper()
 	table = newTable(t)
@@ -26,36 +29,37 @@
 	return table, members, list
 }
 
-// TestUpdatesDoNotRankMembers: each list, and each change of the members, had every mixer rank all members for each backend.
+// TestUpdatesDoNotRankMembers guards against ranking all members for each backend at every update of the list or of
+// the members.
 func TestUpdatesDoNotRankMembers(t *testing.T) {
 	table, members, list := largeTable(t)
 	allocations := testing.AllocsPerRun(5, func() {
 		table.SetBackends(0, list, nil)
 		table.SetMembers(members)
 	})
-	require.Less(t, allocations, float64(largeBackends)/2, "a ranking makes two")
+	require.Less(t, allocations, float64(largeBackends)/2, "a ranking allocates twice")
 }
 
-// TestColdIntervalFollowsMembers: a cold backend's share is the newest members', though it was asked for before.
+// TestColdIntervalFollowsMembers checks that a cached cold interval is recomputed after the members change.
 func TestColdIntervalFollowsMembers(t *testing.T) {
 	table, members, list := largeTable(t)
-	share := func() (mine int) {
+	usable := func() (count int) {
 		for _, l := range list {
 			if table.coldInterval(table.Backend(l.ID)) > 0 {
-				mine++
+				count++
 			}
 		}
-		return mine
+		return count
 	}
-	few := share()
+	few := usable()
 	require.Less(t, few, largeBackends/4)
 	table.SetMembers(Members{Self: members.Self, All: members.All[:2]})
-	require.Equal(t, largeBackends, share())
+	require.Equal(t, largeBackends, usable())
 	table.SetMembers(members)
-	require.Equal(t, few, share())
+	require.Equal(t, few, usable())
 }
 
-// BenchmarkSetBackends is one list taken, as at each change.
+// BenchmarkSetBackends measures one replacement of the list.
 func BenchmarkSetBackends(b *testing.B) {
 	table, _, list := largeTable(b)
 	for b.Loop() {
@@ -63,14 +67,16 @@
 	}
 }
 
-// TestUpdateBackendsKeepsOthers: what is known of a backend outlives changes of others, and what is gone gets nothing.
+// TestUpdateBackendsKeepsOthers checks that the state of a backend survives updates of others, and that a rechanged
+// backend gets no requests.
 func TestUpdateBackendsKeepsOthers(t *testing.T) {
 	table := newTable(t, backendInfo(1, 1), backendInfo(2, 1), backendInfo(3, 1))
-	kept := table.Backend("b1")
-	moved := backendInfo(2, 1)
-	moved.Service, moved.Draining = "other", true
-	table.UpdateBackends(time.Second, []BackendInfo{moved, backendInfo(4, 1)}, map[string]string{"b4": PhaseLoading}, []string{"b3", "never"})
-	require.Same(t, kept, table.Backend("b1"))
+	unchanged := table.Backend("b1")
+	changed := backendInfo(2, 1)
+	changed.Service, changed.Draining = "other", true
+	table.UpdateBackends(time.Second, []BackendInfo{changed, backendInfo(4, 1)},
+		map[string]string{"b4": PhaseLoading}, []string{"b3", "unknown"})
+	require.Same(t, unchanged, table.Backend("b1"))
 	require.Nil(t, table.Backend("b3"))
 	require.Equal(t, 3, table.BackendCount())
 	for range 20 {
