--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -10,15 +10,15 @@
 
 // Book holds the rows of the list as they were last told. The zero Book holds none. One goroutine uses it at a time.
 type Tracker struct {
-	index      map[string]int32 // where a listed searcher's row is
-	rows    []row            // those that are Dead are free
-	free    []int32
+	index    map[string]int32 // where a listed searcher's row is
+	rows     []row            // those that are Dead are free
+	free     []int32
 	messages uint32 // counts messages
 }
 
 // row is one searcher's, as last told, Dead where it is not listed.
 type row struct {
-	entry    mixer.Entry
+	entry       mixer.Entry
 	lastMessage uint32 // that named it last
 	lastLine    int32  // its last line in that
 }
@@ -27,12 +27,12 @@
 type changeKind uint8
 
 const (
-	removed       changeKind = iota // no longer there
-	draining               // takes no more
-	started             // met for the first time, or started anew
-	modified                  // serves again, or has another zone, size or cell
-	unchanged                   // as told before
-	changeKinds      int  = iota
+	removed     changeKind = iota // no longer there
+	draining                      // takes no more
+	started                       // met for the first time, or started anew
+	modified                      // serves again, or has another zone, size or cell
+	unchanged                     // as told before
+	changeKinds int        = iota
 )
 
 // compare gives how a searcher's line differs from what was told before.
--- a/mixer/cost_test.go
+++ b/mixer/cost_test.go
@@ -19,7 +19,7 @@
 func (h *mute) Reject(string, int64)            {}
 func (h *mute) Fail(string)                     {}
 func (h *mute) CloseIdle(string)                {}
-func (h *mute) SetTimer(int64, TimerHandler)                {}
+func (h *mute) SetTimer(int64, TimerHandler)    {}
 func (h *mute) Subscribe()                      {}
 func (h *mute) Note(string)                     {}
 
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -67,17 +67,17 @@
 	pace                DecayingRatio // of the whole fleet: how long forwards took, times size, over the calls out there
 	zones               map[string]*zone
 	sent, copies, tests DecayingSum   // forwards, copies and tests among them
-	idle, anew          DecayingRatio   // forwards lost over sent, on connections that lay idle, on new ones
-	taken, spent        []int64 // when lookups and parts were taken and further forwards made, for the budget
+	idle, anew          DecayingRatio // forwards lost over sent, on connections that lay idle, on new ones
+	taken, spent        []int64       // when lookups and parts were taken and further forwards made, for the budget
 	borne, bears        DecayingSum   // answers of warm searchers, parts per ns this mixer may count on of one
-	heard               int64   // last answer of any searcher
-	asking              bool    // a list call is out or the subscription runs
-	long                float64 // ns, the longest expected time
+	heard               int64         // last answer of any searcher
+	asking              bool          // a list call is out or the subscription runs
+	long                float64       // ns, the longest expected time
 	refusals            int
 	customers           []DecayingSum // lookups taken of each, the first of those who are not told
-	held                int64   // until then its own cold allowance may still be lent from before its start
-	epoch, call         int64   // counts what may bear on lookups beside their own answers; calls
-	scratch                     // kept from one review to the next to spare allocations
+	held                int64         // until then its own cold allowance may still be lent from before its start
+	epoch, call         int64         // counts what may bear on lookups beside their own answers; calls
+	scratch                           // kept from one review to the next to spare allocations
 }
 
 // zone is what is known of a place: its last answer, and how many forwards sent since were lost.
@@ -93,14 +93,14 @@
 	zone          *zone
 	status        Status
 	started       int64
-	calls, parts  int     // this mixer's calls out, which water-filling levels, and the parts in them
-	call          *call   // the newest
-	pace, told    DecayingRatio   // of its answers, and of the newest, which others are told
-	heard, sentAt int64   // last answer, last forward
-	unheard       int64   // what forwards sent since have waited in vain
-	suspect       bool    // not to be picked but for a test
-	wait, testAt  int64   // before the next test, and when that is
-	credit        float64 // cold: of one part, how much may be sent, and up to when that was reckoned
+	calls, parts  int           // this mixer's calls out, which water-filling levels, and the parts in them
+	call          *call         // the newest
+	pace, told    DecayingRatio // of its answers, and of the newest, which others are told
+	heard, sentAt int64         // last answer, last forward
+	unheard       int64         // what forwards sent since have waited in vain
+	suspect       bool          // not to be picked but for a test
+	wait, testAt  int64         // before the next test, and when that is
+	credit        float64       // cold: of one part, how much may be sent, and up to when that was reckoned
 	creditAt      int64
 	out           []*forward
 	word          PeerReport  // of others, on the process named there
--- a/mixer/state.go
+++ b/mixer/state.go
@@ -16,11 +16,11 @@
 	count     int   // calls out there, with its own
 	process   int64 // start of the process it went to
 	sent      int64
-	done, ran bool   // has its outcome; may have run
-	gone      bool   // waited for no more
-	recalled  bool   // withdrawn, to be sent again elsewhere when that has its outcome
+	done, ran bool           // has its outcome; may have run
+	gone      bool           // waited for no more
+	recalled  bool           // withdrawn, to be sent again elsewhere when that has its outcome
 	line      *DecayingRatio // nil where the connection was in use
-	missed    int64  // when it was counted as lost by line and zone, 0 if it was not
+	missed    int64          // when it was counted as lost by line and zone, 0 if it was not
 }
 
 type part struct {
--- a/mixer/telling.go
+++ b/mixer/telling.go
@@ -65,9 +65,9 @@
 	Unit, Fleet      float64 // ns a call, with what others say, and the fleet's
 	Doubted, Shunned bool    // others hold it silent; it is picked last
 	ZoneSilent       bool
-	TestIn           int64 // ns until a suspect is due for a test
-	ColdWait         int64 // ns until its cold allowance has a part
-	Word             PeerReport  // what others say, none once it is old
+	TestIn           int64      // ns until a suspect is due for a test
+	ColdWait         int64      // ns until its cold allowance has a part
+	Word             PeerReport // what others say, none once it is old
 }
 
 // Standing gives how a searcher stands, false where it is not listed.
@@ -136,7 +136,7 @@
 	Searcher            string
 	Started             int64 // of the process
 	Suspect, ZoneSilent bool
-	SentRate                float64 // parts per ns lately sent there
+	SentRate            float64 // parts per ns lately sent there
 }
 
 // Use goes through those of some searchers that are listed live.
--- a/mixer/types.go
+++ b/mixer/types.go
@@ -9,8 +9,8 @@
 type Effect int
 
 const (
-	Idempotent Effect = iota // may run again
-	Deduplicated                   // a repeat is known by its mark and dropped for a while
+	Idempotent   Effect = iota // may run again
+	Deduplicated               // a repeat is known by its mark and dropped for a while
 	AtMostOnce                 // must never run twice
 )
 
@@ -18,14 +18,14 @@
 type Outcome int
 
 const (
-	Succeeded Outcome = iota // its answer is in
-	Failed                  // the searcher returned an error
-	Rejected                  // turned away unseen
-	TimedOut                 // no answer in time
-	Unreachable                // no connection was made
-	ConnectionReset                    // the connection broke
-	Cancelled                // withdrawn by the mixer
-	NeverSent                     // never sent
+	Succeeded       Outcome = iota // its answer is in
+	Failed                         // the searcher returned an error
+	Rejected                       // turned away unseen
+	TimedOut                       // no answer in time
+	Unreachable                    // no connection was made
+	ConnectionReset                // the connection broke
+	Cancelled                      // withdrawn by the mixer
+	NeverSent                      // never sent
 )
 
 // NeverRan tells whether the outcome proves that the forward did no work.
