--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -47,7 +47,7 @@
 // Service is a set of backends, or a KV cache store if KVStoreAddress is set.
 type Service struct {
 	Name             string  `json:"name"`
-	ConnectionLimit  float64 `json:"connection_limit"` // of each backend, from all mixers together; 0 if not set
+	ConnectionLimit  float64 `json:"connection_limit"` // per backend, for all mixers; 0 if not set
 	ColdStartS       float64 `json:"cold_start_s"`     // seconds for which a new backend counts as cold
 	ColdPerS         float64 `json:"cold_per_s"`       // requests per second that a cold backend handles
 	KVStoreAddress   string  `json:"kv_store_address"`
--- a/internal/rpc/user_timeout.go
+++ b/internal/rpc/user_timeout.go
@@ -8,8 +8,8 @@
 )
 
 // tcpUserTimeout is how long sent bytes may stay unacknowledged by the peer. Without it a connection
-// to a machine that lost power or is partitioned keeps accepting writes for many seconds. Nobody
-// reads these messages, even after the machine is back.
+// to a machine that lost power or is partitioned keeps accepting writes for many seconds. These
+// messages are lost, even if the machine comes back.
 const tcpUserTimeout = 900 * time.Millisecond
 
 // setTCPUserTimeout makes the kernel close a TCP connection whose peer doesn't acknowledge sent bytes
--- a/internal/settings/local/local.go
+++ b/internal/settings/local/local.go
@@ -41,8 +41,8 @@
 	CloudAddr             string
 	CloudRate             float64       // calls per second to the cloud API, summed over all processes
 	CloudLag              time.Duration // until the cloud API shows a change
-	MachineFaultTolerance int           // machines that may fail at the same time without violating a contract
-	ZoneFaultTolerance    int           // zones, likewise
+	MachineFaultTolerance int           // concurrent failures that keep the contracts
+	ZoneFaultTolerance    int           // likewise for zones
 	Bounds                Bounds
 }
 
@@ -56,8 +56,8 @@
 	Grace            time.Duration // for a graceful shutdown
 	ConfigApply      time.Duration
 	Evacuation       time.Duration
-	Lease            time.Duration // between the last order of a duty's holder and the first of its successor, unless Fenced
-	Version          time.Duration // after which no request may begin on an older model version
+	Lease            time.Duration // between two holders of a duty, unless Fenced
+	Version          time.Duration // until no request may begin on an old version
 	BudgetWindow     time.Duration // over which the retry budget is counted
 	RetryBudgetRatio float64       // retries per request
 	RetryBudgetSlack float64       // retries per window in addition
