--- a/internal/charter/overlay.go
+++ b/internal/charter/overlay.go
@@ -253,7 +253,7 @@
 // bounds returns the range of the value at a path and whether it must be a whole number. ok is false for a
 // path that may not change.
 func (v *overlay) bounds(path string) (lo, hi float64, whole, ok bool) {
-	const minMillis, maxMillis = 1e-3, 1e12 // the clock counts whole microseconds
+	const maxMillis, minMillis = 1e12, 1e-3 // the clock counts whole microseconds
 	switch path {
 	case "OverShareWorth":
 		return 0, 1, false, true
