--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -1,5 +1,6 @@
-// Package listing compares messages of the list with what was told before, so that the module is told only what differs. It is
-// pure: no I/O, no clock, no goroutine, no order of a map.
+// Package listing tracks the membership list of the backends and reduces each message of it to the entries
+// that differ from what was reported to the mixer before. It is deterministic: no I/O, no clock, no
+// goroutines, and no dependence on the iteration order of maps.
 package listing
 
 import (
@@ -8,149 +9,157 @@
 	"nettlefold/mixer"
 )
 
-// Book holds the rows of the list as they were last told. The zero Book holds none. One goroutine uses it at a time.
+// Tracker holds the last reported entry of each listed backend. The zero Tracker is empty and ready to use.
+// It is not safe for concurrent use.
 type Tracker struct {
-	index      map[string]int32 // where a listed searcher's row is
-	rows    []row            // those that are Dead are free
-	free    []int32
-	messages uint32 // counts messages
+	index    map[string]int32 // by backend name, the index in rows
+	rows     []row            // unused ones have the status Dead
+	free     []int32          // indexes of unused rows
+	messages uint32           // sequence number of the current message
 }
 
-// row is one searcher's, as last told, Dead where it is not listed.
+// row is the state of one backend. Its entry is Dead if the backend is not listed.
 type row struct {
-	entry    mixer.Entry
-	lastMessage uint32 // that named it last
-	lastLine    int32  // its last line in that
+	entry       mixer.Entry // as last reported
+	lastMessage uint32      // sequence number of the last message that named the backend
+	lastLine    int32       // index of the backend's last entry in that message
 }
 
-// rank is how urgent a row's news are, the most urgent first.
+// changeKind classifies how an entry differs from the one reported before, in the order in which changes are
+// reported.
 type changeKind uint8
 
 const (
-	removed       changeKind = iota // no longer there
-	draining               // takes no more
-	started             // met for the first time, or started anew
-	modified                  // serves again, or has another zone, size or cell
-	unchanged                   // as told before
-	changeKinds      int  = iota
+	removed     changeKind = iota // no longer listed
+	draining                      // accepts no new calls
+	started                       // new backend, or a new process of a known one
+	modified                      // live again, or with another zone, size or cell
+	unchanged                     // equal to what was reported before
+	changeKinds int        = iota
 )
 
-// compare gives how a searcher's line differs from what was told before.
-func classify(told, e *mixer.Entry) changeKind {
+// classify returns how entry e differs from the one reported before.
+func classify(before, e *mixer.Entry) changeKind {
 	switch {
-	case told.Status == mixer.Dead && e.Status == mixer.Dead, *told == *e:
+	case before.Status == mixer.Dead && e.Status == mixer.Dead, *before == *e:
 		return unchanged
 	case e.Status == mixer.Dead:
 		return removed
-	case e.Status == mixer.Draining && told.Status != mixer.Draining:
+	case e.Status == mixer.Draining && before.Status != mixer.Draining:
 		return draining
-	case told.Status == mixer.Dead || told.Started != e.Started:
+	case before.Status == mixer.Dead || before.Started != e.Started:
 		return started
 	}
 	return modified
 }
 
-// Take takes one message, changes or with whole set all of the list, and gives the lines that differ from what was told before. Those
-// that are gone come first, then what drains, new processes, and the rest, each in the message's order. Of several lines of one
-// searcher the last counts. Where a whole list does not name a searcher its row comes as told last, but Dead. A line that is
-// Dead of a searcher that is not listed is none. What is given is the caller's.
-func (b *Tracker) Apply(lines []mixer.Entry, whole bool) []mixer.Entry {
-	if b.index == nil {
-		b.index, b.rows = make(map[string]int32, len(lines)), make([]row, 0, len(lines))
+// Apply applies one message, which is the full list or a set of changes, and returns the entries that differ
+// from what was reported before. Removed backends come first, then draining ones, new processes, and the rest,
+// each kind in the order of the message; see massRemovalDivisor for the exception. Of several entries of one
+// backend the last one counts. A listed backend that a full list omits is returned with its last reported
+// entry and the status Dead. A Dead entry of a backend that is not listed is ignored. The caller owns the
+// returned slice.
+func (t *Tracker) Apply(entries []mixer.Entry, full bool) []mixer.Entry {
+	if t.index == nil {
+		t.index, t.rows = make(map[string]int32, len(entries)), make([]row, 0, len(entries))
 	}
-	b.messages++
-	listed := len(b.index)
-	named := b.assignRows(lines)
-	ordered := make([]changeKind, len(named)) // how what is named differs
+	t.messages++
+	listed := len(t.index)
+	named := t.assignRows(entries)
+	kinds := make([]changeKind, len(named)) // of the backends in named
 	var count [changeKinds]int
 	for i, at := range named {
-		r := &b.rows[at]
-		ordered[i] = classify(&r.entry, &lines[r.lastLine])
-		count[ordered[i]]++
+		r := &t.rows[at]
+		kinds[i] = classify(&r.entry, &entries[r.lastLine])
+		count[kinds[i]]++
 	}
-	unnamed := 0
-	if whole {
-		for i := range b.rows {
-			if b.omitted(i) {
-				unnamed++
+	omitted := 0
+	if full {
+		for i := range t.rows {
+			if t.omitted(i) {
+				omitted++
 			}
 		}
 	}
-	if unnamed+len(named) == count[unchanged] {
-		b.releaseDead(named)
+	if omitted+len(named) == count[unchanged] {
+		t.releaseDead(named)
 		return nil
 	}
-	out := make([]mixer.Entry, unnamed+len(named)-count[unchanged])
-	var next [changeKinds]int // where the next of each rank is put
-	next[removed] = unnamed
+	out := make([]mixer.Entry, omitted+len(named)-count[unchanged])
+	var next [changeKinds]int // by kind, the index in out of its next entry
+	next[removed] = omitted
 	for k := removed + 1; k < unchanged; k++ {
 		next[k] = next[k-1] + count[k-1]
 	}
 	for i, at := range named {
-		if k := ordered[i]; k != unchanged {
-			r := &b.rows[at]
-			r.entry = lines[r.lastLine]
+		if k := kinds[i]; k != unchanged {
+			r := &t.rows[at]
+			r.entry = entries[r.lastLine]
 			out[next[k]] = r.entry
 			next[k]++
 		}
 	}
-	if unnamed > 0 {
+	if omitted > 0 {
 		at := 0
-		for i := range b.rows {
-			if r := &b.rows[i]; b.omitted(i) {
+		for i := range t.rows {
+			if r := &t.rows[i]; t.omitted(i) {
 				r.entry.Status = mixer.Dead
 				out[at] = r.entry
 				at++
-				b.release(int32(i))
+				t.release(int32(i))
 			}
 		}
 	}
-	b.releaseDead(named)
+	t.releaseDead(named)
 	if next[removed]*massRemovalDivisor > listed && count[started] > 0 {
 		return interleave(out, next[removed], count[draining], count[started])
 	}
 	return out
 }
 
-// mass is the share of the list, as one in so many, beyond which what goes is not told before what comes: until both are told a mixer
-// would take the fleet for so much smaller than it is, and each searcher in it for one that bears more.
+// massRemovalDivisor bounds the removals that are reported before all additions: if more than one in this many
+// listed backends are removed, the additions are interleaved with them. Between the two a mixer would
+// otherwise underestimate the size of the fleet by as much, and overestimate the capacity of each backend.
 const massRemovalDivisor = 16
 
-// spread puts what drains first, and then newcomers evenly among those that go, each before those in whose place it comes.
-func interleave(rows []mixer.Entry, going, drains, newcomers int) []mixer.Entry {
-	out := append(make([]mixer.Entry, 0, len(rows)), rows[going:going+drains]...)
-	come := rows[going+drains:][:newcomers]
-	told := 0
-	for i := range going {
-		n := ((i+1)*newcomers + going - 1) / going // so many have come when this one goes: one at least, so that some are always listed
-		out = append(append(out, come[told:n]...), rows[i])
-		told = n
+// interleave reorders the result of Apply, which holds the given numbers of removed, draining and started
+// backends and then the rest. Draining ones come first, then the started ones spread evenly among the removed
+// ones, each ahead of those that it replaces, then the rest.
+func interleave(entries []mixer.Entry, removals, drains, starts int) []mixer.Entry {
+	out := append(make([]mixer.Entry, 0, len(entries)), entries[removals:removals+drains]...)
+	startedEntries := entries[removals+drains:][:starts]
+	added := 0
+	for i := range removals {
+		n := ((i+1)*starts + removals - 1) / removals // additions up to this removal: at least one, so that the list is never empty
+		out = append(append(out, startedEntries[added:n]...), entries[i])
+		added = n
 	}
-	return append(out, rows[going+drains+newcomers:]...)
+	return append(out, entries[removals+drains+starts:]...)
 }
 
-// name notes which searchers a message names and gives their rows in its order, new ones for those that are not listed.
-func (b *Tracker) assignRows(lines []mixer.Entry) []int32 {
-	named := make([]int32, 0, len(lines))
-	for i := range lines {
-		e := &lines[i]
-		at, listed := b.index[e.Searcher]
+// assignRows marks the backends that a message names and returns their rows in the order of the message. It
+// adds rows for new backends that are not Dead.
+func (t *Tracker) assignRows(entries []mixer.Entry) []int32 {
+	named := make([]int32, 0, len(entries))
+	for i := range entries {
+		e := &entries[i]
+		at, listed := t.index[e.Searcher]
 		if !listed {
 			if e.Status == mixer.Dead {
 				continue
 			}
-			if n := len(b.free); n > 0 {
-				at, b.free = b.free[n-1], b.free[:n-1]
+			if n := len(t.free); n > 0 {
+				at, t.free = t.free[n-1], t.free[:n-1]
 			} else {
-				at = int32(len(b.rows))
-				b.rows = append(b.rows, row{})
+				at = int32(len(t.rows))
+				t.rows = append(t.rows, row{})
 			}
-			b.rows[at] = row{entry: mixer.Entry{Searcher: e.Searcher, Status: mixer.Dead}}
-			b.index[e.Searcher] = at
+			t.rows[at] = row{entry: mixer.Entry{Searcher: e.Searcher, Status: mixer.Dead}}
+			t.index[e.Searcher] = at
 		}
-		r := &b.rows[at]
-		if r.lastMessage != b.messages {
-			r.lastMessage = b.messages
+		r := &t.rows[at]
+		if r.lastMessage != t.messages {
+			r.lastMessage = t.messages
 			named = append(named, at)
 		}
 		r.lastLine = int32(i)
@@ -158,57 +167,58 @@
 	return named
 }
 
-// missing tells whether a row is of a listed searcher that the message at hand does not name.
-func (b *Tracker) omitted(at int) bool {
-	r := &b.rows[at]
-	return r.entry.Status != mixer.Dead && r.lastMessage != b.messages
+// omitted reports whether a row holds a listed backend that the current message does not name.
+func (t *Tracker) omitted(at int) bool {
+	r := &t.rows[at]
+	return r.entry.Status != mixer.Dead && r.lastMessage != t.messages
 }
 
-// drop frees those rows of a message that are Dead once it is taken.
-func (b *Tracker) releaseDead(named []int32) {
+// releaseDead releases those rows of an applied message that are Dead.
+func (t *Tracker) releaseDead(named []int32) {
 	for _, at := range named {
-		if b.rows[at].entry.Status == mixer.Dead {
-			b.release(at)
+		if t.rows[at].entry.Status == mixer.Dead {
+			t.release(at)
 		}
 	}
-	if len(b.free) > minFreeRows && len(b.free) > len(b.rows)*3/4 {
-		b.compact()
+	if len(t.free) > minFreeRows && len(t.free) > len(t.rows)*3/4 {
+		t.compact()
 	}
 }
 
-// spare is how many free rows are always kept.
+// minFreeRows is the number of unused rows that are always kept for reuse.
 const minFreeRows = 1024
 
-// release frees the row of a searcher that is no longer listed.
-func (b *Tracker) release(at int32) {
-	delete(b.index, b.rows[at].entry.Searcher)
-	b.rows[at] = row{entry: mixer.Entry{Status: mixer.Dead}}
-	b.free = append(b.free, at)
+// release frees the row of a backend that is no longer listed.
+func (t *Tracker) release(at int32) {
+	delete(t.index, t.rows[at].entry.Searcher)
+	t.rows[at] = row{entry: mixer.Entry{Status: mixer.Dead}}
+	t.free = append(t.free, at)
 }
 
-// shrink gives back what a far longer list took.
-func (b *Tracker) compact() {
-	rows := make([]row, 0, len(b.index))
-	at := make(map[string]int32, len(b.index))
-	for _, r := range b.rows {
+// compact drops the unused rows, to return the memory of a much longer list.
+func (t *Tracker) compact() {
+	rows := make([]row, 0, len(t.index))
+	index := make(map[string]int32, len(t.index))
+	for _, r := range t.rows {
 		if r.entry.Status != mixer.Dead {
-			at[r.entry.Searcher] = int32(len(rows))
+			index[r.entry.Searcher] = int32(len(rows))
 			rows = append(rows, r)
 		}
 	}
-	b.index, b.rows, b.free = at, rows, nil
+	t.index, t.rows, t.free = index, rows, nil
 }
 
-// Doubt has rows that were given count as not told: what comes of their searchers next differs, whatever it is.
-func (b *Tracker) Invalidate(given []mixer.Entry) {
-	for _, e := range given {
+// Invalidate marks entries that Apply returned as not reported, because reporting them failed. The next entry
+// of each of these backends counts as a change, whatever it says.
+func (t *Tracker) Invalidate(entries []mixer.Entry) {
+	for _, e := range entries {
 		if e.Status == mixer.Dead {
-			e.Status = mixer.Draining // listed, so that a whole list that does not name it says so again
+			e.Status = mixer.Draining // keep it listed, so that a full list that omits it reports the removal again
 		}
-		b.messages++
-		for _, at := range b.assignRows([]mixer.Entry{e}) {
-			b.rows[at].entry = e
-			b.rows[at].entry.Size = math.NaN()
+		t.messages++
+		for _, at := range t.assignRows([]mixer.Entry{e}) {
+			t.rows[at].entry = e
+			t.rows[at].entry.Size = math.NaN() // NaN differs from any size
 		}
 	}
 }
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -9,7 +9,7 @@
 	"nettlefold/mixer"
 )
 
-// entry is a line of the list: a searcher of cell 1, live and long there.
+// entry returns a live entry of cell 1 that started long ago, modified by change if that is not nil.
 func entry(name string, change func(*mixer.Entry)) mixer.Entry {
 	e := mixer.Entry{Searcher: name, Cell: 1, Zone: "z", Size: 1}
 	if change != nil {
@@ -18,181 +18,188 @@
 	return e
 }
 
-func live(names ...string) (lines []mixer.Entry) {
+// live returns a live entry for each name.
+func live(names ...string) (entries []mixer.Entry) {
 	for _, n := range names {
-		lines = append(lines, entry(n, nil))
+		entries = append(entries, entry(n, nil))
 	}
-	return lines
+	return entries
 }
 
-func state(s mixer.Status) func(*mixer.Entry) { return func(e *mixer.Entry) { e.Status = s } }
+// withStatus returns a change for entry that sets the status.
+func withStatus(s mixer.Status) func(*mixer.Entry) { return func(e *mixer.Entry) { e.Status = s } }
 
-func many(n int) (lines []mixer.Entry) {
+// fleet returns n live entries s0, s1, ... with four backends per cell.
+func fleet(n int) (entries []mixer.Entry) {
 	for i := range n {
-		lines = append(lines, entry(fmt.Sprint("s", i), func(e *mixer.Entry) { e.Cell = i / 4 }))
+		entries = append(entries, entry(fmt.Sprint("s", i), func(e *mixer.Entry) { e.Cell = i / 4 }))
 	}
-	return lines
+	return entries
 }
 
-func TestOnlyWhatDiffersIsGiven(t *testing.T) {
-	var b Tracker
-	if got := b.Apply(live("a", "b", "c", "d"), true); !reflect.DeepEqual(got, live("a", "b", "c", "d")) {
-		t.Fatalf("the first list: %v", got)
+func TestApplyReturnsOnlyChanges(t *testing.T) {
+	var tracker Tracker
+	if got, want := tracker.Apply(live("a", "b", "c", "d"), true), live("a", "b", "c", "d"); !reflect.DeepEqual(got, want) {
+		t.Fatalf("first full list: Apply() = %v, want %v", got, want)
 	}
-	if got := b.Apply(live("d", "a", "b", "c"), true); len(got) != 0 {
-		t.Errorf("the same list in another order: %v", got)
+	if got := tracker.Apply(live("d", "a", "b", "c"), true); len(got) != 0 {
+		t.Errorf("same list in another order: Apply() = %v, want none", got)
 	}
-	for what, change := range map[string]func(*mixer.Entry){
-		"drains":          state(mixer.Draining),
+	for name, change := range map[string]func(*mixer.Entry){
+		"draining":        withStatus(mixer.Draining),
 		"another process": func(e *mixer.Entry) { e.Started = 5 },
 		"another cell":    func(e *mixer.Entry) { e.Cell = 2 },
 		"another zone":    func(e *mixer.Entry) { e.Zone = "y" },
 		"another size":    func(e *mixer.Entry) { e.Size = 2 },
 	} {
-		new := entry("b", change)
-		if got := b.Apply([]mixer.Entry{entry("a", nil), new, entry("c", nil), entry("d", nil)}, true); !slices.Equal(got, []mixer.Entry{new}) {
-			t.Errorf("%s: %v", what, got)
+		changed := entry("b", change)
+		if got, want := tracker.Apply([]mixer.Entry{entry("a", nil), changed, entry("c", nil), entry("d", nil)}, true), []mixer.Entry{changed}; !slices.Equal(got, want) {
+			t.Errorf("%s: Apply() = %v, want %v", name, got, want)
 		}
-		if got := b.Apply([]mixer.Entry{new}, false); len(got) != 0 {
-			t.Errorf("%s, told again: %v", what, got)
+		if got := tracker.Apply([]mixer.Entry{changed}, false); len(got) != 0 {
+			t.Errorf("%s, repeated: Apply() = %v, want none", name, got)
 		}
-		if got := b.Apply(live("b"), false); !slices.Equal(got, live("b")) {
-			t.Errorf("%s, told back: %v", what, got)
+		if got, want := tracker.Apply(live("b"), false), live("b"); !slices.Equal(got, want) {
+			t.Errorf("%s, reverted: Apply() = %v, want %v", name, got, want)
 		}
 	}
 }
 
-func TestBadNewsFirst(t *testing.T) {
-	var b Tracker
-	lines := many(200) // so that two that go are no mass
-	b.Apply(lines, true)
-	drains, anew, moved := entry("s90", state(mixer.Draining)), entry("s20", nil), entry("s5", nil)
-	anew.Cell, anew.Started, moved.Cell = 5, 9, 7
+func TestApplyOrdersByUrgency(t *testing.T) {
+	var tracker Tracker
+	entries := fleet(200) // two removals are too few for additions to be interleaved with them
+	tracker.Apply(entries, true)
+	drains, restarted, moved := entry("s90", withStatus(mixer.Draining)), entry("s20", nil), entry("s5", nil)
+	restarted.Cell, restarted.Started, moved.Cell = 5, 9, 7
 	drains.Cell = 22
-	told := slices.Clone(lines)
-	told[5], told[20], told[90] = moved, anew, drains
-	told[150].Status = mixer.Dead
-	goes := told[150]
-	unnamed := lines[199]
-	unnamed.Status = mixer.Dead
-	new := entry("t", nil)
-	got := b.Apply(append([]mixer.Entry{new}, told[:199]...), true)
-	if want := []mixer.Entry{unnamed, goes, drains, new, anew, moved}; !reflect.DeepEqual(got, want) {
-		t.Errorf("%v, want %v", got, want)
+	list := slices.Clone(entries)
+	list[5], list[20], list[90] = moved, restarted, drains
+	list[150].Status = mixer.Dead
+	dead := list[150]
+	omitted := entries[199]
+	omitted.Status = mixer.Dead
+	added := entry("t", nil)
+	got := tracker.Apply(append([]mixer.Entry{added}, list[:199]...), true)
+	if want := []mixer.Entry{omitted, dead, drains, added, restarted, moved}; !reflect.DeepEqual(got, want) {
+		t.Errorf("Apply() = %v, want %v", got, want)
 	}
 }
 
-func TestOfSeveralLinesTheLastCounts(t *testing.T) {
-	dead, drains := entry("a", state(mixer.Dead)), entry("a", state(mixer.Draining))
-	var b Tracker
+func TestApplyLastEntryOfBackendCounts(t *testing.T) {
+	dead, drains := entry("a", withStatus(mixer.Dead)), entry("a", withStatus(mixer.Draining))
+	var tracker Tracker
 	for _, c := range []struct {
-		what        string
-		lines, want []mixer.Entry
+		name          string
+		entries, want []mixer.Entry
 	}{
-		{"dead before it is met", []mixer.Entry{dead}, nil},
-		{"met and gone at once", []mixer.Entry{entry("a", nil), dead}, nil},
-		{"dead, then met", []mixer.Entry{dead, entry("a", nil)}, live("a")},
-		{"gone and back", []mixer.Entry{dead, entry("a", nil)}, nil},
-		{"drains, then gone", []mixer.Entry{drains, dead}, []mixer.Entry{dead}},
-		{"gone already", []mixer.Entry{dead}, nil},
-		{"back", live("a"), live("a")},
+		{"dead and never listed", []mixer.Entry{dead}, nil},
+		{"added and removed in one message", []mixer.Entry{entry("a", nil), dead}, nil},
+		{"dead, then added", []mixer.Entry{dead, entry("a", nil)}, live("a")},
+		{"removed and added back in one message", []mixer.Entry{dead, entry("a", nil)}, nil},
+		{"draining, then removed", []mixer.Entry{drains, dead}, []mixer.Entry{dead}},
+		{"removed again", []mixer.Entry{dead}, nil},
+		{"added back", live("a"), live("a")},
 	} {
-		if got := b.Apply(c.lines, false); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.what, got, c.want)
+		if got := tracker.Apply(c.entries, false); !slices.Equal(got, c.want) {
+			t.Errorf("%s: Apply() = %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Where most of a list is replaced, what the module has stays about as much.
-func TestAMassThatGoesIsToldAmongWhatComes(t *testing.T) {
-	for _, c := range []struct{ going, coming int }{{1000, 1000}, {1000, 300}, {400, 1000}, {1000, 1}} {
-		var b Tracker
-		old := many(1000)
-		b.Apply(old, true)
-		list := slices.Clone(old[c.going:])
+// TestApplyInterleavesMassReplacement checks that the fleet reported to the mixer keeps about its size while
+// most of the list is replaced.
+func TestApplyInterleavesMassReplacement(t *testing.T) {
+	for _, c := range []struct{ removals, additions int }{{1000, 1000}, {1000, 300}, {400, 1000}, {1000, 1}} {
+		var tracker Tracker
+		before := fleet(1000)
+		tracker.Apply(before, true)
+		list := slices.Clone(before[c.removals:])
 		if len(list) > 0 {
 			list[0].Status = mixer.Draining
 		}
-		for _, e := range many(c.coming) {
+		for _, e := range fleet(c.additions) {
 			e.Searcher = "t" + e.Searcher
 			list = append(list, e)
 		}
-		got := b.Apply(list, true)
-		if len(list) > c.coming {
+		got := tracker.Apply(list, true)
+		if len(list) > c.additions {
 			if got[0] != list[0] {
-				t.Errorf("%v: what drains is not first but %v", c, got[0])
+				t.Errorf("%+v: first entry = %v, want the draining one, %v", c, got[0], list[0])
 			}
 			got = got[1:]
 		}
-		if len(got) != c.going+c.coming {
-			t.Fatalf("%v: %d rows", c, len(got))
+		if want := c.removals + c.additions; len(got) != want {
+			t.Fatalf("%+v: Apply() returned %d entries, want %d", c, len(got), want)
 		}
-		gone, come := 0, 0
+		removed, added := 0, 0
 		for _, e := range got {
 			if e.Status == mixer.Dead {
-				gone++
+				removed++
 			} else {
-				come++
+				added++
 			}
-			part := func(of int) int { return (of*c.coming + c.going - 1) / c.going }
-			if come < part(gone) || come > part(gone+1) {
-				t.Fatalf("%v: %d have come when %d are gone", c, come, gone)
+			proportional := func(removals int) int { return (removals*c.additions + c.removals - 1) / c.removals }
+			if lo, hi := proportional(removed), proportional(removed+1); added < lo || added > hi {
+				t.Fatalf("%+v: %d additions after %d removals, want %d to %d", c, added, removed, lo, hi)
 			}
 		}
 	}
 }
 
-func TestDoubtIsToldAgain(t *testing.T) {
-	var b Tracker
-	b.Apply(live("a", "b", "c"), true)
-	gone := b.Apply(live("a", "b"), true)
-	b.Invalidate(append(gone, live("a")...))
-	if got := b.Apply(live("a", "b"), true); !reflect.DeepEqual(got, []mixer.Entry{gone[0], entry("a", nil)}) {
+func TestInvalidate(t *testing.T) {
+	var tracker Tracker
+	tracker.Apply(live("a", "b", "c"), true)
+	removed := tracker.Apply(live("a", "b"), true)
+	tracker.Invalidate(append(removed, live("a")...))
+	want := []mixer.Entry{removed[0], entry("a", nil)}
+	if got := tracker.Apply(live("a", "b"), true); !reflect.DeepEqual(got, want) {
+		// The size of an invalidated entry that is removed again is NaN, which equals nothing.
 		if len(got) != 2 || got[0].Searcher != "c" || got[0].Status != mixer.Dead || got[1] != entry("a", nil) {
-			t.Errorf("%v", got)
+			t.Errorf("after Invalidate: Apply() = %v, want %v", got, want)
 		}
 	}
-	if got := b.Apply(live("a", "b"), true); len(got) != 0 {
-		t.Errorf("twice: %v", got)
+	if got := tracker.Apply(live("a", "b"), true); len(got) != 0 {
+		t.Errorf("same list again: Apply() = %v, want none", got)
 	}
-	b.Invalidate(gone)
-	if got := b.Apply([]mixer.Entry{entry("c", state(mixer.Dead))}, false); len(got) != 1 || got[0].Status != mixer.Dead {
-		t.Errorf("gone, in doubt and gone again: %v", got)
+	tracker.Invalidate(removed)
+	if got := tracker.Apply([]mixer.Entry{entry("c", withStatus(mixer.Dead))}, false); len(got) != 1 || got[0].Status != mixer.Dead {
+		t.Errorf("invalidated removal repeated: Apply() = %v, want one Dead entry", got)
 	}
-	b.Invalidate(gone)
-	if got := b.Apply(live("c"), false); !slices.Equal(got, live("c")) {
-		t.Errorf("gone, in doubt and back: %v", got)
+	tracker.Invalidate(removed)
+	if got, want := tracker.Apply(live("c"), false), live("c"); !slices.Equal(got, want) {
+		t.Errorf("invalidated removal added back: Apply() = %v, want %v", got, want)
 	}
 }
 
-// What a long list took is given back after a short one, and the Book goes on.
-func TestShrinks(t *testing.T) {
-	var b Tracker
-	b.Apply(many(9000), true)
-	if got := b.Apply(many(100), true); len(got) != 8900 {
-		t.Fatalf("%d are gone of 8900", len(got))
+// TestCompact checks that a Tracker returns the memory of a long list after a short one, and still works.
+func TestCompact(t *testing.T) {
+	var tracker Tracker
+	tracker.Apply(fleet(9000), true)
+	if got := tracker.Apply(fleet(100), true); len(got) != 8900 {
+		t.Fatalf("Apply() returned %d entries, want 8900 removals", len(got))
 	}
-	if len(b.rows) > 100+minFreeRows || len(b.index) != 100 {
-		t.Errorf("%d rows are held of 100", len(b.rows))
+	if rows, index := len(tracker.rows), len(tracker.index); rows > 100+minFreeRows || index != 100 {
+		t.Errorf("%d rows and %d indexed backends, want at most %d and 100", rows, index, 100+minFreeRows)
 	}
-	if got := b.Apply(many(101), true); len(got) != 1 || got[0].Searcher != "s100" {
-		t.Errorf("after it: %v", got)
+	if got := tracker.Apply(fleet(101), true); len(got) != 1 || got[0].Searcher != "s100" {
+		t.Errorf("after compaction: Apply() = %v, want s100 added", got)
 	}
 }
 
-// A list again that has not changed allocates a bounded number of times whatever its length.
-func TestFewAllocations(t *testing.T) {
-	var b Tracker
-	lines := many(5000)
-	b.Apply(lines, true)
-	if got := testing.AllocsPerRun(10, func() { b.Apply(lines, true) }); got > 4 {
-		t.Errorf("%v allocations for a list that has not changed", got)
+// TestApplyAllocations checks that the number of allocations for an unchanged list, and for one change, does
+// not depend on the length of the list.
+func TestApplyAllocations(t *testing.T) {
+	var tracker Tracker
+	entries := fleet(5000)
+	tracker.Apply(entries, true)
+	if got := testing.AllocsPerRun(10, func() { tracker.Apply(entries, true) }); got > 4 {
+		t.Errorf("unchanged list: %v allocations, want at most 4", got)
 	}
 	one := live("s9")
 	if got := testing.AllocsPerRun(10, func() {
 		one[0].Cell++
-		b.Apply(one, false)
+		tracker.Apply(one, false)
 	}); got > 4 {
-		t.Errorf("%v allocations for one change", got)
+		t.Errorf("one change: %v allocations, want at most 4", got)
 	}
 }
