--- a/internal/agent/listfeed_test.go
+++ b/internal/agent/listfeed_test.go
@@ -18,16 +18,16 @@
 // proxyList is what a proxy makes of the lists it is told.
 type proxyList struct {
 	number   uint64
-	backends map[string]dispatch.Listed
+	backends map[string]dispatch.BackendInfo
 	phases   map[string]string
 }
 
 // take applies a list as the proxy does.
 func (p *proxyList) take(t *testing.T, list *feed.List) {
-	if list.Since == 0 {
-		p.backends, p.phases = map[string]dispatch.Listed{}, map[string]string{}
+	if list.BaseRevision == 0 {
+		p.backends, p.phases = map[string]dispatch.BackendInfo{}, map[string]string{}
 	} else {
-		require.Equal(t, p.number, list.Since)
+		require.Equal(t, p.number, list.BaseRevision)
 	}
 	for _, l := range list.Backends {
 		p.backends[l.ID] = l
@@ -36,11 +36,11 @@
 			p.phases[l.ID] = phase
 		}
 	}
-	for _, id := range list.Gone {
+	for _, id := range list.Removed {
 		delete(p.backends, id)
 		delete(p.phases, id)
 	}
-	p.number = list.Number
+	p.number = list.Revision
 }
 
 // randomChange changes the agent's list or phases in some way.
@@ -48,9 +48,9 @@
 	id := func() string { return fmt.Sprint("i-", random.IntN(40)) }
 	switch random.IntN(5) {
 	case 0:
-		a.takePhases(map[string]feed.Phase{id(): {Name: dispatch.PhaseLoading, Number: uint64(round)}})
+		a.takePhases(map[string]feed.Phase{id(): {Name: dispatch.PhaseLoading, Seq: uint64(round)}})
 	case 1:
-		a.takePhases(map[string]feed.Phase{id(): {Model: "m", Version: int64(round), Number: uint64(round)}})
+		a.takePhases(map[string]feed.Phase{id(): {Model: "m", Version: int64(round), Seq: uint64(round)}})
 	case 2:
 		for known, p := range a.phases {
 			p.at = time.Now().Add(-time.Minute)
@@ -61,8 +61,8 @@
 	default:
 		list := slices.Clone(a.list)
 		for range 1 + random.IntN(4) {
-			entry := dispatch.Listed{ID: id(), Draining: random.IntN(2) == 0, Versions: map[string]int64{"m": int64(random.IntN(3))}}
-			at := slices.IndexFunc(list, func(l dispatch.Listed) bool { return l.ID == entry.ID })
+			entry := dispatch.BackendInfo{ID: id(), Draining: random.IntN(2) == 0, Versions: map[string]int64{"m": int64(random.IntN(3))}}
+			at := slices.IndexFunc(list, func(l dispatch.BackendInfo) bool { return l.ID == entry.ID })
 			switch {
 			case at < 0:
 				list = append(list, entry)
@@ -91,7 +91,7 @@
 			whole := a.listFor()
 			require.Len(t, proxy.backends, len(whole.Backends))
 			for _, l := range whole.Backends {
-				require.True(t, l.Same(new(proxy.backends[l.ID])), "seed %d, round %d", seed, round)
+				require.True(t, l.Equal(new(proxy.backends[l.ID])), "seed %d, round %d", seed, round)
 			}
 			require.True(t, maps.Equal(whole.Phases, proxy.phases), "seed %d, round %d: %v, want %v", seed, round, proxy.phases, whole.Phases)
 		}
@@ -101,12 +101,12 @@
 // TestOneChangeIsToldAsOne: each change of one backend, as at each order for new weights, had the proxy read the whole list.
 func TestOneChangeIsToldAsOne(t *testing.T) {
 	a := fleetOf(1, 1)[0]
-	var list []dispatch.Listed
+	var list []dispatch.BackendInfo
 	for i := range platformInstances {
-		list = append(list, dispatch.Listed{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("10.0.0.1:", i), Versions: map[string]int64{"m": 1}})
+		list = append(list, dispatch.BackendInfo{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("10.0.0.1:", i), Versions: map[string]int64{"m": 1}})
 	}
 	a.spreadList(time.Now(), list)
-	request := &feed.Request{Agent: a.self.ID, List: a.listFor().Number}
+	request := &feed.Request{AgentID: a.self.ID, ListRevision: a.listFor().Revision}
 	a.takePhases(map[string]feed.Phase{"i-7": {Name: dispatch.PhaseLoading}})
 	reply, fresh := a.feedReply(0, request)
 	require.True(t, fresh)
--- a/internal/agent/listplan_test.go
+++ b/internal/agent/listplan_test.go
@@ -62,12 +62,12 @@
 func TestChangesThatWereMissedAreAskedFor(t *testing.T) {
 	agents := fleetOf(1, 2)
 	reader, other := agents[0], agents[1]
-	list := []dispatch.Listed{{ID: "a"}, {ID: "b"}}
+	list := []dispatch.BackendInfo{{ID: "a"}, {ID: "b"}}
 	reader.spreadList(time.Now(), list)
 	other.toldList(reader.listSince(0), reader.self.Addr)
 	require.Equal(t, list, other.list)
 	for i := range 3 {
-		list = append(list, dispatch.Listed{ID: string(rune('c' + i))})
+		list = append(list, dispatch.BackendInfo{ID: string(rune('c' + i))})
 		reader.spreadList(time.Now(), list)
 	}
 	last := reader.lists.history[len(reader.lists.history)-1]
@@ -76,23 +76,23 @@
 	require.Equal(t, reader.self.Addr, other.lists.missing)
 	require.Equal(t, reader.self.Addr, other.listPeer())
 	news := reader.listSince(other.lists.sum)
-	require.False(t, news.Whole)
+	require.False(t, news.Full)
 	other.hearList(news, reader.self.Addr)
 	require.ElementsMatch(t, list, other.list)
 	require.Equal(t, reader.lists.sum, other.lists.sum)
 	require.Empty(t, other.lists.missing)
-	require.True(t, reader.listSince(12345).Whole, "a list that nobody here knows")
+	require.True(t, reader.listSince(12345).Full, "a list that nobody here knows")
 }
 
 // TestAnOlderReadingIsNotTaken: news that waited on its way, as at a hub that stood still, does not undo what came by another.
 func TestAnOlderReadingIsNotTaken(t *testing.T) {
 	agents := fleetOf(1, 2)
 	reader, other := agents[0], agents[1]
-	reader.spreadList(time.Now(), []dispatch.Listed{{ID: "a"}})
+	reader.spreadList(time.Now(), []dispatch.BackendInfo{{ID: "a"}})
 	old := reader.listSince(0)
-	reader.spreadList(time.Now(), []dispatch.Listed{{ID: "a", Draining: true}})
+	reader.spreadList(time.Now(), []dispatch.BackendInfo{{ID: "a", Draining: true}})
 	other.toldList(reader.listSince(0), reader.self.Addr)
 	other.toldList(old, reader.self.Addr)
 	require.True(t, other.list[0].Draining)
-	require.Equal(t, &feed.ReadList{Sum: reader.lists.sum}, &feed.ReadList{Sum: other.lists.sum})
+	require.Equal(t, &feed.ListUpdate{Digest: reader.lists.sum}, &feed.ListUpdate{Digest: other.lists.sum})
 }
