--- a/internal/listing/equivalence_test.go
+++ b/internal/listing/equivalence_test.go
@@ -12,144 +12,151 @@
 	"nettlefold/mixer"
 )
 
-// world is one module and what it puts out, in model time.
-type world struct {
-	m    *mixer.Mixer
-	now  int64
-	due  due
-	l    *mixer.Lookup // the only one that is open
-	ends int
-	out  []*sent // attempts without outcome, in their order
-	all  map[string][]*sent
+// simulation runs one mixer in model time and records its calls. It implements mixer.Floor.
+type simulation struct {
+	m        *mixer.Mixer
+	now      int64 // ns
+	timers   timerHeap
+	lookup   *mixer.Lookup // the only open one
+	endings  int           // answers, rejections and failures of the current lookup
+	inFlight []*attempt    // in the order in which they were sent
+	attempts map[string][]*attempt
 }
 
-type sent struct {
+type attempt struct {
 	searcher   string
-	started    int64
+	started    int64 // start of the process that it was sent to
 	part, copy int
-	at         int64
-	l          *mixer.Lookup
+	sentAt     int64
+	lookup     *mixer.Lookup
 }
 
 type timer struct {
 	at    int64
-	count int
-	whose mixer.Due
+	count int // breaks ties
+	due   mixer.Due
 }
 
-type due []timer
+type timerHeap []timer
 
-func (d due) Len() int { return len(d) }
-func (d due) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].count < d[j].count
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].count < h[j].count
 }
-func (d due) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *due) Push(x any)   { *d = append(*d, x.(timer)) }
-func (d *due) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-func (w *world) Forward(part, searcher string, _ int64) {
+func (s *simulation) Forward(part, searcher string, _ int64) {
 	var i int
 	fmt.Sscanf(part, "p%d", &i)
-	st, _ := w.m.Standing(w.now, searcher)
-	f := &sent{searcher: searcher, started: st.Started, part: i, copy: len(w.all[part]), at: w.now, l: w.l}
-	w.all[part] = append(w.all[part], f)
-	w.out = append(w.out, f)
+	state, _ := s.m.Standing(s.now, searcher)
+	a := &attempt{searcher: searcher, started: state.Started, part: i, copy: len(s.attempts[part]), sentAt: s.now, lookup: s.lookup}
+	s.attempts[part] = append(s.attempts[part], a)
+	s.inFlight = append(s.inFlight, a)
 }
-func (w *world) Cancel(string, int)   {}
-func (w *world) Answer(string, bool)  { w.ends++ }
-func (w *world) Bounce(string, int64) { w.ends++ }
-func (w *world) Fail(string)          { w.ends++ }
-func (w *world) CloseIdle(string)     {}
-func (w *world) Subscribe()           {}
-func (w *world) Note(string)          {}
-func (w *world) Timer(after int64, whose mixer.Due) {
-	heap.Push(&w.due, timer{w.now + after, w.due.Len() + int(w.now), whose})
+func (s *simulation) Cancel(string, int)   {}
+func (s *simulation) Answer(string, bool)  { s.endings++ }
+func (s *simulation) Bounce(string, int64) { s.endings++ }
+func (s *simulation) Fail(string)          { s.endings++ }
+func (s *simulation) CloseIdle(string)     {}
+func (s *simulation) Subscribe()           {}
+func (s *simulation) Note(string)          {}
+func (s *simulation) Timer(after int64, due mixer.Due) {
+	heap.Push(&s.timers, timer{s.now + after, s.timers.Len() + int(s.now), due})
 }
 
-func newWorld() *world {
-	w := &world{now: 1e18, all: map[string][]*sent{}}
-	w.m = mixer.New(w.now, mixer.Charter{
+func newSimulation() *simulation {
+	s := &simulation{now: 1e18, attempts: map[string][]*attempt{}}
+	s.m = mixer.New(s.now, mixer.Charter{
 		Tariffs: []mixer.Tariff{{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1}},
 		Zone:    "z0", Mixers: 3, Cells: cells, Reach: 2, PerCall: 2, MaxForwards: 3, MayCopy: true, MayCancel: true,
 		ColdFrom: 0.3, ColdFor: 20e9, FallMultiple: 2, FallFor: 1e9, Sized: true,
-	}, 7, w)
-	return w
+	}, 7, s)
+	return s
 }
 
 const cells = 3
 
-// pass lets model time pass.
-func (w *world) pass(d int64) {
-	until := w.now + d
-	for len(w.due) > 0 && w.due[0].at <= until {
-		t := heap.Pop(&w.due).(timer)
-		w.now = max(w.now, t.at)
-		t.whose.Due(w.now)
+// advance advances model time by d ns and fires the timers that become due.
+func (s *simulation) advance(d int64) {
+	until := s.now + d
+	for len(s.timers) > 0 && s.timers[0].at <= until {
+		t := heap.Pop(&s.timers).(timer)
+		s.now = max(s.now, t.at)
+		t.due.Due(s.now)
 	}
-	w.now = until
+	s.now = until
 }
 
-func (w *world) query(parts int) {
-	w.all, w.ends = map[string][]*sent{}, 0
-	w.l = w.m.Take(w.now, mixer.Ask{ID: "q", NotAfter: w.now + 2e9, Parts: parts})
+// startLookup starts a lookup with the given number of parts.
+func (s *simulation) startLookup(parts int) {
+	s.attempts, s.endings = map[string][]*attempt{}, 0
+	s.lookup = s.m.Take(s.now, mixer.Ask{ID: "q", NotAfter: s.now + 2e9, Parts: parts})
 	for i := range parts {
-		w.l.AddPart(w.now, mixer.Piece{ID: fmt.Sprint("p", i), Slice: i, Weight: 1 / float64(parts)})
+		s.lookup.AddPart(s.now, mixer.Piece{ID: fmt.Sprint("p", i), Slice: i, Weight: 1 / float64(parts)})
 	}
 }
 
-// answer gives the oldest attempts their answers.
-func (w *world) answer(n int) {
-	for range min(n, len(w.out)) {
-		f := w.out[0]
-		w.out = w.out[1:]
-		f.l.Outcome(w.now, f.part, f.copy, mixer.Satisfied, took, false)
+// answerOldest answers the n oldest attempts in flight.
+func (s *simulation) answerOldest(n int) {
+	for range min(n, len(s.inFlight)) {
+		a := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
+		a.lookup.Outcome(s.now, a.part, a.copy, mixer.Satisfied, attemptNanos, false)
 	}
 }
 
-const took = 3e8
+const attemptNanos = 3e8 // duration reported for an answered attempt
 
-// end has attempts to processes that are no more withdrawn or, where their searcher is not listed, their query left by its client. A list that
-// is told whole has queries look again whose attempts, or others at the same searcher, were lost before, by chance of its coming; in batches
-// only news of their searchers do so. So none may be lost when a list comes.
-func (w *world) end(listed map[string]mixer.Entry, withdrawn bool) {
-	w.pass(2) // those that the news have roused look
-	all := w.out
-	var left []*sent
-	w.out = nil // what is sent meanwhile comes here
-	for _, f := range all {
-		if e, ok := listed[f.searcher]; ok && e.Started == f.started {
-			left = append(left, f)
-		} else if withdrawn || ok {
-			f.l.Outcome(w.now, f.part, f.copy, mixer.Cancelled, 0, false)
+// endLostAttempts cancels attempts to processes that no longer run. Where the backend is not listed any more
+// and cancelled is false, the client disconnects instead.
+//
+// A full list makes the mixer review all lookups that have lost attempts, even those lost before; in batches
+// only the changed backends do so. So that both mixers stay comparable, no attempt may be lost when a list
+// arrives.
+func (s *simulation) endLostAttempts(listed map[string]mixer.Entry, cancelled bool) {
+	s.advance(2) // lookups that the changes have scheduled for review are reviewed
+	before := s.inFlight
+	var kept []*attempt
+	s.inFlight = nil // collects the attempts that are sent meanwhile
+	for _, a := range before {
+		if e, ok := listed[a.searcher]; ok && e.Started == a.started {
+			kept = append(kept, a)
+		} else if cancelled || ok {
+			a.lookup.Outcome(s.now, a.part, a.copy, mixer.Cancelled, 0, false)
 		} else {
-			left = append(left, f)
-			w.leave()
+			kept = append(kept, a)
+			s.disconnectClient()
 		}
 	}
-	w.out = append(left, w.out...)
+	s.inFlight = append(kept, s.inFlight...)
 }
 
-func (w *world) leave() {
-	if w.l != nil {
-		w.l.Gone(w.now)
-		w.l = nil
+// disconnectClient ends the open lookup, if there is one, as its client does by disconnecting.
+func (s *simulation) disconnectClient() {
+	if s.lookup != nil {
+		s.lookup.Gone(s.now)
+		s.lookup = nil
 	}
 }
 
-// TestAsTheWholeListAtOnce plays the same days to two modules: one is told each message at once, as discovery wrote it; the other what the
-// Book makes of it, in batches. Both stand alike in all that can be seen of them, also in what they have drawn by chance: the first
-// is given the message's lines in the order in which the Book gives them, then those that it does not give.
-func TestAsTheWholeListAtOnce(t *testing.T) {
+// TestTrackedBatchesMatchFullMessages runs the same random events against two mixers. One receives each message
+// of the membership list in a single call, as service discovery wrote it; the other receives the entries that a
+// Tracker returns for it, in batches. All observable state of the two must stay equal, including random
+// choices; therefore the first mixer is given the entries in the order in which the Tracker returns them,
+// followed by those that it leaves out.
+func TestTrackedBatchesMatchFullMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, batched := newWorld(), newWorld()
-		var book listing.Tracker
+		direct, batched := newSimulation(), newSimulation()
+		var tracker listing.Tracker
 		listed := map[string]mixer.Entry{}
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}
-		line := func(name string) mixer.Entry {
+		drawEntry := func(name string) mixer.Entry {
 			e, ok := listed[name]
 			if !ok {
 				e = mixer.Entry{Searcher: name, Cell: int(name[0]) % cells, Zone: "z0"}
@@ -160,7 +167,7 @@
 			case 1:
 				e.Status = mixer.Live
 			case 2:
-				e.Started = rapid.SampledFrom([]int64{0, 5e17, 1e18, whole.now - 1e9}).Draw(t, "started")
+				e.Started = rapid.SampledFrom([]int64{0, 5e17, 1e18, direct.now - 1e9}).Draw(t, "started")
 			case 3:
 				e.Cell = rapid.IntRange(-1, cells).Draw(t, "cell")
 			case 4:
@@ -174,91 +181,92 @@
 			}
 			return e
 		}
-		tell := func(t *rapid.T, full bool) {
+		sendMessage := func(t *rapid.T, full bool) {
 			for _, n := range names {
-				st, _ := whole.m.Standing(whole.now, n)
-				also, _ := batched.m.Standing(batched.now, n) // asking brings what is saved up for a cold one up to date
-				if st.Suspect || st.ZoneSilent || also.Suspect || also.ZoneSilent {
-					whole.leave()
-					batched.leave()
+				directState, _ := direct.m.Standing(direct.now, n)
+				batchedState, _ := batched.m.Standing(batched.now, n) // needed in both: it updates the credit of a cold backend
+				if directState.Suspect || directState.ZoneSilent || batchedState.Suspect || batchedState.ZoneSilent {
+					direct.disconnectClient()
+					batched.disconnectClient()
 				}
 			}
-			var lines []mixer.Entry
+			var message []mixer.Entry
 			for _, n := range rapid.Permutation(names).Draw(t, "order") {
 				if rapid.IntRange(0, 3).Draw(t, "named") > 0 {
-					lines = append(lines, line(n))
+					message = append(message, drawEntry(n))
 				}
 			}
 			if full {
 				clear(listed)
 			}
-			for _, e := range lines {
+			for _, e := range message {
 				if listed[e.Searcher] = e; e.Status == mixer.Dead {
 					delete(listed, e.Searcher)
 				}
 			}
-			changed := book.Apply(lines, full)
-			ordered := []mixer.Entry{} // the message as the other module is told it
-			for _, e := range changed {
-				if slices.Contains(lines, e) {
+			changes := tracker.Apply(message, full)
+			ordered := []mixer.Entry{} // the message as the direct mixer receives it
+			for _, e := range changes {
+				if slices.Contains(message, e) {
 					ordered = append(ordered, e)
 				} else if !full {
-					t.Fatalf("%v is in no line of the changes %v", e, lines)
+					t.Fatalf("Apply() returned %v, which is not in the message %v", e, message)
 				}
 			}
-			for _, e := range lines {
+			for _, e := range message {
 				if !slices.Contains(ordered, e) {
 					ordered = append(ordered, e)
 				}
 			}
-			whole.m.Listed(whole.now, ordered, full)
-			for rows := changed; len(rows) > 0; {
-				n := min(len(rows), rapid.IntRange(1, 3).Draw(t, "batch"))
-				batched.m.Listed(batched.now, rows[:n], false)
-				rows = rows[n:]
+			direct.m.Listed(direct.now, ordered, full)
+			for remaining := changes; len(remaining) > 0; {
+				n := min(len(remaining), rapid.IntRange(1, 3).Draw(t, "batch"))
+				batched.m.Listed(batched.now, remaining[:n], false)
+				remaining = remaining[n:]
 			}
-			withdrawn := rapid.Bool().Draw(t, "withdrawn")
-			whole.end(listed, withdrawn)
-			batched.end(listed, withdrawn)
+			cancelled := rapid.Bool().Draw(t, "cancelled")
+			direct.endLostAttempts(listed, cancelled)
+			batched.endLostAttempts(listed, cancelled)
 		}
-		both := func(do func(*world)) {
-			do(whole)
+		both := func(do func(*simulation)) {
+			do(direct)
 			do(batched)
 		}
-		tell(t, true)
+		sendMessage(t, true)
 		t.Repeat(map[string]func(*rapid.T){
-			"whole list": func(t *rapid.T) { tell(t, true) },
-			"changes":    func(t *rapid.T) { tell(t, false) },
-			"query": func(t *rapid.T) {
-				if whole.l != nil && whole.ends == 0 {
-					t.Skip("one is open")
+			"full list": func(t *rapid.T) { sendMessage(t, true) },
+			"changes":   func(t *rapid.T) { sendMessage(t, false) },
+			"lookup": func(t *rapid.T) {
+				if direct.lookup != nil && direct.endings == 0 {
+					t.Skip("a lookup is open")
 				}
 				parts := rapid.IntRange(1, 5).Draw(t, "parts")
-				both(func(w *world) { w.query(parts) })
+				both(func(s *simulation) { s.startLookup(parts) })
 			},
 			"answers": func(t *rapid.T) {
-				n := rapid.IntRange(1, 5).Draw(t, "how many")
-				both(func(w *world) { w.answer(n) })
+				n := rapid.IntRange(1, 5).Draw(t, "answers")
+				both(func(s *simulation) { s.answerOldest(n) })
 			},
-			"the client leaves": func(*rapid.T) { both((*world).leave) },
+			"client disconnects": func(*rapid.T) { both((*simulation).disconnectClient) },
 			"time": func(t *rapid.T) {
 				d := rapid.Int64Range(1, 1e8).Draw(t, "ns")
-				both(func(w *world) {
-					if len(w.out) > 0 && w.now+d-w.out[0].at > took/2 {
-						w.leave() // what was out too long is lost without any news of the list
+				both(func(s *simulation) {
+					if len(s.inFlight) > 0 && s.now+d-s.inFlight[0].sentAt > attemptNanos/2 {
+						s.disconnectClient() // an attempt in flight for too long is lost without any change of the list
 					}
-					w.pass(d)
+					s.advance(d)
 				})
 			},
 			"": func(t *rapid.T) {
-				if len(whole.out) != len(batched.out) || whole.ends != batched.ends {
-					t.Fatalf("%d out and %d ended, in batches %d and %d", len(whole.out), whole.ends, len(batched.out), batched.ends)
+				if len(direct.inFlight) != len(batched.inFlight) || direct.endings != batched.endings {
+					t.Fatalf("batched: %d attempts in flight and %d endings, want %d and %d as without batches",
+						len(batched.inFlight), batched.endings, len(direct.inFlight), direct.endings)
 				}
 				for _, n := range names {
-					a, known := whole.m.Standing(whole.now, n)
-					b, alsoKnown := batched.m.Standing(batched.now, n)
-					if known != alsoKnown || a != b {
-						t.Fatalf("%s: %+v, in batches %+v", n, a, b)
+					want, wantKnown := direct.m.Standing(direct.now, n)
+					got, gotKnown := batched.m.Standing(batched.now, n)
+					if gotKnown != wantKnown || got != want {
+						t.Fatalf("%s: batched: state %+v, want %+v as without batches", n, got, want)
 					}
 				}
 			},
