--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -19,11 +19,11 @@
 	h := &host{
 		in:        bufio.NewReaderSize(in, 1<<16),
 		out:       bufio.NewWriterSize(out, 1<<16),
-		sheets:    map[int64][]mixer.Entry{},
+		lists:     map[int64][]mixer.Entry{},
 		instances: map[string]*instance{},
 	}
 	for {
-		if err := h.batch(); err == io.EOF {
+		if err := h.serveBatch(); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
@@ -33,58 +33,58 @@
 
 // host holds what all instances of one process share: the pipe and the numbered lists.
 type host struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	line      int
-	now       int64
-	sheets    map[int64][]mixer.Entry
-	instances map[string]*instance
+	in         *bufio.Reader
+	out        *bufio.Writer
+	lineNumber int
+	now        int64
+	lists      map[int64][]mixer.Entry
+	instances  map[string]*instance
 }
 
 // fault is a malformed line.
-type fault struct {
-	line               int
-	message, field, is string
+type protocolError struct {
+	line                  int
+	message, field, value string
 }
 
-func (f *fault) Error() string {
-	return fmt.Sprintf("line %d: %s: %s: %q", f.line, f.message, f.field, f.is)
+func (f *protocolError) Error() string {
+	return fmt.Sprintf("line %d: %s: %s: %q", f.line, f.message, f.field, f.value)
 }
 
 // next reads one line; a line that the input cuts short is an error.
-func (h *host) next() (string, error) {
+func (h *host) readLine() (string, error) {
 	s, err := h.in.ReadString('\n')
 	if err == io.EOF && s != "" {
-		h.line++
-		return "", &fault{h.line, "input", "line cut off", clip(s)}
+		h.lineNumber++
+		return "", &protocolError{h.lineNumber, "input", "line cut off", truncate(s)}
 	}
 	if err != nil {
 		return "", err
 	}
-	h.line++
+	h.lineNumber++
 	return strings.TrimSuffix(s[:len(s)-1], "\r"), nil
 }
 
-func clip(s string) string { return s[:min(len(s), 80)] }
+func truncate(s string) string { return s[:min(len(s), 80)] }
 
 // batch reads one batch and writes its reply.
-func (h *host) batch() error {
-	s, err := h.next()
+func (h *host) serveBatch() error {
+	s, err := h.readLine()
 	if err != nil {
 		return err
 	}
-	f := h.split(s)
+	f := h.splitLine(s)
 	if f.message != "mark" {
-		return &fault{h.line, f.message, "a batch starts with", "mark"}
+		return &protocolError{h.lineNumber, f.message, "a batch starts with", "mark"}
 	}
-	h.now = f.time("clock")
+	h.now = f.nanos("clock")
 	if f.err != nil {
 		return f.err
 	}
 	for {
-		s, err := h.next()
+		s, err := h.readLine()
 		if err == io.EOF {
-			return &fault{h.line, "input", "batch cut off before", "eof_batch"}
+			return &protocolError{h.lineNumber, "input", "batch cut off before", "eof_batch"}
 		}
 		if err != nil {
 			return err
@@ -92,7 +92,7 @@
 		if s == "eof_batch" {
 			break
 		}
-		if err := h.event(h.split(s)); err != nil {
+		if err := h.handleEvent(h.splitLine(s)); err != nil {
 			return err
 		}
 	}
@@ -101,34 +101,34 @@
 }
 
 // calls reads the events of an instance, each into the call it stands for.
-var calls = map[string]func(*instance, *fields) func(){
-	"announce": (*instance).announce,
-	"req":      (*instance).take,
-	"settled":  (*instance).settled,
-	"tick_due": (*instance).due,
-	"sampled":  (*instance).sampled,
-	"dropped":  (*instance).dropped,
-	"mail":     (*instance).mail,
-	"started":  (*instance).started,
-	"retire":   (*instance).retire,
+var eventParsers = map[string]func(*instance, *fieldReader) func(){
+	"announce": (*instance).parseAnnounce,
+	"req":      (*instance).parseRequest,
+	"settled":  (*instance).parseSettled,
+	"tick_due": (*instance).parseTickDue,
+	"sampled":  (*instance).parseSampled,
+	"dropped":  (*instance).parseDropped,
+	"mail":     (*instance).parseMail,
+	"started":  (*instance).parseStarted,
+	"retire":   (*instance).parseRetire,
 }
 
 // event makes one call of one line.
-func (h *host) event(f *fields) error {
+func (h *host) handleEvent(f *fieldReader) error {
 	switch f.message {
 	case "define_list":
-		return h.list(f)
+		return h.defineList(f)
 	case "init":
-		return h.start(f)
+		return h.startInstance(f)
 	}
-	read := calls[f.message]
+	read := eventParsers[f.message]
 	if read == nil {
-		return &fault{f.line, f.message, "unknown message", clip(f.message)}
+		return &protocolError{f.line, f.message, "unknown message", truncate(f.message)}
 	}
 	name := f.text("Mixer")
 	i := h.instances[name]
 	if f.err == nil && i == nil {
-		return &fault{f.line, f.message, "unknown Mixer", name}
+		return &protocolError{f.line, f.message, "unknown Mixer", name}
 	}
 	if f.err != nil {
 		return f.err
@@ -137,34 +137,34 @@
 	if f.err != nil {
 		return f.err
 	}
-	i.guard(call)
+	i.callMixer(call)
 	return nil
 }
 
 // list reads a numbered list with its rows.
-func (h *host) list(f *fields) error {
-	sheet, n := f.whole("Sheet"), f.whole("Items")
+func (h *host) defineList(f *fieldReader) error {
+	sheet, n := f.integer("Sheet"), f.integer("Items")
 	if f.err == nil && (n < 0 || sheet < 0) {
-		f.bad("Items", strconv.FormatInt(n, 10))
+		f.reject("Items", strconv.FormatInt(n, 10))
 	}
 	if f.err != nil {
 		return f.err
 	}
 	var rows []mixer.Entry
 	for range n {
-		s, err := h.next()
+		s, err := h.readLine()
 		if err == io.EOF {
-			return &fault{h.line, "define_list", "list cut off after rows", strconv.Itoa(len(rows))}
+			return &protocolError{h.lineNumber, "define_list", "list cut off after rows", strconv.Itoa(len(rows))}
 		}
 		if err != nil {
 			return err
 		}
-		r := h.split(s)
+		r := h.splitLine(s)
 		if r.message != "row" {
-			return &fault{r.line, r.message, "list ends early, expected", "row"}
+			return &protocolError{r.line, r.message, "list ends early, expected", "row"}
 		}
-		e := mixer.Entry{Started: r.timeOr("StartTimeMs", 0), Cell: int(r.whole("Place")), Searcher: r.text("Searcher")}
-		e.Size = r.float("Nominal")
+		e := mixer.Entry{Started: r.nanosOr("StartTimeMs", 0), Cell: int(r.integer("Place")), Searcher: r.text("Searcher")}
+		e.Size = r.optionalFloat("Nominal")
 		r.text("Shape")
 		e.Zone = r.text("Campus")
 		switch st := r.text("Status"); st {
@@ -175,119 +175,121 @@
 		case "dead":
 			e.Status = mixer.Dead
 		default:
-			r.bad("Status", st)
+			r.reject("Status", st)
 		}
 		if r.err != nil {
 			return r.err
 		}
 		rows = append(rows, e)
 	}
-	h.sheets[sheet] = rows
+	h.lists[sheet] = rows
 	return nil
 }
 
 // start hosts a new instance.
-func (h *host) start(f *fields) error {
-	name, seed := f.text("Mixer"), f.whole("Seed")
+func (h *host) startInstance(f *fieldReader) error {
+	name, seed := f.text("Mixer"), f.integer("Seed")
 	if f.err != nil {
 		return f.err
 	}
-	terms, err := charter.ParsePairs(f.left)
+	terms, err := charter.ParsePairs(f.remaining)
 	var ch mixer.Charter
 	var names map[string]int
 	if err == nil {
 		ch, names, err = terms.MixerConfig()
 	}
 	if bad := (*charter.SettingError)(nil); errors.As(err, &bad) {
-		return &fault{f.line, f.message, bad.Key, clip(bad.Value)}
+		return &protocolError{f.line, f.message, bad.Key, truncate(bad.Value)}
 	}
 	i := &instance{
-		host: h, name: name, tariffs: names, customers: terms.TenantRows(ch),
-		lookups: map[string]*held{}, parts: map[string]*heldPart{}, byNumber: map[int64]*held{}, timers: map[int64]mixer.Due{},
+		host: h, name: name, profiles: names, tenants: terms.TenantRows(ch),
+		lookups: map[string]*pendingLookup{}, parts: map[string]*pendingPart{}, byNumber: map[int64]*pendingLookup{}, timers: map[int64]mixer.Due{},
 	}
 	for _, t := range ch.Tariffs {
-		i.secondStep = append(i.secondStep, t.SecondStep > 0)
+		i.hasSecondStep = append(i.hasSecondStep, t.SecondStep > 0)
 	}
 	h.instances[name] = i
-	i.guard(func() { i.m = mixer.New(h.now, ch, seed, i) })
+	i.callMixer(func() { i.mixer = mixer.New(h.now, ch, seed, i) })
 	return nil
 }
 
 // fields reads the values of one line in order and keeps the first fault.
-type fields struct {
-	line    int
-	message string
-	left    []string
-	err     error
+type fieldReader struct {
+	line      int
+	message   string
+	remaining []string
+	err       error
 }
 
-func (h *host) split(s string) *fields {
+func (h *host) splitLine(s string) *fieldReader {
 	p := strings.Split(s, "\t")
-	return &fields{line: h.line, message: p[0], left: p[1:]}
+	return &fieldReader{line: h.lineNumber, message: p[0], remaining: p[1:]}
 }
 
-func (f *fields) bad(field, is string) {
+func (f *fieldReader) reject(field, is string) {
 	if f.err == nil {
-		f.err = &fault{f.line, f.message, field, clip(is)}
+		f.err = &protocolError{f.line, f.message, field, truncate(is)}
 	}
 }
 
 // text takes the next value as it stands.
-func (f *fields) text(field string) string {
-	if len(f.left) == 0 {
-		f.bad(field, "(missing)")
+func (f *fieldReader) text(field string) string {
+	if len(f.remaining) == 0 {
+		f.reject(field, "(missing)")
 		return ""
 	}
-	s := f.left[0]
-	f.left = f.left[1:]
+	s := f.remaining[0]
+	f.remaining = f.remaining[1:]
 	if s == "" {
-		f.bad(field, s)
+		f.reject(field, s)
 	}
 	return s
 }
 
-func (f *fields) whole(field string) int64 {
+func (f *fieldReader) integer(field string) int64 {
 	s := f.text(field)
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.bad(field, s)
+		f.reject(field, s)
 	}
 	return n
 }
 
-func (f *fields) float(field string) float64 {
+func (f *fieldReader) optionalFloat(field string) float64 {
 	s := f.text(field)
 	if s == "-" {
 		return 0
 	}
-	return f.number(field, s)
+	return f.parseFloat(field, s)
 }
 
-func (f *fields) number(field, s string) float64 {
+func (f *fieldReader) parseFloat(field, s string) float64 {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || x != x || x > 1e15 || x < -1e15 {
-		f.bad(field, s)
+		f.reject(field, s)
 		return 0
 	}
 	return x
 }
 
 // time reads milliseconds as whole nanoseconds.
-func (f *fields) time(field string) int64 { return charter.MillisToNanos(f.number(field, f.text(field))) }
+func (f *fieldReader) nanos(field string) int64 {
+	return charter.MillisToNanos(f.parseFloat(field, f.text(field)))
+}
 
 // timeOr is time for a value that may be absent.
-func (f *fields) timeOr(field string, absent int64) int64 {
+func (f *fieldReader) nanosOr(field string, absent int64) int64 {
 	s := f.text(field)
 	if s == "-" {
 		return absent
 	}
-	return charter.MillisToNanos(f.number(field, s))
+	return charter.MillisToNanos(f.parseFloat(field, s))
 }
 
-func (f *fields) bool(field string) bool {
+func (f *fieldReader) boolean(field string) bool {
 	s := f.text(field)
 	if s != "0" && s != "1" {
-		f.bad(field, s)
+		f.reject(field, s)
 	}
 	return s == "1"
 }
--- a/internal/wire/instance.go
+++ b/internal/wire/instance.go
@@ -12,98 +12,98 @@
 
 // instance is one mixer with the ids and timer references by which the wire knows what it holds.
 type instance struct {
-	host       *host
-	name       string
-	m          *mixer.Mixer
-	tariffs    map[string]int
-	customers  map[string]int
-	secondStep []bool // by tariff, whether its lookups have one
-	lookups    map[string]*held
-	byNumber   map[int64]*held
-	parts      map[string]*heldPart
-	timers     map[int64]mixer.Due
-	lastRef    int64
+	host          *host
+	name          string
+	mixer         *mixer.Mixer
+	profiles      map[string]int
+	tenants       map[string]int
+	hasSecondStep []bool // by tariff, whether its lookups have one
+	lookups       map[string]*pendingLookup
+	byNumber      map[int64]*pendingLookup
+	parts         map[string]*pendingPart
+	timers        map[int64]mixer.Due
+	lastTimerRef  int64
 }
 
 // held is a lookup that has no final answer yet.
-type held struct {
-	h      *mixer.Lookup
-	id     string
-	number int64
-	fetch  bool
-	parts  []string
+type pendingLookup struct {
+	handle        *mixer.Lookup
+	id            string
+	number        int64
+	secondStepDue bool
+	parts         []string
 }
 
 // heldPart is a part that may still get an outcome.
-type heldPart struct {
-	of    *held
-	index int
-	out   int // forwards without an outcome
-	ended bool
+type pendingPart struct {
+	lookup      *pendingLookup
+	index       int
+	inFlight    int // forwards without an outcome
+	lookupEnded bool
 }
 
 // guard turns a failure inside the mixer into the message that declares it broken.
-func (i *instance) guard(call func()) {
+func (i *instance) callMixer(call func()) {
 	defer func() {
 		if r := recover(); r != nil {
 			text := strings.NewReplacer("\n", " ", "\t", " ", "\r", " ").Replace(fmt.Sprint(r))
-			i.say("give_in", text)
+			i.writeAction("give_in", text)
 		}
 	}()
 	call()
 }
 
-func (i *instance) announce(f *fields) func() {
+func (i *instance) parseAnnounce(f *fieldReader) func() {
 	form := f.text("Form")
-	f.whole("Gen")
+	f.integer("Gen")
 	if form == "refused" {
-		return func() { i.m.ListRefused(i.host.now) }
+		return func() { i.mixer.ListRefused(i.host.now) }
 	}
-	sheet := f.whole("Sheet")
-	rows, ok := i.host.sheets[sheet]
+	sheet := f.integer("Sheet")
+	rows, ok := i.host.lists[sheet]
 	if !ok {
-		f.bad("Sheet", strconv.FormatInt(sheet, 10))
+		f.reject("Sheet", strconv.FormatInt(sheet, 10))
 	}
 	switch form {
 	case "changes":
-		return func() { i.m.Listed(i.host.now, rows, false) }
+		return func() { i.mixer.Listed(i.host.now, rows, false) }
 	case "all", "remembered":
-		return func() { i.m.Listed(i.host.now, rows, true) }
+		return func() { i.mixer.Listed(i.host.now, rows, true) }
 	}
-	f.bad("Form", form)
+	f.reject("Form", form)
 	return nil
 }
 
-func (i *instance) take(f *fields) func() {
+func (i *instance) parseRequest(f *fieldReader) func() {
 	id, grade := f.text("Corr"), f.text("Grade")
 	customer := 0
-	if realm := f.text("Realm"); realm != "-" && realm != "0" && len(i.customers) > 0 {
-		if customer = i.customers[realm]; customer == 0 {
-			f.bad("Realm", realm)
+	if realm := f.text("Realm"); realm != "-" && realm != "0" && len(i.tenants) > 0 {
+		if customer = i.tenants[realm]; customer == 0 {
+			f.reject("Realm", realm)
 		}
 	}
 	if s := f.text("Object"); s != "-" {
 		if _, err := strconv.ParseUint(s, 10, 64); err != nil {
-			f.bad("Object", s)
+			f.reject("Object", s)
 		}
 	}
-	notAfter, effort := f.time("NotAfterMs"), f.timeOr("EffortMs", 0)
-	number, slice, amount, bits := f.whole("WholeNo"), f.whole("Slice"), f.float("Amount"), f.whole("Bits")
-	tariff, ok := i.tariffs[grade]
+	notAfter, effort := f.nanos("NotAfterMs"), f.nanosOr("EffortMs", 0)
+	number, slice, amount, bits := f.integer("WholeNo"), f.integer("Slice"), f.optionalFloat("Amount"), f.integer("Bits")
+	tariff, ok := i.profiles[grade]
 	if !ok {
-		f.bad("Grade", grade)
+		f.reject("Grade", grade)
 	}
 	if bits&1 == 0 {
 		effort = 0
 	}
 	if slice < 0 {
 		if amount < 1 || amount != math.Trunc(amount) {
-			f.bad("Amount", strconv.FormatFloat(amount, 'g', -1, 64))
+			f.reject("Amount", strconv.FormatFloat(amount, 'g', -1, 64))
 		}
 		return func() {
-			l := &held{id: id, number: number, fetch: i.secondStep[tariff]}
+			l := &pendingLookup{id: id, number: number, secondStepDue: i.hasSecondStep[tariff]}
 			i.lookups[id], i.byNumber[number] = l, l
-			l.h = i.m.Take(i.host.now, mixer.Ask{
+			l.handle = i.mixer.Take(i.host.now, mixer.Ask{
 				ID: id, Tariff: tariff, NotAfter: notAfter, Parts: int(amount), Again: bits&2 != 0, Customer: customer})
 		}
 	}
@@ -112,9 +112,9 @@
 		if l == nil {
 			return // its lookup has ended within this batch
 		}
-		i.parts[id] = &heldPart{of: l, index: len(l.parts)}
+		i.parts[id] = &pendingPart{lookup: l, index: len(l.parts)}
 		l.parts = append(l.parts, id)
-		l.h.AddPart(i.host.now, mixer.Piece{ID: id, Slice: int(slice), Weight: amount, Effort: effort})
+		l.handle.AddPart(i.host.now, mixer.Piece{ID: id, Slice: int(slice), Weight: amount, Effort: effort})
 	}
 }
 
@@ -123,17 +123,17 @@
 	252: mixer.Unreached, 251: mixer.Reset, 250: mixer.Cancelled, 249: mixer.Moot,
 }
 
-func (f *fields) outcome(field string) mixer.Outcome {
-	n := f.whole(field)
+func (f *fieldReader) outcome(field string) mixer.Outcome {
+	n := f.integer(field)
 	o, ok := outcomes[n]
 	if !ok {
-		f.bad(field, strconv.FormatInt(n, 10))
+		f.reject(field, strconv.FormatInt(n, 10))
 	}
 	return o
 }
 
 // load checks a load report; no decision reads one, and values it does not know are skipped.
-func (f *fields) load(field string) {
+func (f *fieldReader) checkLoadReport(field string) {
 	s := f.text(field)
 	if s == "-" || f.err != nil {
 		return
@@ -141,31 +141,31 @@
 	for _, pair := range strings.Split(s, ",") {
 		_, v, ok := strings.Cut(pair, ":")
 		if !ok {
-			f.bad(field, pair)
+			f.reject(field, pair)
 			return
 		}
-		f.number(field, v)
+		f.parseFloat(field, v)
 	}
 }
 
-func (i *instance) settled(f *fields) func() {
-	id, copy, over, took := f.text("Corr"), f.whole("Copy"), f.bool("Over"), f.time("DurationMs")
+func (i *instance) parseSettled(f *fieldReader) func() {
+	id, copy, over, took := f.text("Corr"), f.integer("Copy"), f.boolean("Over"), f.nanos("DurationMs")
 	result := f.outcome("Result")
 	f.text("Searcher")
-	f.load("Gauge")
+	f.checkLoadReport("Gauge")
 	return func() {
 		p := i.parts[id]
 		if p == nil {
 			return
 		}
-		p.out--
-		i.letGo(id, p)
-		p.of.h.Outcome(i.host.now, p.index, int(copy), result, took, over)
+		p.inFlight--
+		i.releasePart(id, p)
+		p.lookup.handle.Outcome(i.host.now, p.index, int(copy), result, took, over)
 	}
 }
 
-func (i *instance) due(f *fields) func() {
-	ref := f.whole("Ref")
+func (i *instance) parseTickDue(f *fieldReader) func() {
+	ref := f.integer("Ref")
 	return func() {
 		whose := i.timers[ref]
 		delete(i.timers, ref)
@@ -176,50 +176,50 @@
 }
 
 // sampled checks the result of a probe; none are sent, so it has no effect.
-func (i *instance) sampled(f *fields) func() {
+func (i *instance) parseSampled(f *fieldReader) func() {
 	f.text("Searcher")
 	f.outcome("Result")
-	f.time("DurationMs")
-	f.load("Gauge")
+	f.nanos("DurationMs")
+	f.checkLoadReport("Gauge")
 	return func() {}
 }
 
-func (i *instance) dropped(f *fields) func() {
+func (i *instance) parseDropped(f *fieldReader) func() {
 	id := f.text("Corr")
 	return func() {
 		if l := i.lookups[id]; l != nil {
-			i.end(id)
-			l.h.Gone(i.host.now)
+			i.endLookup(id)
+			l.handle.Gone(i.host.now)
 		}
 	}
 }
 
 // mail checks a message from another mixer; mixers here share nothing, so it has no effect.
-func (i *instance) mail(f *fields) func() {
-	f.whole("Author")
+func (i *instance) parseMail(f *fieldReader) func() {
+	f.integer("Author")
 	if msg := f.text("Msg"); msg != "-" {
 		if _, err := base64.StdEncoding.DecodeString(msg); err != nil {
-			f.bad("Msg", msg)
+			f.reject("Msg", msg)
 		}
 	}
 	return func() {}
 }
 
 // started checks the start of a streamed answer; no tariff streams, so it has no effect.
-func (i *instance) started(f *fields) func() {
+func (i *instance) parseStarted(f *fieldReader) func() {
 	f.text("Corr")
-	f.time("DurationMs")
+	f.nanos("DurationMs")
 	f.text("Searcher")
-	f.whole("Copy")
+	f.integer("Copy")
 	return func() {}
 }
 
-func (i *instance) retire(f *fields) func() {
+func (i *instance) parseRetire(f *fieldReader) func() {
 	return func() { delete(i.host.instances, i.name) }
 }
 
 // end forgets a lookup; its parts stay known until their forwards have had their outcomes.
-func (i *instance) end(id string) {
+func (i *instance) endLookup(id string) {
 	l := i.lookups[id]
 	if l == nil {
 		return
@@ -228,20 +228,20 @@
 	delete(i.byNumber, l.number)
 	for _, part := range l.parts {
 		if p := i.parts[part]; p != nil {
-			p.ended = true
-			i.letGo(part, p)
+			p.lookupEnded = true
+			i.releasePart(part, p)
 		}
 	}
 }
 
-func (i *instance) letGo(id string, p *heldPart) {
-	if p.ended && p.out == 0 {
+func (i *instance) releasePart(id string, p *pendingPart) {
+	if p.lookupEnded && p.inFlight == 0 {
 		delete(i.parts, id)
 	}
 }
 
 // say writes one action.
-func (i *instance) say(message string, values ...string) {
+func (i *instance) writeAction(message string, values ...string) {
 	w := i.host.out
 	w.WriteString(message)
 	w.WriteByte('\t')
@@ -253,9 +253,9 @@
 	w.WriteByte('\n')
 }
 
-func millis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', -1, 64) }
+func formatMillis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', -1, 64) }
 
-func bit(b bool) string {
+func formatBool(b bool) string {
 	if b {
 		return "1"
 	}
@@ -266,42 +266,42 @@
 
 func (i *instance) Forward(part, searcher string, within int64) {
 	if p := i.parts[part]; p != nil {
-		p.out++
+		p.inFlight++
 	}
-	i.say("assign", part, searcher, millis(within))
+	i.writeAction("assign", part, searcher, formatMillis(within))
 }
 
 func (i *instance) Cancel(part string, forward int) {
-	i.say("stop_attempt", part, strconv.Itoa(forward))
+	i.writeAction("stop_attempt", part, strconv.Itoa(forward))
 }
 
 func (i *instance) Answer(lookup string, whole bool) {
-	i.say("gather_up", lookup, bit(whole))
-	if l := i.lookups[lookup]; l != nil && l.fetch {
-		l.fetch = false // a second step follows
+	i.writeAction("gather_up", lookup, formatBool(whole))
+	if l := i.lookups[lookup]; l != nil && l.secondStepDue {
+		l.secondStepDue = false // a second step follows
 		return
 	}
-	i.end(lookup)
+	i.endLookup(lookup)
 }
 
 func (i *instance) Bounce(lookup string, wait int64) {
-	i.say("reject", lookup, millis(wait))
-	i.end(lookup)
+	i.writeAction("reject", lookup, formatMillis(wait))
+	i.endLookup(lookup)
 }
 
 func (i *instance) Fail(lookup string) {
-	i.say("abort", lookup)
-	i.end(lookup)
+	i.writeAction("abort", lookup)
+	i.endLookup(lookup)
 }
 
-func (i *instance) CloseIdle(searcher string) { i.say("close_idle", searcher) }
+func (i *instance) CloseIdle(searcher string) { i.writeAction("close_idle", searcher) }
 
 func (i *instance) Timer(after int64, whose mixer.Due) {
-	i.lastRef++
-	i.timers[i.lastRef] = whose
-	i.say("set_timer", millis(after), strconv.FormatInt(i.lastRef, 10))
+	i.lastTimerRef++
+	i.timers[i.lastTimerRef] = whose
+	i.writeAction("set_timer", formatMillis(after), strconv.FormatInt(i.lastTimerRef, 10))
 }
 
-func (i *instance) Subscribe() { i.say("watch", "1") }
+func (i *instance) Subscribe() { i.writeAction("watch", "1") }
 
-func (i *instance) Note(text string) { i.say("debug", text) }
+func (i *instance) Note(text string) { i.writeAction("debug", text) }
