--- a/internal/charter/limits.go
+++ b/internal/charter/limits.go
@@ -46,9 +46,9 @@
 	MaxIDBytes          int           // of a lookup's ID
 }
 
-// Limits returns the limits that the settings state, together with the fixed ones. The charter c must come
-// from the same settings. The limits of the platform are left zero.
-func (t Settings) Limits(c mixer.Charter) (Limits, error) {
+// Limits returns the limits that the settings state, together with the fixed ones. The configuration c
+// must come from the same settings. The limits of the platform are left zero.
+func (t Settings) Limits(c mixer.Config) (Limits, error) {
 	s := &settingReader{settings: t}
 	l := Limits{
 		Shards:              s.integer("FamilyInfo.Slabs", true, 1),
--- a/internal/charter/overlay.go
+++ b/internal/charter/overlay.go
@@ -66,7 +66,7 @@
 // overlay is the state of applying one document to base settings.
 type overlay struct {
 	base, settings Settings
-	baseConfig     mixer.Charter
+	baseConfig     mixer.Config
 	values         map[string]documentValue // by path
 	errs           []SettingError
 }
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -86,7 +86,7 @@
 
 // What these sums take from the program is what the program has.
 func TestBoundsAreTheProgram(t *testing.T) {
-	l, _ := charter.Settings{}.Limits(mixer.Charter{})
+	l, _ := charter.Settings{}.Limits(mixer.Config{})
 	if l.MaxListMessageBytes != boundLine {
 		t.Errorf("a message of the list may have %d, the sums say %d", l.MaxListMessageBytes, boundLine)
 	}
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -30,8 +30,8 @@
 	Sized                 bool
 }
 
-// LayoutOf returns the layout of a charter's deployment.
-func LayoutOf(c mixer.Charter) Layout { return Layout{c.Cells, c.Reach, c.PerCall, c.Sized} }
+// LayoutOf returns the layout of the deployment that a mixer is configured for.
+func LayoutOf(c mixer.Config) Layout { return Layout{c.Cells, c.Reach, c.PerCall, c.Sized} }
 
 // envelope is the content of the file: the encoded record and its SHA-256 digest in hex.
 type envelope struct {
@@ -41,14 +41,14 @@
 
 // record is the stored state, with the time at which it was captured.
 type record struct {
-	FormatVersion int        `json:"Form"`
-	CapturedAt    time.Time  `json:"At"`
-	Layout        Layout     `json:"Shape"`
-	State         mixer.Kept `json:"Kept"`
+	FormatVersion int            `json:"Form"`
+	CapturedAt    time.Time      `json:"At"`
+	Layout        Layout         `json:"Shape"`
+	State         mixer.Snapshot `json:"Kept"`
 }
 
 // Write atomically replaces the file at path with the state that was captured at the given time.
-func Write(path string, capturedAt time.Time, layout Layout, state mixer.Kept) error {
+func Write(path string, capturedAt time.Time, layout Layout, state mixer.Snapshot) error {
 	raw, err := json.Marshal(record{formatVersion, capturedAt, layout, state})
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 // Read returns the state in the file at path and the time at which it was captured. The error of a rejected
 // file starts with the kind of fault: unreadable, truncated, corrupt, incompatible (another format or layout),
 // stale (older than maxAge, or from the future) or invalid (figures out of range).
-func Read(path string, now time.Time, layout Layout) (capturedAt time.Time, state mixer.Kept, err error) {
+func Read(path string, now time.Time, layout Layout) (capturedAt time.Time, state mixer.Snapshot, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return capturedAt, state, fmt.Errorf("unreadable: %w", err)
--- a/internal/listing/equivalence_test.go
+++ b/internal/listing/equivalence_test.go
@@ -12,7 +12,7 @@
 	"nettlefold/mixer"
 )
 
-// simulation runs one mixer in model time and records its calls. It implements mixer.Floor.
+// simulation runs one mixer in model time and records its calls. It implements mixer.Environment.
 type simulation struct {
 	m        *mixer.Mixer
 	now      int64 // ns
@@ -32,9 +32,9 @@
 }
 
 type timer struct {
-	at    int64
-	count int // breaks ties
-	due   mixer.Due
+	at      int64
+	count   int // breaks ties
+	handler mixer.TimerHandler
 }
 
 type timerHeap []timer
@@ -54,25 +54,25 @@
 func (s *simulation) Forward(part, searcher string, _ int64) {
 	var i int
 	fmt.Sscanf(part, "p%d", &i)
-	state, _ := s.m.Standing(s.now, searcher)
+	state, _ := s.m.SearcherState(s.now, searcher)
 	a := &attempt{searcher: searcher, started: state.Started, part: i, copy: len(s.attempts[part]), sentAt: s.now, lookup: s.lookup}
 	s.attempts[part] = append(s.attempts[part], a)
 	s.inFlight = append(s.inFlight, a)
 }
 func (s *simulation) Cancel(string, int)   {}
 func (s *simulation) Answer(string, bool)  { s.endings++ }
-func (s *simulation) Bounce(string, int64) { s.endings++ }
+func (s *simulation) Reject(string, int64) { s.endings++ }
 func (s *simulation) Fail(string)          { s.endings++ }
 func (s *simulation) CloseIdle(string)     {}
 func (s *simulation) Subscribe()           {}
 func (s *simulation) Note(string)          {}
-func (s *simulation) Timer(after int64, due mixer.Due) {
-	heap.Push(&s.timers, timer{s.now + after, s.timers.Len() + int(s.now), due})
+func (s *simulation) SetTimer(after int64, handler mixer.TimerHandler) {
+	heap.Push(&s.timers, timer{s.now + after, s.timers.Len() + int(s.now), handler})
 }
 
 func newSimulation() *simulation {
 	s := &simulation{now: 1e18, attempts: map[string][]*attempt{}}
-	s.m = mixer.New(s.now, mixer.Charter{
+	s.m = mixer.New(s.now, mixer.Config{
 		Tariffs: []mixer.Tariff{{Expected: 1e9, Patience: 2e9, CompleteFrom: 1, LeastShare: 1}},
 		Zone:    "z0", Mixers: 3, Cells: cells, Reach: 2, PerCall: 2, MaxForwards: 3, MayCopy: true, MayCancel: true,
 		ColdFrom: 0.3, ColdFor: 20e9, FallMultiple: 2, FallFor: 1e9, Sized: true,
@@ -88,7 +88,7 @@
 	for len(s.timers) > 0 && s.timers[0].at <= until {
 		t := heap.Pop(&s.timers).(timer)
 		s.now = max(s.now, t.at)
-		t.due.Due(s.now)
+		t.handler.HandleTimer(s.now)
 	}
 	s.now = until
 }
@@ -96,9 +96,9 @@
 // startLookup starts a lookup with the given number of parts.
 func (s *simulation) startLookup(parts int) {
 	s.attempts, s.endings = map[string][]*attempt{}, 0
-	s.lookup = s.m.Take(s.now, mixer.Ask{ID: "q", NotAfter: s.now + 2e9, Parts: parts})
+	s.lookup = s.m.StartLookup(s.now, mixer.LookupRequest{ID: "q", NotAfter: s.now + 2e9, Parts: parts})
 	for i := range parts {
-		s.lookup.AddPart(s.now, mixer.Piece{ID: fmt.Sprint("p", i), Slice: i, Weight: 1 / float64(parts)})
+		s.lookup.AddPart(s.now, mixer.PartRequest{ID: fmt.Sprint("p", i), Slice: i, Weight: 1 / float64(parts)})
 	}
 }
 
@@ -107,7 +107,7 @@
 	for range min(n, len(s.inFlight)) {
 		a := s.inFlight[0]
 		s.inFlight = s.inFlight[1:]
-		a.lookup.Outcome(s.now, a.part, a.copy, mixer.Satisfied, attemptNanos, false)
+		a.lookup.HandleOutcome(s.now, a.part, a.copy, mixer.Succeeded, attemptNanos, false)
 	}
 }
 
@@ -128,7 +128,7 @@
 		if e, ok := listed[a.searcher]; ok && e.Started == a.started {
 			kept = append(kept, a)
 		} else if cancelled || ok {
-			a.lookup.Outcome(s.now, a.part, a.copy, mixer.Cancelled, 0, false)
+			a.lookup.HandleOutcome(s.now, a.part, a.copy, mixer.Cancelled, 0, false)
 		} else {
 			kept = append(kept, a)
 			s.disconnectClient()
@@ -140,7 +140,7 @@
 // disconnectClient ends the open lookup, if there is one, as its client does by disconnecting.
 func (s *simulation) disconnectClient() {
 	if s.lookup != nil {
-		s.lookup.Gone(s.now)
+		s.lookup.Abandon(s.now)
 		s.lookup = nil
 	}
 }
@@ -183,8 +183,8 @@
 		}
 		sendMessage := func(t *rapid.T, full bool) {
 			for _, n := range names {
-				directState, _ := direct.m.Standing(direct.now, n)
-				batchedState, _ := batched.m.Standing(batched.now, n) // needed in both: it updates the credit of a cold backend
+				directState, _ := direct.m.SearcherState(direct.now, n)
+				batchedState, _ := batched.m.SearcherState(batched.now, n) // needed in both: it updates the credit of a cold backend
 				if directState.Suspect || directState.ZoneSilent || batchedState.Suspect || batchedState.ZoneSilent {
 					direct.disconnectClient()
 					batched.disconnectClient()
@@ -218,10 +218,10 @@
 					ordered = append(ordered, e)
 				}
 			}
-			direct.m.Listed(direct.now, ordered, full)
+			direct.m.UpdateList(direct.now, ordered, full)
 			for remaining := changes; len(remaining) > 0; {
 				n := min(len(remaining), rapid.IntRange(1, 3).Draw(t, "batch"))
-				batched.m.Listed(batched.now, remaining[:n], false)
+				batched.m.UpdateList(batched.now, remaining[:n], false)
 				remaining = remaining[n:]
 			}
 			cancelled := rapid.Bool().Draw(t, "cancelled")
@@ -263,8 +263,8 @@
 						len(batched.inFlight), batched.endings, len(direct.inFlight), direct.endings)
 				}
 				for _, n := range names {
-					want, wantKnown := direct.m.Standing(direct.now, n)
-					got, gotKnown := batched.m.Standing(batched.now, n)
+					want, wantKnown := direct.m.SearcherState(direct.now, n)
+					got, gotKnown := batched.m.SearcherState(batched.now, n)
 					if gotKnown != wantKnown || got != want {
 						t.Fatalf("%s: batched: state %+v, want %+v as without batches", n, got, want)
 					}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -193,7 +193,7 @@
 		return f.err
 	}
 	terms, err := charter.ParsePairs(f.remaining)
-	var ch mixer.Charter
+	var ch mixer.Config
 	var names map[string]int
 	if err == nil {
 		ch, names, err = terms.MixerConfig()
@@ -203,7 +203,7 @@
 	}
 	i := &instance{
 		host: h, name: name, profiles: names, tenants: terms.TenantRows(ch),
-		lookups: map[string]*pendingLookup{}, parts: map[string]*pendingPart{}, byNumber: map[int64]*pendingLookup{}, timers: map[int64]mixer.Due{},
+		lookups: map[string]*pendingLookup{}, parts: map[string]*pendingPart{}, byNumber: map[int64]*pendingLookup{}, timers: map[int64]mixer.TimerHandler{},
 	}
 	for _, t := range ch.Tariffs {
 		i.hasSecondStep = append(i.hasSecondStep, t.SecondStep > 0)
--- a/internal/wire/instance.go
+++ b/internal/wire/instance.go
@@ -21,7 +21,7 @@
 	lookups       map[string]*pendingLookup
 	byNumber      map[int64]*pendingLookup
 	parts         map[string]*pendingPart
-	timers        map[int64]mixer.Due
+	timers        map[int64]mixer.TimerHandler
 	lastTimerRef  int64
 }
 
@@ -57,7 +57,7 @@
 	form := f.text("Form")
 	f.integer("Gen")
 	if form == "refused" {
-		return func() { i.mixer.ListRefused(i.host.now) }
+		return func() { i.mixer.ListFailed(i.host.now) }
 	}
 	sheet := f.integer("Sheet")
 	rows, ok := i.host.lists[sheet]
@@ -66,9 +66,9 @@
 	}
 	switch form {
 	case "changes":
-		return func() { i.mixer.Listed(i.host.now, rows, false) }
+		return func() { i.mixer.UpdateList(i.host.now, rows, false) }
 	case "all", "remembered":
-		return func() { i.mixer.Listed(i.host.now, rows, true) }
+		return func() { i.mixer.UpdateList(i.host.now, rows, true) }
 	}
 	f.reject("Form", form)
 	return nil
@@ -103,7 +103,7 @@
 		return func() {
 			l := &pendingLookup{id: id, number: number, secondStepDue: i.hasSecondStep[tariff]}
 			i.lookups[id], i.byNumber[number] = l, l
-			l.handle = i.mixer.Take(i.host.now, mixer.Ask{
+			l.handle = i.mixer.StartLookup(i.host.now, mixer.LookupRequest{
 				ID: id, Tariff: tariff, NotAfter: notAfter, Parts: int(amount), Again: bits&2 != 0, Customer: customer})
 		}
 	}
@@ -114,13 +114,13 @@
 		}
 		i.parts[id] = &pendingPart{lookup: l, index: len(l.parts)}
 		l.parts = append(l.parts, id)
-		l.handle.AddPart(i.host.now, mixer.Piece{ID: id, Slice: int(slice), Weight: amount, Effort: effort})
+		l.handle.AddPart(i.host.now, mixer.PartRequest{ID: id, Slice: int(slice), Weight: amount, Effort: effort})
 	}
 }
 
 var outcomes = map[int64]mixer.Outcome{
-	0: mixer.Satisfied, 255: mixer.Errored, 254: mixer.Bounced, 253: mixer.TimedOut,
-	252: mixer.Unreached, 251: mixer.Reset, 250: mixer.Cancelled, 249: mixer.Moot,
+	0: mixer.Succeeded, 255: mixer.Failed, 254: mixer.Rejected, 253: mixer.TimedOut,
+	252: mixer.Unreachable, 251: mixer.ConnectionReset, 250: mixer.Cancelled, 249: mixer.NeverSent,
 }
 
 func (f *fieldReader) outcome(field string) mixer.Outcome {
@@ -160,7 +160,7 @@
 		}
 		p.inFlight--
 		i.releasePart(id, p)
-		p.lookup.handle.Outcome(i.host.now, p.index, int(copy), result, took, over)
+		p.lookup.handle.HandleOutcome(i.host.now, p.index, int(copy), result, took, over)
 	}
 }
 
@@ -170,7 +170,7 @@
 		whose := i.timers[ref]
 		delete(i.timers, ref)
 		if whose != nil {
-			whose.Due(i.host.now)
+			whose.HandleTimer(i.host.now)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 	return func() {
 		if l := i.lookups[id]; l != nil {
 			i.endLookup(id)
-			l.handle.Gone(i.host.now)
+			l.handle.Abandon(i.host.now)
 		}
 	}
 }
@@ -284,7 +284,7 @@
 	i.endLookup(lookup)
 }
 
-func (i *instance) Bounce(lookup string, wait int64) {
+func (i *instance) Reject(lookup string, wait int64) {
 	i.writeAction("reject", lookup, formatMillis(wait))
 	i.endLookup(lookup)
 }
@@ -296,7 +296,7 @@
 
 func (i *instance) CloseIdle(searcher string) { i.writeAction("close_idle", searcher) }
 
-func (i *instance) Timer(after int64, whose mixer.Due) {
+func (i *instance) SetTimer(after int64, whose mixer.TimerHandler) {
 	i.lastTimerRef++
 	i.timers[i.lastTimerRef] = whose
 	i.writeAction("set_timer", formatMillis(after), strconv.FormatInt(i.lastTimerRef, 10))
