--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,5 +1,7 @@
-// Package wire hosts mixers on the simulator's line protocol: it reads batches of events, turns each
-// into a call on the mixer it names, and writes what that mixer does as the batch's reply.
+// Package wire runs mixers behind the simulator's line protocol. It reads batches of events, turns each event
+// into a call on the mixer that it names, and writes the actions of the mixers as the reply to the batch.
+//
+// A line is a message name followed by its values, separated by tabs. Times are in milliseconds.
 package wire
 
 import (
@@ -14,7 +16,8 @@
 	"nettlefold/mixer"
 )
 
-// Serve answers batches until the input ends.
+// Serve reads batches from in and writes a reply to each to out until in ends. It returns an error if a line is
+// malformed or reading or writing fails.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{
 		in:        bufio.NewReaderSize(in, 1<<16),
@@ -31,32 +34,33 @@
 	}
 }
 
-// host holds what all instances of one process share: the pipe and the numbered lists.
+// host is the state that all instances of one process share.
 type host struct {
 	in         *bufio.Reader
 	out        *bufio.Writer
-	lineNumber int
-	now        int64
-	lists      map[int64][]mixer.Entry
-	instances  map[string]*instance
+	lineNumber int                     // of the line read last, from 1
+	now        int64                   // ns, the simulator's clock as of the current batch
+	lists      map[int64][]mixer.Entry // membership lists by number
+	instances  map[string]*instance    // by name
 }
 
-// fault is a malformed line.
+// protocolError reports a malformed line. If the value of a field is invalid, field is the name of that field;
+// otherwise it describes the fault.
 type protocolError struct {
 	line                  int
 	message, field, value string
 }
 
-func (f *protocolError) Error() string {
-	return fmt.Sprintf("line %d: %s: %s: %q", f.line, f.message, f.field, f.value)
+func (e *protocolError) Error() string {
+	return fmt.Sprintf("line %d: %s: %s: %q", e.line, e.message, e.field, e.value)
 }
 
-// next reads one line; a line that the input cuts short is an error.
+// readLine reads one line without its terminator. A last line without a terminator is an error.
 func (h *host) readLine() (string, error) {
 	s, err := h.in.ReadString('\n')
 	if err == io.EOF && s != "" {
 		h.lineNumber++
-		return "", &protocolError{h.lineNumber, "input", "line cut off", truncate(s)}
+		return "", &protocolError{h.lineNumber, "input", "line truncated", truncate(s)}
 	}
 	if err != nil {
 		return "", err
@@ -65,9 +69,10 @@
 	return strings.TrimSuffix(s[:len(s)-1], "\r"), nil
 }
 
+// truncate shortens a value for an error message.
 func truncate(s string) string { return s[:min(len(s), 80)] }
 
-// batch reads one batch and writes its reply.
+// serveBatch reads one batch and writes its reply. It returns io.EOF if the input has ended.
 func (h *host) serveBatch() error {
 	s, err := h.readLine()
 	if err != nil {
@@ -75,7 +80,7 @@
 	}
 	f := h.splitLine(s)
 	if f.message != "mark" {
-		return &protocolError{h.lineNumber, f.message, "a batch starts with", "mark"}
+		return &protocolError{h.lineNumber, f.message, "batch must start with", "mark"}
 	}
 	h.now = f.nanos("clock")
 	if f.err != nil {
@@ -84,7 +89,7 @@
 	for {
 		s, err := h.readLine()
 		if err == io.EOF {
-			return &protocolError{h.lineNumber, "input", "batch cut off before", "eof_batch"}
+			return &protocolError{h.lineNumber, "input", "batch truncated before", "eof_batch"}
 		}
 		if err != nil {
 			return err
@@ -100,7 +105,8 @@
 	return h.out.Flush()
 }
 
-// calls reads the events of an instance, each into the call it stands for.
+// eventParsers parse the events for an instance by message name. Each returns the call on the mixer that the
+// event stands for, to be made only if the whole line is valid.
 var eventParsers = map[string]func(*instance, *fieldReader) func(){
 	"announce": (*instance).parseAnnounce,
 	"req":      (*instance).parseRequest,
@@ -113,7 +119,7 @@
 	"retire":   (*instance).parseRetire,
 }
 
-// event makes one call of one line.
+// handleEvent handles one line of a batch.
 func (h *host) handleEvent(f *fieldReader) error {
 	switch f.message {
 	case "define_list":
@@ -121,8 +127,8 @@
 	case "init":
 		return h.startInstance(f)
 	}
-	read := eventParsers[f.message]
-	if read == nil {
+	parse := eventParsers[f.message]
+	if parse == nil {
 		return &protocolError{f.line, f.message, "unknown message", truncate(f.message)}
 	}
 	name := f.text("Mixer")
@@ -133,7 +139,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	call := read(i, f)
+	call := parse(i, f)
 	if f.err != nil {
 		return f.err
 	}
@@ -141,10 +147,10 @@
 	return nil
 }
 
-// list reads a numbered list with its rows.
+// defineList reads a numbered membership list and its rows.
 func (h *host) defineList(f *fieldReader) error {
-	sheet, n := f.integer("Sheet"), f.integer("Items")
-	if f.err == nil && (n < 0 || sheet < 0) {
+	number, n := f.integer("Sheet"), f.integer("Items")
+	if f.err == nil && (n < 0 || number < 0) {
 		f.reject("Items", strconv.FormatInt(n, 10))
 	}
 	if f.err != nil {
@@ -154,7 +160,7 @@
 	for range n {
 		s, err := h.readLine()
 		if err == io.EOF {
-			return &protocolError{h.lineNumber, "define_list", "list cut off after rows", strconv.Itoa(len(rows))}
+			return &protocolError{h.lineNumber, "define_list", "list truncated after rows", strconv.Itoa(len(rows))}
 		}
 		if err != nil {
 			return err
@@ -167,7 +173,7 @@
 		e.Size = r.optionalFloat("Nominal")
 		r.text("Shape")
 		e.Zone = r.text("Campus")
-		switch st := r.text("Status"); st {
+		switch status := r.text("Status"); status {
 		case "live":
 			e.Status = mixer.Live
 		case "quiescing":
@@ -175,45 +181,45 @@
 		case "dead":
 			e.Status = mixer.Dead
 		default:
-			r.reject("Status", st)
+			r.reject("Status", status)
 		}
 		if r.err != nil {
 			return r.err
 		}
 		rows = append(rows, e)
 	}
-	h.lists[sheet] = rows
+	h.lists[number] = rows
 	return nil
 }
 
-// start hosts a new instance.
+// startInstance starts the instance that an init message describes.
 func (h *host) startInstance(f *fieldReader) error {
 	name, seed := f.text("Mixer"), f.integer("Seed")
 	if f.err != nil {
 		return f.err
 	}
-	terms, err := charter.ParsePairs(f.remaining)
-	var ch mixer.Config
-	var names map[string]int
+	settings, err := charter.ParsePairs(f.remaining)
+	var config mixer.Config
+	var profiles map[string]int
 	if err == nil {
-		ch, names, err = terms.MixerConfig()
+		config, profiles, err = settings.MixerConfig()
 	}
-	if bad := (*charter.SettingError)(nil); errors.As(err, &bad) {
-		return &protocolError{f.line, f.message, bad.Key, truncate(bad.Value)}
+	if invalid := (*charter.SettingError)(nil); errors.As(err, &invalid) {
+		return &protocolError{f.line, f.message, invalid.Key, truncate(invalid.Value)}
 	}
 	i := &instance{
-		host: h, name: name, profiles: names, tenants: terms.TenantRows(ch),
+		host: h, name: name, profiles: profiles, tenants: settings.TenantRows(config),
 		lookups: map[string]*pendingLookup{}, parts: map[string]*pendingPart{}, byNumber: map[int64]*pendingLookup{}, timers: map[int64]mixer.TimerHandler{},
 	}
-	for _, t := range ch.Tariffs {
-		i.hasSecondStep = append(i.hasSecondStep, t.SecondStep > 0)
+	for _, profile := range config.Tariffs {
+		i.hasSecondStep = append(i.hasSecondStep, profile.SecondStep > 0)
 	}
 	h.instances[name] = i
-	i.callMixer(func() { i.mixer = mixer.New(h.now, ch, seed, i) })
+	i.callMixer(func() { i.mixer = mixer.New(h.now, config, seed, i) })
 	return nil
 }
 
-// fields reads the values of one line in order and keeps the first fault.
+// fieldReader reads the values of one line in order and keeps the first error.
 type fieldReader struct {
 	line      int
 	message   string
@@ -221,18 +227,20 @@
 	err       error
 }
 
+// splitLine returns a reader of the values of a line.
 func (h *host) splitLine(s string) *fieldReader {
-	p := strings.Split(s, "\t")
-	return &fieldReader{line: h.lineNumber, message: p[0], remaining: p[1:]}
+	values := strings.Split(s, "\t")
+	return &fieldReader{line: h.lineNumber, message: values[0], remaining: values[1:]}
 }
 
-func (f *fieldReader) reject(field, is string) {
+// reject records an invalid value unless an earlier one has been recorded.
+func (f *fieldReader) reject(field, value string) {
 	if f.err == nil {
-		f.err = &protocolError{f.line, f.message, field, truncate(is)}
+		f.err = &protocolError{f.line, f.message, field, truncate(value)}
 	}
 }
 
-// text takes the next value as it stands.
+// text returns the next value, which must not be empty.
 func (f *fieldReader) text(field string) string {
 	if len(f.remaining) == 0 {
 		f.reject(field, "(missing)")
@@ -246,6 +254,7 @@
 	return s
 }
 
+// integer returns the next value, a whole number.
 func (f *fieldReader) integer(field string) int64 {
 	s := f.text(field)
 	n, err := strconv.ParseInt(s, 10, 64)
@@ -255,6 +264,7 @@
 	return n
 }
 
+// optionalFloat returns the next value, a number; "-" is 0.
 func (f *fieldReader) optionalFloat(field string) float64 {
 	s := f.text(field)
 	if s == "-" {
@@ -263,6 +273,7 @@
 	return f.parseFloat(field, s)
 }
 
+// parseFloat parses a number of at most 1e15 in magnitude. It returns 0 for an invalid value.
 func (f *fieldReader) parseFloat(field, s string) float64 {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || x != x || x > 1e15 || x < -1e15 {
@@ -272,12 +283,12 @@
 	return x
 }
 
-// time reads milliseconds as whole nanoseconds.
+// nanos returns the next value, a time or duration in milliseconds, as nanoseconds.
 func (f *fieldReader) nanos(field string) int64 {
 	return charter.MillisToNanos(f.parseFloat(field, f.text(field)))
 }
 
-// timeOr is time for a value that may be absent.
+// nanosOr is nanos for an optional value; "-" gives absent.
 func (f *fieldReader) nanosOr(field string, absent int64) int64 {
 	s := f.text(field)
 	if s == "-" {
@@ -286,6 +297,7 @@
 	return charter.MillisToNanos(f.parseFloat(field, s))
 }
 
+// boolean returns the next value, 0 or 1, as a flag.
 func (f *fieldReader) boolean(field string) bool {
 	s := f.text(field)
 	if s != "0" && s != "1" {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,43 +5,45 @@
 	"testing"
 )
 
+// start is a batch that starts instance m and gives it a list with one backend.
 const start = "mark\t1000\ninit\tm\t7\tNInstances=1\tFamilyInfo.Sets=1\tFamilyInfo.Width=1\tPolicyLimits.MaxAttempts=2\t" +
 	"Guarantees.ColdFrom=0.2\tGuarantees.ColdMs=1000\tGuarantees.FallMultiple=2\tGuarantees.FallMs=1000\t" +
 	"MembershipMode=pushed\tProfiles.count=1\tProfiles.0.Name=t\tProfiles.0.Effect=retryable\t" +
 	"Profiles.0.AimMs=500\tProfiles.0.DeadlineMs=900\tNew.Setting=x\n" +
 	"define_list\t0\t1\nrow\t-\t0\tbox\t1\tk\tz\tlive\nannounce\tm\tremembered\t1\t0\neof_batch\n"
 
+// lookup is a batch with a lookup of one part for instance m.
 const lookup = "mark\t1010\nreq\tm\tl1\tt\t-\t-\t1900\t-\t4\t-1\t1\t0\nreq\tm\tp1\tt\t-\t-\t1900\t-\t4\t0\t1\t0\neof_batch\n"
 
-// serve gives the replies to an input, without timers.
+// serve returns the replies to an input without the set_timer actions.
 func serve(t *testing.T, input string) (string, error) {
 	t.Helper()
 	var out strings.Builder
 	err := Serve(strings.NewReader(input), &out)
-	var kept []string
+	var replies []string
 	for line := range strings.Lines(out.String()) {
 		if !strings.HasPrefix(line, "set_timer") {
-			kept = append(kept, line)
+			replies = append(replies, line)
 		}
 	}
-	return strings.Join(kept, ""), err
+	return strings.Join(replies, ""), err
 }
 
-func TestLookupIsAnswered(t *testing.T) {
+func TestLookup(t *testing.T) {
 	got, err := serve(t, start+lookup+"mark\t1100.5\nsettled\tm\tp1\t0\t1\t90.5\t0\tbox\tq:1,new:2\n"+
 		"dropped\tm\tl1\nsettled\tm\tp1\t0\t1\t90.5\t0\tbox\t-\neof_batch\n")
 	want := "ready\nassign\tm\tp1\tbox\t492\nready\ngather_up\tm\tl1\t1\nready\n"
 	if err != nil || got != want {
-		t.Errorf("replies %q, error %v, want %q", got, err, want)
+		t.Errorf("Serve() replies = %q, error = %v, want %q, nil", got, err, want)
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	for _, c := range []struct{ input, want string }{
 		{"hello\n", "line 1: hello"},
 		{"mark\tsoon\n", `line 1: mark: clock: "soon"`},
-		{"mark\t1\n", "batch cut off"},
-		{"mark\t1\neof_ba", "line 2: input: line cut off"},
+		{"mark\t1\n", "batch truncated"},
+		{"mark\t1\neof_ba", "line 2: input: line truncated"},
 		{"mark\t1\nwhat\tm\neof_batch\n", `line 2: what: unknown message: "what"`},
 		{"mark\t1\ntick_due\tm\t1\neof_batch\n", `line 2: tick_due: unknown Mixer: "m"`},
 		{"mark\t1\ndefine_list\t0\t2\nrow\t-\t0\tb\t1\tk\tz\tlive\neof_batch\n", "line 4: eof_batch: list ends early"},
@@ -57,27 +59,29 @@
 	} {
 		_, err := serve(t, c.input)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("input %q gives error %v, want %q", c.input, err, c.want)
+			t.Errorf("input %q: Serve() error = %v, want one containing %q", c.input, err, c.want)
 		}
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+func TestInstanceIsolation(t *testing.T) {
 	alone, err := serve(t, start+lookup)
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := strings.NewReplacer("\tm\t", "\tn\t").Replace(start)
-	both, err := serve(t, start+second+lookup)
-	if err != nil || both != "ready\n"+alone {
-		t.Errorf("beside another instance replies are %q, error %v, want %q more", both, err, alone)
+	together, err := serve(t, start+second+lookup)
+	if err != nil || together != "ready\n"+alone {
+		t.Errorf("beside another instance: Serve() replies = %q, error = %v, want %q, nil", together, err, "ready\n"+alone)
 	}
 }
 
-func TestFailureInsideIsDeclared(t *testing.T) {
+// TestMixerPanic checks that a panic in the mixer, here by an attempt that was never made, is reported as the
+// failure of the instance.
+func TestMixerPanic(t *testing.T) {
 	input := start + lookup + "mark\t1100\nsettled\tm\tp1\t3\t1\t90\t0\tbox\t-\neof_batch\n"
 	if got, err := serve(t, input); err != nil || !strings.Contains(got, "give_in\tm\tindex out of range") &&
 		!strings.Contains(got, "give_in\tm\truntime error") {
-		t.Errorf("replies %q, error %v", got, err)
+		t.Errorf("Serve() replies = %q, error = %v, want give_in with the panic, nil", got, err)
 	}
 }
