--- a/internal/charter/limits.go
+++ b/internal/charter/limits.go
@@ -31,18 +31,18 @@
 
 	// Safety bounds.
 	MaxHeaderBytes      int           // of a client's request
-	ReadTimeout         time.Duration // for a client's whole request; the first one is timed from the start of its connection
+	ReadTimeout         time.Duration // for a client's whole request, the first from the start of its connection
 	SlowRequestAfter    time.Duration // in which a correct client sends a whole request; slower connections are evicted first
 	SingleRequestIdle   time.Duration // in which a client that has sent one request sends its second
 	ReusedIdle          time.Duration // in which a client that has sent several requests sends the next
-	CloseTimeout        time.Duration // for the remaining input of a client connection closed here, or for the client's close
+	CloseTimeout        time.Duration // for the remaining input of a client connection ended here, or for its close
 	WriteTimeout        time.Duration // for a response, or for one frame
 	FrameReadTimeout    time.Duration // for the rest of a backend's frame that has started to arrive; equals ConnectTimeout
 	MaxFrameBytes       int           // of a backend's frame
 	MaxListMessageBytes int           // of one message of the membership list
 	FirstListTimeout    time.Duration // for which startup waits for the first reply of service discovery
-	ReadyTimeout        time.Duration // from process start until it is ready even without a live backend: discovery takes it as up to date by then
-	MaxWatchBackoff     time.Duration // between attempts to open the watch; short, as the agent runs on this machine and a call is cheap
+	ReadyTimeout        time.Duration // from process start until ready without a live backend; discovery takes it as up to date by then
+	MaxWatchBackoff     time.Duration // between attempts to open the watch; short, as calls to the local agent are cheap
 	MaxIDBytes          int           // of a lookup's ID
 }
 
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -15,7 +15,10 @@
 func TestReadAcceptsOrRejectsWholeFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learnt.json")
 	capturedAt, layout := time.Unix(1e9, 5e6), Layout{4, 2, 1, true}
-	state := mixer.Snapshot{Fleet: mixer.Pace{Took: 5e8, Calls: 4}, Process: []mixer.Pace{{Searcher: "s", Started: 7, Took: 1e8, Calls: 2}}}
+	state := mixer.Snapshot{
+		Fleet:   mixer.Pace{Took: 5e8, Calls: 4},
+		Process: []mixer.Pace{{Searcher: "s", Started: 7, Took: 1e8, Calls: 2}},
+	}
 	if err := Write(path, capturedAt, layout, state); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -130,7 +130,8 @@
 	startedEntries := entries[removals+drains:][:starts]
 	added := 0
 	for i := range removals {
-		n := ((i+1)*starts + removals - 1) / removals // additions up to this removal: at least one, so that the list is never empty
+		// Additions up to this removal: at least one, so that the list is never empty.
+		n := ((i+1)*starts + removals - 1) / removals
 		out = append(append(out, startedEntries[added:n]...), entries[i])
 		added = n
 	}
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -53,7 +53,8 @@
 		"another size":    func(e *mixer.Entry) { e.Size = 2 },
 	} {
 		changed := entry("b", change)
-		if got, want := tracker.Apply([]mixer.Entry{entry("a", nil), changed, entry("c", nil), entry("d", nil)}, true), []mixer.Entry{changed}; !slices.Equal(got, want) {
+		list, want := []mixer.Entry{entry("a", nil), changed, entry("c", nil), entry("d", nil)}, []mixer.Entry{changed}
+		if got := tracker.Apply(list, true); !slices.Equal(got, want) {
 			t.Errorf("%s: Apply() = %v, want %v", name, got, want)
 		}
 		if got := tracker.Apply([]mixer.Entry{changed}, false); len(got) != 0 {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -209,7 +209,8 @@
 	}
 	i := &instance{
 		host: h, name: name, profiles: profiles, tenants: settings.TenantRows(config),
-		lookups: map[string]*pendingLookup{}, parts: map[string]*pendingPart{}, byNumber: map[int64]*pendingLookup{}, timers: map[int64]mixer.TimerHandler{},
+		lookups: map[string]*pendingLookup{}, parts: map[string]*pendingPart{},
+		byNumber: map[int64]*pendingLookup{}, timers: map[int64]mixer.TimerHandler{},
 	}
 	for _, profile := range config.Tariffs {
 		i.hasSecondStep = append(i.hasSecondStep, profile.SecondStep > 0)
