--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -93,7 +93,7 @@
 	for file, names := range map[string]map[string]string{
 		"../../learnt/learnt.go":     {"maxFile": "4 << 20"},
 		"../../settings/settings.go": {"maxFile": "1 << 20"},
-		"../../../mixer/mixer.go":    {"endMargin": "8 * ms", "room": "0.33", "coldMargin": "0.8", "coldSpread": "2.0"},
+		"../../../mixer/mixer.go":    {"deadlineMargin": "8 * ms", "admissionShare": "0.33", "coldMargin": "0.8", "coldDeviations": "2.0"},
 	} {
 		raw, err := os.ReadFile(file)
 		if err != nil {
--- a/internal/lab/capacity/query.go
+++ b/internal/lab/capacity/query.go
@@ -31,12 +31,12 @@
 		h.answered++
 	}
 }
-func (h *hollow) Reject(string, int64)   { h.others++ }
-func (h *hollow) Fail(string)            { h.others++ }
-func (h *hollow) CloseIdle(string)       { h.others++ }
+func (h *hollow) Reject(string, int64)               { h.others++ }
+func (h *hollow) Fail(string)                        { h.others++ }
+func (h *hollow) CloseIdle(string)                   { h.others++ }
 func (h *hollow) SetTimer(int64, mixer.TimerHandler) { h.timers++ }
-func (h *hollow) Subscribe()             {}
-func (h *hollow) Note(string)            { h.notes++ }
+func (h *hollow) Subscribe()                         {}
+func (h *hollow) Note(string)                        { h.notes++ }
 
 // world is a module that serves queries in model time.
 type world struct {
--- a/internal/lab/fanout/floor.go
+++ b/internal/lab/fanout/floor.go
@@ -38,13 +38,15 @@
 func (f *floor) Cancel(part string, attempt int) {
 	f.cancelled = append(f.cancelled, cancelling{part, attempt})
 }
-func (f *floor) Answer(_ string, whole bool)        { f.ended, f.whole = f.ended+1, whole }
-func (f *floor) Reject(string, int64)               { f.ended, f.whole = f.ended+1, false }
-func (f *floor) Fail(string)                        { f.ended, f.whole = f.ended+1, false }
-func (f *floor) CloseIdle(string)                   { f.closed++ }
-func (f *floor) SetTimer(after int64, whose mixer.TimerHandler) { f.timers = append(f.timers, timer{after, whose}) }
-func (f *floor) Subscribe()                         {}
-func (f *floor) Note(string)                        {}
+func (f *floor) Answer(_ string, whole bool) { f.ended, f.whole = f.ended+1, whole }
+func (f *floor) Reject(string, int64)        { f.ended, f.whole = f.ended+1, false }
+func (f *floor) Fail(string)                 { f.ended, f.whole = f.ended+1, false }
+func (f *floor) CloseIdle(string)            { f.closed++ }
+func (f *floor) SetTimer(after int64, whose mixer.TimerHandler) {
+	f.timers = append(f.timers, timer{after, whose})
+}
+func (f *floor) Subscribe()  {}
+func (f *floor) Note(string) {}
 
 // event is what comes to the module at a time: an attempt's outcome, or a timer.
 type event struct {
@@ -52,7 +54,7 @@
 	number        int // in the order in which they were made, which orders those of one time
 	part, attempt int
 	outcome       mixer.Outcome
-	took          int64     // since the attempt was sent
+	took          int64              // since the attempt was sent
 	whose         mixer.TimerHandler // nil: an outcome
 }
 
--- a/internal/lab/record/mixer.go
+++ b/internal/lab/record/mixer.go
@@ -13,7 +13,7 @@
 	t      *Transcript
 	floor  mixer.Environment
 	owners map[mixer.TimerHandler]int // numbers of whoever a timer was set for
-	timers int               // set so far
+	timers int                        // set so far
 }
 
 // Lookup is the handle of one query at a Mixer.
--- a/internal/lab/record/replay.go
+++ b/internal/lab/record/replay.go
@@ -90,7 +90,7 @@
 	now     bytes.Buffer // what is written of the call at hand
 	m       *Mixer
 	timers  map[int]mixer.TimerHandler // by number, not yet due
-	queries map[int]*Lookup   // by number
+	queries map[int]*Lookup            // by number
 }
 
 func (r *replay) compare(line int, group, before []string) error {
--- a/internal/routing/share.go
+++ b/internal/routing/share.go
@@ -44,7 +44,9 @@
 }
 
 // Hold keeps the mixer's own cold allowances back from now on for a time, in ns.
-func (r *Router) Hold(within int64) { r.call(nil, func(now int64) { r.m.HoldColdAllowance(now + within) }) }
+func (r *Router) Hold(within int64) {
+	r.call(nil, func(now int64) { r.m.HoldColdAllowance(now + within) })
+}
 
 // Now gives the module's time, for what is timed beside it.
 func (r *Router) Now() (now int64) {
--- a/mixer/cost_test.go
+++ b/mixer/bench_test.go
@@ -8,27 +8,27 @@
 )
 
 // mute is a floor that keeps what is sent and nothing else.
-type mute struct {
+type nullEnvironment struct {
 	index map[string]int // of a part, by its id
 	sent  []int
 }
 
-func (h *mute) Forward(part, _ string, _ int64) { h.sent = append(h.sent, h.index[part]) }
-func (h *mute) Cancel(string, int)              {}
-func (h *mute) Answer(string, bool)             {}
-func (h *mute) Reject(string, int64)            {}
-func (h *mute) Fail(string)                     {}
-func (h *mute) CloseIdle(string)                {}
-func (h *mute) SetTimer(int64, TimerHandler)                {}
-func (h *mute) Subscribe()                      {}
-func (h *mute) Note(string)                     {}
+func (h *nullEnvironment) Forward(part, _ string, _ int64) { h.sent = append(h.sent, h.index[part]) }
+func (h *nullEnvironment) Cancel(string, int)              {}
+func (h *nullEnvironment) Answer(string, bool)             {}
+func (h *nullEnvironment) Reject(string, int64)            {}
+func (h *nullEnvironment) Fail(string)                     {}
+func (h *nullEnvironment) CloseIdle(string)                {}
+func (h *nullEnvironment) SetTimer(int64, TimerHandler)    {}
+func (h *nullEnvironment) Subscribe()                      {}
+func (h *nullEnvironment) Note(string)                     {}
 
-// BenchmarkQuery is what one query costs the module, by its parts and the holders of each, in a mixer that has met its searchers.
-func BenchmarkQuery(b *testing.B) {
+// BenchmarkLookup is what one query costs the module, by its parts and the holders of each, in a mixer that has met its searchers.
+func BenchmarkLookup(b *testing.B) {
 	for _, parts := range []int{5, 20, 88, 400} {
 		for _, holders := range []int{4, 20} {
 			b.Run(fmt.Sprintf("parts=%d/holders=%d", parts, holders), func(b *testing.B) {
-				query := queries(parts, holders)
+				query := newQuery(parts, holders)
 				for range 100 + 10000/parts {
 					query()
 				}
@@ -46,10 +46,10 @@
 }
 
 // queries gives what serves one query of so many parts after the other, in a module that knows a thousand cells.
-func queries(parts, holders int) (query func()) {
+func newQuery(parts, holders int) (query func()) {
 	c := Config{Tariffs: []Tariff{{Expected: 57 * ms, Patience: 200 * ms, CompleteFrom: 1, LeastShare: 1}}, Mixers: 6300, Zone: "z0",
 		Cells: 1000, Reach: 1, PerCall: 1, MaxForwards: 3, MayCopy: true, MayCancel: true, ColdFrom: 1, FallMultiple: 2}
-	floor := &mute{index: map[string]int{}}
+	floor := &nullEnvironment{index: map[string]int{}}
 	now, rng := int64(1790000000e9), rand.New(rand.NewSource(1))
 	m := New(now, c, 1, floor)
 	rows := make([]Entry, holders*c.Cells)
@@ -80,9 +80,9 @@
 }
 
 // A query of any size costs at most two allocations a part.
-func TestAllocationsOfAPart(t *testing.T) {
+func TestAllocationsPerPart(t *testing.T) {
 	for _, parts := range []int{5, 20, 88, 400} {
-		query := queries(parts, 4)
+		query := newQuery(parts, 4)
 		for range 100 + 40000/parts { // nearly all searchers have been met: each keeps the room for what is out there
 			query()
 		}
--- a/mixer/bounds.go
+++ b/mixer/bounds.go
@@ -4,22 +4,22 @@
 
 // key orders what may be picked: the least rank goes first, of equals the least time, of these the least effort, of these the
 // least tie-break, which each searcher draws anew for each review.
-type key struct{ rank, time, effort, tie float64 }
+type pickKey struct{ rank, time, effort, tie float64 }
 
 // turns is beyond any count of calls that are out at one searcher.
-const turns = 1 << 32
+const callsRange = 1 << 32
 
 // rank is one figure for three that are compared one after another: the class, asked 0 or 1, and calls, below turns.
-func rank(class, asked, calls int) float64 { return float64((2*class+asked)*turns + calls) }
+func rankOf(class, asked, calls int) float64 { return float64((2*class+asked)*callsRange + calls) }
 
 var (
-	unseen = key{rank: math.Inf(-1)}    // below all: has to be looked at
-	bottom = key{rank: math.MaxFloat64} // above all that may be picked
-	never  = key{rank: math.Inf(1)}     // what may not be picked
+	unknownKey  = pickKey{rank: math.Inf(-1)}    // below all: has to be looked at
+	maxKey      = pickKey{rank: math.MaxFloat64} // above all that may be picked
+	excludedKey = pickKey{rank: math.Inf(1)}     // what may not be picked
 )
 
 // less tells whether k comes before o. No figure is NaN.
-func (k *key) less(o *key) bool {
+func (k *pickKey) less(o *pickKey) bool {
 	if k.rank != o.rank {
 		return k.rank < o.rank
 	}
@@ -30,86 +30,86 @@
 }
 
 // block is how many rows one bound of bounds stands for.
-const block = 16
+const blockSize = 16
 
 // bounds holds for each of a row of parts a key that none of its holders lies below, so that a pick looks only at parts that may have
 // the least. It stays right while keys only rise: what a pick rests on beside them is told to begin, and a part that was picked is
 // set anew. It decides nothing: whoever looks at all parts picks the same.
-type bounds struct {
-	rows, least []key // of each part, and the least of each block of them
-	copy, tests bool
-	hidden      []hidden
+type keyBounds struct {
+	lower, blockMin []pickKey // of each part, and the least of each block of them
+	hedge, probes   bool
+	hidden          []hiddenPart
 }
 
 // hidden is a part that one pick has looked at.
-type hidden struct {
-	i int
-	k key
+type hiddenPart struct {
+	index int
+	key   pickKey
 }
 
 // begin has all n parts looked at, unless it was begun for the same since the last end.
-func (r *bounds) begin(n int, copy, tests bool) {
-	if len(r.rows) == n && r.copy == copy && r.tests == tests {
+func (r *keyBounds) begin(n int, copy, tests bool) {
+	if len(r.lower) == n && r.hedge == copy && r.probes == tests {
 		return
 	}
-	r.rows, r.least, r.copy, r.tests = r.rows[:0], r.least[:0], copy, tests
+	r.lower, r.blockMin, r.hedge, r.probes = r.lower[:0], r.blockMin[:0], copy, tests
 	for i := range n {
-		r.rows = append(r.rows, unseen)
-		if i%block == 0 {
-			r.least = append(r.least, unseen)
+		r.lower = append(r.lower, unknownKey)
+		if i%blockSize == 0 {
+			r.blockMin = append(r.blockMin, unknownKey)
 		}
 	}
 }
 
 // end forgets all parts: the next begin is of another time or query.
-func (r *bounds) end() { r.rows = r.rows[:0] }
+func (r *keyBounds) reset() { r.lower = r.lower[:0] }
 
 // set tells part i's key, which is no more than any of its holders' has.
-func (r *bounds) set(i int, k key) {
-	least, first := &r.least[i/block], i/block*block
-	was := r.rows[i]
-	if r.rows[i] = k; k.less(least) {
+func (r *keyBounds) set(i int, k pickKey) {
+	least, first := &r.blockMin[i/blockSize], i/blockSize*blockSize
+	was := r.lower[i]
+	if r.lower[i] = k; k.less(least) {
 		*least = k
 	}
 	if was != *least || k == was {
 		return
 	}
-	*least = r.rows[first]
-	for j := first + 1; j < min(first+block, len(r.rows)) && *least != was; j++ { // none lies below what was the least
-		if r.rows[j].less(least) {
-			*least = r.rows[j]
+	*least = r.lower[first]
+	for j := first + 1; j < min(first+blockSize, len(r.lower)) && *least != was; j++ { // none lies below what was the least
+		if r.lower[j].less(least) {
+			*least = r.lower[j]
 		}
 	}
 }
 
 // first gives a part of the least bound, -1 where none lies below k.
-func (r *bounds) first(k *key) int {
+func (r *keyBounds) first(k *pickKey) int {
 	at := -1
-	for i := range r.least {
-		if r.least[i].less(k) {
-			at, k = i, &r.least[i]
+	for i := range r.blockMin {
+		if r.blockMin[i].less(k) {
+			at, k = i, &r.blockMin[i]
 		}
 	}
 	if at < 0 {
 		return at
 	}
-	for i := at * block; ; i++ {
-		if r.rows[i] == *k {
+	for i := at * blockSize; ; i++ {
+		if r.lower[i] == *k {
 			return i
 		}
 	}
 }
 
 // hide passes a part over until show, which tells its key.
-func (r *bounds) hide(i int, k key) {
-	r.hidden = append(r.hidden, hidden{i, k})
-	r.set(i, never)
+func (r *keyBounds) hide(i int, k pickKey) {
+	r.hidden = append(r.hidden, hiddenPart{i, k})
+	r.set(i, excludedKey)
 }
 
 // show brings all hidden parts back.
-func (r *bounds) show() {
+func (r *keyBounds) show() {
 	for _, h := range r.hidden {
-		r.set(h.i, h.k)
+		r.set(h.index, h.key)
 	}
 	r.hidden = r.hidden[:0]
 }
--- a/mixer/list.go
+++ b/mixer/list.go
@@ -4,9 +4,9 @@
 
 // Listed takes news of the list: changes, or with full set all of it.
 func (m *Mixer) UpdateList(now int64, rows []Entry, full bool) {
-	m.refusals = 0
-	m.stir()
-	m.call++
+	m.listFailures = 0
+	m.invalidateReviews()
+	m.calls++
 	var moved []*searcher
 	if full {
 		for _, cell := range m.cells {
@@ -19,7 +19,7 @@
 	for _, e := range rows {
 		s := m.searchers[e.Searcher]
 		if s == nil {
-			if e.Status == Dead || e.Cell < 0 || e.Cell >= m.c.Cells {
+			if e.Status == Dead || e.Cell < 0 || e.Cell >= m.config.Cells {
 				continue
 			}
 			s = &searcher{id: e.Searcher, cell: e.Cell, status: Dead, started: e.Started - 1} // met as a new process
@@ -30,26 +30,26 @@
 			m.zones[e.Zone] = &zone{}
 		}
 		s.zone, s.status, s.size = m.zones[e.Zone], e.Status, 1
-		if m.c.Sized && e.Size > 0 {
+		if m.config.Sized && e.Size > 0 {
 			s.size = e.Size
 		}
 		if s.started != e.Started { // a new process: nothing learnt of the old one holds
-			s.started, s.unheard, s.suspect, s.wait, s.word = e.Started, 0, false, 0, PeerReport{}
-			s.pace, s.told, s.want, s.credit, s.creditAt = DecayingRatio{}, DecayingRatio{}, DecayingSum{}, m.rng.Float64(), now
+			s.started, s.unansweredWait, s.suspect, s.probeInterval, s.report = e.Started, 0, false, 0, PeerReport{}
+			s.pace, s.recentPace, s.coldDemand, s.coldCredit, s.coldCreditAt = DecayingRatio{}, DecayingRatio{}, DecayingSum{}, m.rng.Float64(), now
 		}
 		moved = append(moved, s)
 	}
 	for _, s := range moved {
-		if len(s.out) > 0 && s.out[0].lost() {
-			s.rouse(now)
+		if len(s.inFlight) > 0 && s.inFlight[0].lost() {
+			s.reviewLookups(now)
 		}
-		m.forget(s)
+		m.removeIfGone(s)
 	}
 }
 
 // forget drops a searcher that is gone once nothing is out there: replaced machines must not pile up.
-func (m *Mixer) forget(s *searcher) {
-	if s.status == Dead && len(s.out) == 0 && m.searchers[s.id] == s {
+func (m *Mixer) removeIfGone(s *searcher) {
+	if s.status == Dead && len(s.inFlight) == 0 && m.searchers[s.id] == s {
 		delete(m.searchers, s.id)
 		m.cells[s.cell] = slices.DeleteFunc(m.cells[s.cell], func(o *searcher) bool { return o == s })
 	}
@@ -57,48 +57,48 @@
 
 // ListRefused is told that a list call failed. It is asked for again after a growing, jittered wait.
 func (m *Mixer) ListFailed(now int64) {
-	wait := askFirst << min(m.refusals, 6)
-	if m.c.AskWithin > 0 {
-		wait = min(wait, m.c.AskWithin/3)
+	wait := firstListRetryDelay << min(m.listFailures, 6)
+	if m.config.AskWithin > 0 {
+		wait = min(wait, m.config.AskWithin/3)
 	}
-	m.refusals, m.asking = m.refusals+1, false
-	m.floor.SetTimer(wait/2+m.rng.Int63n(wait), m)
+	m.listFailures, m.subscribing = m.listFailures+1, false
+	m.env.SetTimer(wait/2+m.rng.Int63n(wait), m)
 }
 
 // Due asks for the list.
 func (m *Mixer) HandleTimer(now int64) {
-	if !m.asking {
-		m.asking = true
-		m.floor.Subscribe()
+	if !m.subscribing {
+		m.subscribing = true
+		m.env.Subscribe()
 	}
 }
 
 // Told takes what other mixers say and lend. All of it ends by itself: who hears no more is as one alone.
 func (m *Mixer) UpdatePeerReports(now int64, words []PeerReport) {
-	m.call++
+	m.calls++
 	for _, w := range words {
 		if s := m.searchers[w.Searcher]; s != nil && s.started == w.Started {
-			if w.Lent+s.word.Lent > 0 || max(w.AwayUntil, s.word.AwayUntil) > 0 {
+			if w.Lent+s.report.Lent > 0 || max(w.AwayUntil, s.report.AwayUntil) > 0 {
 				m.coldWait(now, s) // first what was lent and borrowed up to now
 			}
 			if now < w.AwayUntil {
-				s.credit = 0 // what was saved up is lent too
+				s.coldCredit = 0 // what was saved up is lent too
 			}
-			if w.Sound && !s.word.Sound && s.suspect {
-				s.wait, s.testAt = 0, now // it is back for others: the first who may should see for itself
+			if w.Sound && !s.report.Sound && s.suspect {
+				s.probeInterval, s.nextProbe = 0, now // it is back for others: the first who may should see for itself
 			}
-			s.word = w
+			s.report = w
 		}
 	}
 }
 
 // Hold keeps its own cold allowance back for a while: a mixer started anew may have lent it before.
-func (m *Mixer) HoldColdAllowance(until int64) { m.held = until }
+func (m *Mixer) HoldColdAllowance(until int64) { m.coldHeldUntil = until }
 
 // said gives what others say of the process that runs, nothing once it is old.
-func (s *searcher) said(now int64) (w PeerReport) {
-	if now < s.word.Until {
-		w = s.word
+func (s *searcher) currentReport(now int64) (w PeerReport) {
+	if now < s.report.Until {
+		w = s.report
 	}
 	return w
 }
--- a/mixer/telling.go
+++ b/mixer/observe.go
@@ -19,11 +19,11 @@
 
 // Tell goes through the listed searchers, cell by cell. Loan holds for the time given, in ns.
 func (m *Mixer) Observations(now, within int64, each func(Observation)) {
-	fleet := m.pace.Read(now, halfLife, 0, 0)
+	fleet := m.fleetPace.Read(now, loadHalfLife, 0, 0)
 	for _, cell := range m.cells {
 		traffic, live := 0.0, 0
 		for _, s := range cell {
-			traffic += s.sent.Read(now, paceHalf)
+			traffic += s.sentForwards.Read(now, paceHalfLife)
 			if s.status == Live {
 				live++
 			}
@@ -32,19 +32,19 @@
 			if s.status != Live {
 				continue
 			}
-			o := Observation{Searcher: s.id, Started: s.started, Heard: s.heard, Suspect: s.suspect, Weight: s.told.under.Read(now, halfLife)}
-			if o.Weight > tiny {
-				o.Pace = s.told.Read(now, halfLife, 0, 0)
+			o := Observation{Searcher: s.id, Started: s.started, Heard: s.lastAnswer, Suspect: s.suspect, Weight: s.recentPace.denominator.Read(now, loadHalfLife)}
+			if o.Weight > epsilon {
+				o.Pace = s.recentPace.Read(now, loadHalfLife, 0, 0)
 				if fleet > 0 {
 					o.Slow = o.Pace * s.size / fleet
 				}
 			}
-			if o.Cold = m.frac(now, s) < 1; o.Cold {
+			if o.Cold = m.capacityShare(now, s) < 1; o.Cold {
 				o.Rate = m.coldRate(now, s)
-				_, o.Loan = m.coldShare(m.bears.Read(now+within, bearHalf), now, s) // it grows warmer meanwhile
-				o.Traffic = traffic / float64(live) * math.Ln2 / float64(paceHalf)
-				o.Quiet = now-s.sentAt > m.c.FallFor
-				o.Want = s.want.Read(now, halfLife) * math.Ln2 / float64(halfLife)
+				_, o.Loan = m.coldRates(m.warmRate.Read(now+within, warmRateHalfLife), now, s) // it grows warmer meanwhile
+				o.Traffic = traffic / float64(live) * math.Ln2 / float64(paceHalfLife)
+				o.Quiet = now-s.lastForward > m.config.FallFor
+				o.Want = s.coldDemand.Read(now, loadHalfLife) * math.Ln2 / float64(loadHalfLife)
 			}
 			each(o)
 		}
@@ -65,9 +65,9 @@
 	Unit, Fleet      float64 // ns a call, with what others say, and the fleet's
 	Doubted, Shunned bool    // others hold it silent; it is picked last
 	ZoneSilent       bool
-	TestIn           int64 // ns until a suspect is due for a test
-	ColdWait         int64 // ns until its cold allowance has a part
-	Word             PeerReport  // what others say, none once it is old
+	TestIn           int64      // ns until a suspect is due for a test
+	ColdWait         int64      // ns until its cold allowance has a part
+	Word             PeerReport // what others say, none once it is old
 }
 
 // Standing gives how a searcher stands, false where it is not listed.
@@ -76,14 +76,14 @@
 	if s == nil {
 		return SearcherState{}, false
 	}
-	m.call++
-	st := SearcherState{Status: s.status, Calls: s.calls, Parts: s.parts, Unit: m.unit(now, s), Fleet: m.pace.Read(now, halfLife, 0, 0) / s.size,
-		Doubted: s.doubted(now), Shunned: m.shunned(now, s), ZoneSilent: s.zone.silent(), ColdWait: m.coldWait(now, s), Word: s.said(now)}
+	m.calls++
+	st := SearcherState{Status: s.status, Calls: s.callsOut, Parts: s.partsOut, Unit: m.unitTime(now, s), Fleet: m.fleetPace.Read(now, loadHalfLife, 0, 0) / s.size,
+		Doubted: s.reportedSilent(now), Shunned: m.avoided(now, s), ZoneSilent: s.zone.silent(), ColdWait: m.coldWait(now, s), Word: s.currentReport(now)}
 	if s.suspect {
-		st.TestIn = max(0, s.testAt+s.wait*int64(st.Word.Suspecting)-now)
+		st.TestIn = max(0, s.nextProbe+s.probeInterval*int64(st.Word.Suspecting)-now)
 	}
-	st.Observation = Observation{Searcher: s.id, Started: s.started, Heard: s.heard, Suspect: s.suspect, Cold: m.frac(now, s) < 1,
-		Pace: s.pace.Read(now, paceHalf, 0, 0), Weight: s.pace.under.Read(now, paceHalf)}
+	st.Observation = Observation{Searcher: s.id, Started: s.started, Heard: s.lastAnswer, Suspect: s.suspect, Cold: m.capacityShare(now, s) < 1,
+		Pace: s.pace.Read(now, paceHalfLife, 0, 0), Weight: s.pace.denominator.Read(now, paceHalfLife)}
 	return st, true
 }
 
@@ -103,11 +103,11 @@
 // Keep gives what is worth keeping. What is held against searchers, silence and failures, and what depends on the number of
 // mixers and on tariffs is not in it.
 func (m *Mixer) Snapshot(now int64) Snapshot {
-	k := Snapshot{Fleet: Pace{Took: m.pace.over.Read(now, halfLife), Calls: m.pace.under.Read(now, halfLife)}}
+	k := Snapshot{Fleet: Pace{Took: m.fleetPace.numerator.Read(now, loadHalfLife), Calls: m.fleetPace.denominator.Read(now, loadHalfLife)}}
 	for _, cell := range m.cells {
 		for _, s := range cell {
-			if calls := s.pace.under.Read(now, paceHalf); s.status == Live && !s.suspect && calls > tiny {
-				k.Process = append(k.Process, Pace{s.id, s.started, s.pace.over.Read(now, paceHalf), calls})
+			if calls := s.pace.denominator.Read(now, paceHalfLife); s.status == Live && !s.suspect && calls > epsilon {
+				k.Process = append(k.Process, Pace{s.id, s.started, s.pace.numerator.Read(now, paceHalfLife), calls})
 			}
 		}
 	}
@@ -117,8 +117,8 @@
 // Resume takes what another kept at a time, as far as the processes still run. It fades from then on as what is learnt does. It
 // gives the number of processes that were met again.
 func (m *Mixer) Restore(at int64, k Snapshot) (met int) {
-	m.call++
-	m.pace = DecayingRatio{DecayingSum{k.Fleet.Took, at}, DecayingSum{k.Fleet.Calls, at}}
+	m.calls++
+	m.fleetPace = DecayingRatio{DecayingSum{k.Fleet.Took, at}, DecayingSum{k.Fleet.Calls, at}}
 	for _, p := range k.Process {
 		if s := m.searchers[p.Searcher]; s != nil && s.started == p.Started {
 			s.pace = DecayingRatio{DecayingSum{p.Took, at}, DecayingSum{p.Calls, at}}
@@ -129,21 +129,21 @@
 }
 
 // PaceHalf is the half-life, in ns, of what is held of a searcher's own pace, and of what was sent there.
-const PaceHalfLife = paceHalf
+const PaceHalfLife = paceHalfLife
 
 // Use is what the choice of the searchers to use goes by.
 type Usage struct {
 	Searcher            string
 	Started             int64 // of the process
 	Suspect, ZoneSilent bool
-	SentRate                float64 // parts per ns lately sent there
+	SentRate            float64 // parts per ns lately sent there
 }
 
 // Use goes through those of some searchers that are listed live.
 func (m *Mixer) Usage(now int64, searchers []string, each func(Usage)) {
 	for _, id := range searchers {
 		if s := m.searchers[id]; s != nil && s.status == Live {
-			each(Usage{id, s.started, s.suspect, s.zone.silent(), s.sent.Read(now, paceHalf) * math.Ln2 / float64(paceHalf)})
+			each(Usage{id, s.started, s.suspect, s.zone.silent(), s.sentForwards.Read(now, paceHalfLife) * math.Ln2 / float64(paceHalfLife)})
 		}
 	}
 }
--- a/mixer/review.go
+++ b/mixer/review.go
@@ -4,95 +4,95 @@
 
 // review is the one place where a lookup moves on: it answers, ends, forwards, and sets the next look.
 func (l *Lookup) review(now int64) {
-	m, step, in := l.m, l.parts[l.step:], 0.0
-	if l.ended || !l.planned && now < l.end {
+	m, step, in := l.mixer, l.parts[l.stepStart:], 0.0
+	if l.ended || !l.stepComplete && now < l.deadline {
 		return
 	}
-	mean, late := m.typical(now, l)
-	if l.calm(now, mean) {
-		l.rouse(now, min(l.end, l.sent+late))
+	mean, late := m.typicalLatency(now, l)
+	if l.canSkipReview(now, mean) {
+		l.scheduleReview(now, min(l.deadline, l.stepSentAt+late))
 		return
 	}
 	for _, p := range step {
-		if p.in {
+		if p.answered {
 			in += p.Weight
 		}
 	}
-	if l.planned && in >= l.need-tiny {
+	if l.stepComplete && in >= l.neededWeight-epsilon {
 		l.answer(now)
 		return
 	}
-	live, onTime, next, hope := in, in, l.end, in
+	live, onTime, next, hope := in, in, l.deadline, in
 	for _, p := range step {
-		if p.in {
+		if p.answered {
 			continue
 		}
-		m.hearken(now, p, mean)
-		if slices.ContainsFunc(p.forwards, func(f *forward) bool { return !f.done }) || !l.barred(now, p) {
+		m.checkSilence(now, p, mean)
+		if slices.ContainsFunc(p.forwards, func(f *forward) bool { return !f.done }) || !l.exhausted(now, p) {
 			hope += p.Weight
 		}
-		if sent := p.lastOut(now); sent > 0 {
+		if sent := p.newestPending(now); sent > 0 {
 			if live += p.Weight; sent+late > now {
 				onTime += p.Weight
 				next = min(next, sent+late)
 			}
 		}
 	}
-	if now >= l.end || hope < l.need-tiny { // where enough parts have failed for good, others may still serve it
+	if now >= l.deadline || hope < l.neededWeight-epsilon { // where enough parts have failed for good, others may still serve it
 		l.giveUp(now, in)
 		return
 	}
-	picks := m.picks[:0]
-	m.bounds.end()
-	for onTime < l.need-tiny {
-		copy := live >= l.need-tiny // all that is needed is out, but some of it is late
-		p, to := l.pick(now, copy, mean, late)
+	picks := m.picked[:0]
+	m.keyBounds.reset()
+	for onTime < l.neededWeight-epsilon {
+		copy := live >= l.neededWeight-epsilon // all that is needed is out, but some of it is late
+		p, to := l.pickForward(now, copy, mean, late)
 		if p == nil {
-			next = min(next, now+lookAgain)
+			next = min(next, now+blockedPartDelay)
 			break
 		}
 		if onTime += p.Weight; copy {
-			m.copies.Add(now, 1, halfLife)
+			m.sentHedges.Add(now, 1, loadHalfLife)
 		} else {
 			live += p.Weight
 		}
-		if f := p.bound(); f != nil { // sent again when its withdrawal is in
+		if f := p.exclusiveForward(); f != nil { // sent again when its withdrawal is in
 			f.recalled = true
-			m.floor.Cancel(p.ID, len(p.forwards)-1)
+			m.env.Cancel(p.ID, len(p.forwards)-1)
 		} else {
 			picks = append(picks, l.send(now, p, to))
 		}
 	}
 	for _, f := range picks {
-		m.floor.Forward(f.part.ID, f.s.id, l.end-now)
+		m.env.Forward(f.part.ID, f.searcher.id, l.deadline-now)
 		next = min(next, now+late)
-		test := f.s.suspect && !m.shunned(now, f.s) // no last resort: those would use up the tests
-		if test || f.s.zone.silent() {
-			m.tests.Add(now, 1, halfLife)
+		test := f.searcher.suspect && !m.avoided(now, f.searcher) // no last resort: those would use up the tests
+		if test || f.searcher.zone.silent() {
+			m.sentProbes.Add(now, 1, loadHalfLife)
 		}
-		if f.s.suspect {
+		if f.searcher.suspect {
 			next = now
 			if test {
-				m.distrust(now, f.s)
+				m.markSuspect(now, f.searcher)
 			}
 		}
 	}
-	m.picks = picks
-	l.rouse(now, next)
-	l.rest(now, onTime >= l.need-tiny)
+	m.picked = picks
+	l.scheduleReview(now, next)
+	l.recordQuiet(now, onTime >= l.neededWeight-epsilon)
 }
 
-func (l *Lookup) rouse(now, at int64) {
-	if at = max(at, now+1); l.wake == 0 || at < l.wake {
-		l.wake = at
-		l.m.floor.SetTimer(at-now, l)
+func (l *Lookup) scheduleReview(now, at int64) {
+	if at = max(at, now+1); l.nextReview == 0 || at < l.nextReview {
+		l.nextReview = at
+		l.mixer.env.SetTimer(at-now, l)
 	}
 }
 
 // Due looks at the lookup again.
 func (l *Lookup) HandleTimer(now int64) {
-	l.wake = 0
-	l.m.call++
+	l.nextReview = 0
+	l.mixer.calls++
 	l.review(now)
 }
 
@@ -104,23 +104,23 @@
 	p := l.parts[i]
 	f := p.forwards[copy]
 	f.done, f.ran = true, !o.NeverRan()
-	l.m.call++
-	l.m.settle(now, f, o, took)
-	if o == Succeeded && !p.in {
-		l.in += p.Weight
+	l.mixer.calls++
+	l.mixer.recordOutcome(now, f, o, took)
+	if o == Succeeded && !p.answered {
+		l.answeredWeight += p.Weight
 	} else {
-		l.m.stir()
+		l.mixer.invalidateReviews()
 	}
-	p.in, p.over = p.in || o == Succeeded, p.over || over
+	p.answered, p.closed = p.answered || o == Succeeded, p.closed || over
 	l.review(now)
 }
 
 // withdraw gives up what is still out of a lookup that ends: it would hold searchers' time that others need.
-func (l *Lookup) withdraw() {
+func (l *Lookup) cancelInFlight() {
 	for _, p := range l.parts {
 		for i, f := range p.forwards {
-			if l.m.c.MayCancel && !f.done {
-				l.m.floor.Cancel(p.ID, i)
+			if l.mixer.config.MayCancel && !f.done {
+				l.mixer.env.Cancel(p.ID, i)
 			}
 		}
 	}
@@ -128,16 +128,16 @@
 
 // answer gives a whole answer. A second step's parts then come to the same handle.
 func (l *Lookup) answer(now int64) {
-	l.withdraw()
-	l.m.floor.Answer(l.ask.ID, true)
-	if l.step > 0 || l.t.SecondStep == 0 {
+	l.cancelInFlight()
+	l.mixer.env.Answer(l.request.ID, true)
+	if l.stepStart > 0 || l.tariff.SecondStep == 0 {
 		l.ended = true
 		return
 	}
-	l.step, l.expect, l.need, l.planned, l.epoch = len(l.parts), len(l.parts), 1, false, -1
+	l.stepStart, l.expectedParts, l.neededWeight, l.stepComplete, l.epoch = len(l.parts), len(l.parts), 1, false, -1
 	for _, p := range l.parts {
-		if p.in && l.expect < l.step+l.t.SecondStep {
-			l.expect++
+		if p.answered && l.expectedParts < l.stepStart+l.tariff.SecondStep {
+			l.expectedParts++
 		}
 	}
 }
@@ -146,21 +146,21 @@
 // nothing may have run that must not run twice, else a failure.
 func (l *Lookup) giveUp(now int64, in float64) {
 	l.ended = true
-	l.withdraw()
-	final := l.step > 0 || l.t.SecondStep == 0 // any other answer would only start the second step
-	if final && l.t.LeastShare < l.t.CompleteFrom && in >= l.t.LeastShare && l.t.Partial > 0 {
-		l.m.floor.Answer(l.ask.ID, false)
+	l.cancelInFlight()
+	final := l.stepStart > 0 || l.tariff.SecondStep == 0 // any other answer would only start the second step
+	if final && l.tariff.LeastShare < l.tariff.CompleteFrom && in >= l.tariff.LeastShare && l.tariff.Partial > 0 {
+		l.mixer.env.Answer(l.request.ID, false)
 		return
 	}
 	for _, p := range l.parts {
-		if l.t.Effect != Idempotent && slices.ContainsFunc(p.forwards, (*forward).mayRun) {
-			l.m.floor.Fail(l.ask.ID)
+		if l.tariff.Effect != Idempotent && slices.ContainsFunc(p.forwards, (*forward).mayHaveRun) {
+			l.mixer.env.Fail(l.request.ID)
 			return
 		}
 	}
 	wait := int64(0)
-	if l.m.c.MayAdvise && now < l.end { // back while there is time, and not all at once
-		wait = min(l.m.c.MaxAdvice, int64(adviceShare*float64(l.end-now)*(0.5+l.m.rng.Float64())))
+	if l.mixer.config.MayAdvise && now < l.deadline { // back while there is time, and not all at once
+		wait = min(l.mixer.config.MaxAdvice, int64(retryAfterShare*float64(l.deadline-now)*(0.5+l.mixer.rng.Float64())))
 	}
-	l.m.floor.Reject(l.ask.ID, wait)
+	l.mixer.env.Reject(l.request.ID, wait)
 }
--- a/mixer/rules_test.go
+++ b/mixer/rules_test.go
@@ -7,7 +7,7 @@
 )
 
 // charter draws legal settings.
-func charter(rng *rand.Rand) Config {
+func randomConfig(rng *rand.Rand) Config {
 	c := Config{
 		Mixers: 1 + rng.Intn(4), Cells: 3 + rng.Intn(6), PerCall: 1 + rng.Intn(8), ListAsked: rng.Intn(2) == 0,
 		AskWithin: 10000 * ms, MaxForwards: 1 + rng.Intn(5), MayCopy: rng.Intn(3) > 0, MayCancel: rng.Intn(2) == 0,
@@ -31,49 +31,49 @@
 	for seed := range int64(60) {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, seed int64) { random(t, seed, func(*world, []Entry) {}) })
+	f.Fuzz(func(t *testing.T, seed int64) { randomRun(t, seed, func(*simulation, []Entry) {}) })
 }
 
 // random drives a mixer through a random world; each is called before every step. It gives the world at its end.
-func random(t *testing.T, seed int64, each func(w *world, all []Entry)) *world {
+func randomRun(t *testing.T, seed int64, each func(w *simulation, all []Entry)) *simulation {
 	rng := rand.New(rand.NewSource(seed))
-	w := newWorld(t, seed, charter(rng))
-	w.lag = []int64{5, 300, 5000}[rng.Intn(3)] * ms
+	w := newSimulation(t, seed, randomConfig(rng))
+	w.secondStepDelay = []int64{5, 300, 5000}[rng.Intn(3)] * ms
 	var all []Entry
-	for i := range 3 * w.c.Cells {
-		e := Entry{Searcher: fmt.Sprint("box", i), Cell: i % w.c.Cells, Size: float64(i % 4)}
+	for i := range 3 * w.config.Cells {
+		e := Entry{Searcher: fmt.Sprint("box", i), Cell: i % w.config.Cells, Size: float64(i % 4)}
 		if rng.Intn(4) == 0 {
 			e.Started = w.now - rng.Int63n(20000*ms)
 		}
 		all = append(all, e)
 	}
-	w.list(true, all...)
+	w.updateList(true, all...)
 	for range 600 {
 		e := &all[rng.Intn(len(all))]
 		switch rng.Intn(40) {
 		case 0:
-			w.box[e.Searcher].broken = rng.Intn(6)
+			w.searchers[e.Searcher].fault = rng.Intn(6)
 		case 1:
 			e.Status = Status(rng.Intn(3))
-			w.list(false, *e)
+			w.updateList(false, *e)
 		case 2:
 			e.Status, e.Started = Live, w.now
-			w.list(false, *e)
+			w.updateList(false, *e)
 		case 3:
-			w.list(true, all[rng.Intn(3):]...)
+			w.updateList(true, all[rng.Intn(3):]...)
 		case 4:
 			w.refusing = !w.refusing
-			w.m.ListFailed(w.now)
+			w.mixer.ListFailed(w.now)
 		case 5:
 			for id, l := range w.lookups {
 				if !l.ended && id[len(id)-1] == '7' {
 					l.ended = true
-					l.h.Abandon(w.now)
+					l.handle.Abandon(w.now)
 				}
 			}
 		default:
 			patience := []int64{2000 * ms, 1500 * ms, 300 * ms, 5 * ms}[rng.Intn(4)]
-			w.take(rng.Intn(3), 1+rng.Intn(7), rng.Intn(w.c.Cells), patience, rng.Intn(5) == 0)
+			w.startLookup(rng.Intn(3), 1+rng.Intn(7), rng.Intn(w.config.Cells), patience, rng.Intn(5) == 0)
 		}
 		each(w, all)
 		w.run(w.now + rng.Int63n(60*ms))
@@ -84,9 +84,9 @@
 			t.Errorf("lookup %s has no final answer", id)
 		}
 	}
-	for id, s := range w.m.searchers {
-		if s.calls != 0 || s.parts != 0 || len(s.out) != 0 {
-			t.Errorf("searcher %s still counts %d calls, %d parts", id, s.calls, s.parts)
+	for id, s := range w.mixer.searchers {
+		if s.callsOut != 0 || s.partsOut != 0 || len(s.inFlight) != 0 {
+			t.Errorf("searcher %s still counts %d calls, %d parts", id, s.callsOut, s.partsOut)
 		}
 	}
 	return w
--- a/mixer/suspect_test.go
+++ b/mixer/suspect_test.go
@@ -4,38 +4,38 @@
 	"testing"
 )
 
-func TestFastFailureDrawsNoPicks(t *testing.T) {
-	w := warmed(t, 5, 3)
-	w.box["box1"].broken = 2
-	before := len(w.forwards)
+func TestFastFailureAvoided(t *testing.T) {
+	w := warmSimulation(t, 5, 3)
+	w.searchers["box1"].fault = 2
+	before := len(w.retries)
 	for range 20 {
-		l := w.take(0, 3, 0, 4000*ms, false)
+		l := w.startLookup(0, 3, 0, 4000*ms, false)
 		if w.run(w.now + 300*ms); !l.answeredWhole {
 			t.Error("a lookup was not served")
 		}
 	}
-	if asked := len(w.forwards) - before; asked > 10 {
+	if asked := len(w.retries) - before; asked > 10 {
 		t.Errorf("%d forwards failed in 20 lookups beside two sound searchers", asked)
 	}
 }
 
 // A searcher that falls silent is left and, once it answers again, comes back: sooner where a copy may back its tests.
-func TestSilentSearcherIsLeft(t *testing.T) {
+func TestSilentSearcherAvoided(t *testing.T) {
 	for _, copies := range []bool{true, false} {
-		w := start(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, copies, !copies })
+		w := startSimulation(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, copies, !copies })
 		w.warmUp(10)
-		w.box["box1"].broken = 1
-		late := w.late(3, 300*ms)
-		if copies && late > 3 || !w.m.searchers["box1"].suspect {
+		w.searchers["box1"].fault = 1
+		late := w.countLate(3, 300*ms)
+		if copies && late > 3 || !w.mixer.searchers["box1"].suspect {
 			t.Errorf("copies %v: %d of 20 lookups waited for a silent searcher", copies, late)
 		}
-		w.box["box1"].broken = 0
+		w.searchers["box1"].fault = 0
 		before := w.closed
 		w.warmUp(map[bool]int{true: 60, false: 100}[copies])
 		if w.closed == before {
 			t.Errorf("copies %v: it was tested on a connection that may be silent by itself", copies)
 		}
-		if w.m.searchers["box1"].suspect {
+		if w.mixer.searchers["box1"].suspect {
 			t.Errorf("copies %v: a searcher that answers again is still suspect", copies)
 		}
 	}
@@ -43,19 +43,19 @@
 
 // Where no second copies are allowed, a part that waits in vain at a silent searcher is withdrawn there and served
 // elsewhere in time; the world fails the test should two forwards of a part be out at once.
-func TestWhatWaitsInVainIsRecalled(t *testing.T) {
+func TestStalledForwardCancelledAndResent(t *testing.T) {
 	late := 0
 	for seed := range int64(6) {
-		w := start(t, seed, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
+		w := startSimulation(t, seed, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
 		w.warmUp(10)
-		w.box["box1"].broken = 1
+		w.searchers["box1"].fault = 1
 		for range 20 {
-			l := w.take(0, 3, 0, 4000*ms, false)
+			l := w.startLookup(0, 3, 0, 4000*ms, false)
 			if w.run(w.now + 2000*ms); !l.answeredWhole {
 				late++
 			}
 		}
-		if !w.m.searchers["box1"].suspect {
+		if !w.mixer.searchers["box1"].suspect {
 			t.Error("a silent searcher whose parts are all withdrawn is not suspect")
 		}
 	}
@@ -64,22 +64,22 @@
 	}
 }
 
-// TestSuspectsAreTestedInTime has a searcher fail for a while, on fleets of two paces: it is back within a share of the
+// TestSuspectProbeDelay has a searcher fail for a while, on fleets of two paces: it is back within a share of the
 // expected time, however long that is.
-func TestSuspectsAreTestedInTime(t *testing.T) {
+func TestSuspectProbeDelay(t *testing.T) {
 	for seed := range int64(12) {
 		expected := []int64{1000 * ms, 4000 * ms}[seed%2]
-		w := start(t, seed, 1, func(c *Config) { c.Cells, c.Tariffs[0].Expected = 1, expected })
+		w := startSimulation(t, seed, 1, func(c *Config) { c.Cells, c.Tariffs[0].Expected = 1, expected })
 		w.warmUp(10)
-		w.box["box0"].broken = 2
-		w.late(1, 1500*ms)
-		w.box["box0"].broken = 0
-		if !w.m.searchers["box0"].suspect {
+		w.searchers["box0"].fault = 2
+		w.countLate(1, 1500*ms)
+		w.searchers["box0"].fault = 0
+		if !w.mixer.searchers["box0"].suspect {
 			t.Fatal("a searcher that always fails is not suspect")
 		}
 		from := w.now
-		for w.m.searchers["box0"].suspect && w.now < from+20000*ms {
-			w.take(0, 1, 0, 4000*ms, false)
+		for w.mixer.searchers["box0"].suspect && w.now < from+20000*ms {
+			w.startLookup(0, 1, 0, 4000*ms, false)
 			w.run(w.now + 50*ms)
 		}
 		if took := w.now - from; took > 5*expected {
@@ -88,19 +88,19 @@
 	}
 }
 
-// TestErringHoldersServeOn has three of four holders err half of the time, at a load that the fourth cannot bear alone: what
+// TestErringSearchersStillUsed has three of four holders err half of the time, at a load that the fourth cannot bear alone: what
 // they do answer is not passed over, and once they are well none is.
-func TestErringHoldersServeOn(t *testing.T) {
+func TestErringSearchersStillUsed(t *testing.T) {
 	var lost [2]int
 	for seed := range int64(6) {
-		w := warmed(t, seed, 4)
+		w := warmSimulation(t, seed, 4)
 		for phase, how := range []int{5, 0} {
 			for _, box := range []string{"box0", "box1", "box2"} {
-				w.box[box].broken = how
+				w.searchers[box].fault = how
 			}
-			var all []*seen
+			var all []*simLookup
 			for range 250 {
-				all = append(all, w.take(0, 1, 0, 4000*ms, false))
+				all = append(all, w.startLookup(0, 1, 0, 4000*ms, false))
 				w.run(w.now + 20*ms)
 			}
 			w.run(w.now + 2000*ms)
@@ -116,55 +116,55 @@
 	}
 }
 
-// TestLastResortIsNoTest has one holder fail always and the other half of the time, so that many parts go to the first because
+// TestLastResortIsNotAProbe has one holder fail always and the other half of the time, so that many parts go to the first because
 // nobody else is left. That is no test: it must not use up those that find it well again.
-func TestLastResortIsNoTest(t *testing.T) {
-	w, over := warmed(t, 6, 2), 0.0
-	w.box["box0"].broken, w.box["box1"].broken = 2, 5
+func TestLastResortIsNotAProbe(t *testing.T) {
+	w, over := warmSimulation(t, 6, 2), 0.0
+	w.searchers["box0"].fault, w.searchers["box1"].fault = 2, 5
 	for range 250 {
-		w.take(0, 1, 0, 4000*ms, false)
+		w.startLookup(0, 1, 0, 4000*ms, false)
 		w.run(w.now + 40*ms)
-		over = max(over, w.m.tests.Read(w.now, halfLife)-max(testFloor, testShare*w.m.sent.Read(w.now, halfLife)))
+		over = max(over, w.mixer.sentProbes.Read(w.now, loadHalfLife)-max(minProbes, probeShare*w.mixer.sentForwards.Read(w.now, loadHalfLife)))
 	}
 	if over > 1 {
 		t.Errorf("%.1f tests more were counted than are allowed", over)
 	}
 }
 
-func TestSlowPartIsNoSilence(t *testing.T) {
-	w := warmed(t, 11, 1)
-	w.box["box0"].free = [2]int64{w.now + 500*ms, w.now + 500*ms} // five times what forwards take
-	l := w.take(0, 1, 0, 4000*ms, false)
+func TestSlowPartIsNotSilence(t *testing.T) {
+	w := warmSimulation(t, 11, 1)
+	w.searchers["box0"].coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms} // five times what forwards take
+	l := w.startLookup(0, 1, 0, 4000*ms, false)
 	for w.run(w.now + 10*ms); !l.ended; w.run(w.now + 10*ms) {
-		if w.m.searchers["box0"].suspect {
+		if w.mixer.searchers["box0"].suspect {
 			t.Fatal("one slow part made its searcher suspect")
 		}
 	}
 }
 
-func TestLostMessageIsSentAgain(t *testing.T) {
-	w := warmed(t, 10, 2)
-	w.breakAll(1)
-	w.m.copies.Add(w.now, 1e6, halfLife) // no allowance is left for what is merely late
-	l := w.take(0, 1, 0, 4000*ms, false)
-	w.breakAll(0)
+func TestLostForwardResent(t *testing.T) {
+	w := warmSimulation(t, 10, 2)
+	w.setFaults(1)
+	w.mixer.sentHedges.Add(w.now, 1e6, loadHalfLife) // no allowance is left for what is merely late
+	l := w.startLookup(0, 1, 0, 4000*ms, false)
+	w.setFaults(0)
 	if w.run(w.now + 740*ms); !l.ended {
 		t.Error("a lost message held its lookup until its searcher was suspect")
 	}
 }
 
-func TestTimeOutsAreRemembered(t *testing.T) {
-	w := warmed(t, 13, 3)
-	w.box["box1"].free = [2]int64{w.now + 3000*ms, w.now + 3000*ms}
-	w.take(0, 3, 0, 4000*ms, false)
+func TestTimeoutRaisesPace(t *testing.T) {
+	w := warmSimulation(t, 13, 3)
+	w.searchers["box1"].coreFreeAt = [2]int64{w.now + 3000*ms, w.now + 3000*ms}
+	w.startLookup(0, 3, 0, 4000*ms, false)
 	w.run(w.now + 3000*ms)
-	for w.m.searchers["box1"].suspect {
+	for w.mixer.searchers["box1"].suspect {
 		w.warmUp(1)
 	}
 	again := 0
 	for range 10 {
-		w.take(0, 2, 0, 4000*ms, false)
-		again += w.m.searchers["box1"].calls
+		w.startLookup(0, 2, 0, 4000*ms, false)
+		again += w.mixer.searchers["box1"].callsOut
 		w.run(w.now + 300*ms)
 	}
 	if again > 2 {
@@ -172,37 +172,37 @@
 	}
 }
 
-func TestLostWithItsProcess(t *testing.T) {
-	w := newWorld(t, 9, plain(func(c *Config) { c.Cells = 1 }))
-	rows := boxes(2, 1)
-	w.list(true, rows[0])
-	w.box["box0"].broken = 1
-	l := w.take(0, 1, 0, 4000*ms, false)
-	w.list(true, rows[1])
+func TestRemovedSearcherResends(t *testing.T) {
+	w := newSimulation(t, 9, plainConfig(func(c *Config) { c.Cells = 1 }))
+	rows := entries(2, 1)
+	w.updateList(true, rows[0])
+	w.searchers["box0"].fault = 1
+	l := w.startLookup(0, 1, 0, 4000*ms, false)
+	w.updateList(true, rows[1])
 	w.run(w.now + 200*ms)
 	if !l.answeredWhole {
 		t.Error("a part out at a searcher that is gone was not sent elsewhere at once")
 	}
 }
 
-func TestDroppedConnectionsAreClosed(t *testing.T) {
-	w := warmed(t, 12, 3)
-	w.breakAll(4)
-	if late := w.late(2, 3000*ms); late > 6 {
+func TestDroppedConnectionsClosed(t *testing.T) {
+	w := warmSimulation(t, 12, 3)
+	w.setFaults(4)
+	if late := w.countLate(2, 3000*ms); late > 6 {
 		t.Errorf("%d of 20 lookups waited for connections dropped unseen", late)
 	}
 }
 
-// TestLateIsNotLost has every eighth part take long, on sound searchers: that says nothing of their connections.
-func TestLateIsNotLost(t *testing.T) {
-	w := warmed(t, 17, 3)
+// TestLateAnswerKeepsConnections has every eighth part take long, on sound searchers: that says nothing of their connections.
+func TestLateAnswerKeepsConnections(t *testing.T) {
+	w := warmSimulation(t, 17, 3)
 	for i := range 160 {
 		if i%8 == 0 {
-			for _, b := range w.box {
-				b.free = [2]int64{w.now + 500*ms, w.now + 500*ms}
+			for _, b := range w.searchers {
+				b.coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms}
 			}
 		}
-		w.take(0, 1, 0, 4000*ms, false)
+		w.startLookup(0, 1, 0, 4000*ms, false)
 		w.run(w.now + 800*ms)
 	}
 	if w.closed > 8 {
@@ -211,16 +211,16 @@
 }
 
 // The link to a zone is cut: from the fifth lookup on hardly a part is sent there.
-func TestSilentZoneIsLeft(t *testing.T) {
+func TestSilentZoneAvoided(t *testing.T) {
 	sent := 0
 	for seed := range int64(10) {
-		w, there := zones(seed, t)
+		w, there := twoZones(seed, t)
 		for _, id := range there {
-			w.box[id].broken = 1
+			w.searchers[id].fault = 1
 		}
 		for i := range 12 {
-			w.take(0, 2, w.rng.Intn(20), 4000*ms, false)
-			counts, _ := w.counts()
+			w.startLookup(0, 2, w.rng.Intn(20), 4000*ms, false)
+			counts, _ := w.callCounts()
 			for _, n := range counts[20:] {
 				sent += n * min(i/4, 1)
 			}
@@ -233,28 +233,28 @@
 }
 
 // A zone that answers, but much later than others, is left as a silent one is, and used again once it is in time.
-func TestLateZoneIsLeft(t *testing.T) {
+func TestLateZoneAvoided(t *testing.T) {
 	late, back := 0, 0
 	for seed := range int64(10) {
-		w, there := zones(seed, t)
+		w, there := twoZones(seed, t)
 		far := func(d int64) {
 			for _, id := range there {
-				w.box[id].far = d
+				w.searchers[id].roundTrip = d
 			}
 		}
 		far(1900 * ms)
 		for i := range 30 {
-			l := w.take(0, 6, w.rng.Intn(20), 4000*ms, false)
+			l := w.startLookup(0, 6, w.rng.Intn(20), 4000*ms, false)
 			if w.run(w.now + 500*ms); !l.ended && i >= 6 {
 				late++
 			}
 		}
 		far(0)
 		for range 40 {
-			w.take(0, 6, w.rng.Intn(20), 4000*ms, false)
+			w.startLookup(0, 6, w.rng.Intn(20), 4000*ms, false)
 			w.run(w.now + 500*ms)
 		}
-		if !w.m.zones["there"].silent() {
+		if !w.mixer.zones["there"].silent() {
 			back++
 		}
 	}
@@ -264,28 +264,28 @@
 }
 
 // zones gives a world of two zones whose mixer knows what forwards take, and the boxes of the second.
-func zones(seed int64, t *testing.T) (w *world, there []string) {
-	w = newWorld(t, seed, plain(func(c *Config) { c.Cells = 20 }))
-	rows := boxes(40, 20)
+func twoZones(seed int64, t *testing.T) (w *simulation, there []string) {
+	w = newSimulation(t, seed, plainConfig(func(c *Config) { c.Cells = 20 }))
+	rows := entries(40, 20)
 	for i := range rows {
 		if rows[i].Zone = "here"; i >= 20 {
 			rows[i].Zone = "there"
 			there = append(there, rows[i].Searcher)
 		}
 	}
-	w.list(true, rows...)
+	w.updateList(true, rows...)
 	for range 40 {
-		w.take(0, 2, w.rng.Intn(20), 4000*ms, false)
+		w.startLookup(0, 2, w.rng.Intn(20), 4000*ms, false)
 		w.run(w.now + 300*ms)
 	}
 	return w, there
 }
 
-func TestAllLostComesBack(t *testing.T) {
-	w := warmed(t, 16, 4)
-	w.breakAll(1)
+func TestRecoveryAfterFleetOutage(t *testing.T) {
+	w := warmSimulation(t, 16, 4)
+	w.setFaults(1)
 	w.warmUp(100)
-	w.breakAll(0)
+	w.setFaults(0)
 	w.warmUp(40)
 	before := w.answers
 	if w.warmUp(10); w.answers < before+9 {
--- a/mixer/types.go
+++ b/mixer/types.go
@@ -9,8 +9,8 @@
 type Effect int
 
 const (
-	Idempotent Effect = iota // may run again
-	Deduplicated                   // a repeat is known by its mark and dropped for a while
+	Idempotent   Effect = iota // may run again
+	Deduplicated               // a repeat is known by its mark and dropped for a while
 	AtMostOnce                 // must never run twice
 )
 
@@ -18,14 +18,14 @@
 type Outcome int
 
 const (
-	Succeeded Outcome = iota // its answer is in
-	Failed                  // the searcher returned an error
-	Rejected                  // turned away unseen
-	TimedOut                 // no answer in time
-	Unreachable                // no connection was made
-	ConnectionReset                    // the connection broke
-	Cancelled                // withdrawn by the mixer
-	NeverSent                     // never sent
+	Succeeded       Outcome = iota // its answer is in
+	Failed                         // the searcher returned an error
+	Rejected                       // turned away unseen
+	TimedOut                       // no answer in time
+	Unreachable                    // no connection was made
+	ConnectionReset                // the connection broke
+	Cancelled                      // withdrawn by the mixer
+	NeverSent                      // never sent
 )
 
 // NeverRan tells whether the outcome proves that the forward did no work.
@@ -80,11 +80,11 @@
 }
 
 // users is by how many mixers a searcher's cold allowance is shared.
-func (c *Config) users() float64 { return float64(cmp.Or(c.Users, c.Mixers)) }
+func (c *Config) coldUsers() float64 { return float64(cmp.Or(c.Users, c.Mixers)) }
 
 // usage is which part of what a searcher answers a mixer that uses it may hold to be one user's: 1 where all use it. Who uses it are
 // fewer than the most, so that its answers to each are more than so many could have.
-func (c *Config) usage() float64 {
+func (c *Config) answerShare() float64 {
 	return float64(cmp.Or(c.UsersMean, 1)) / float64(cmp.Or(c.Users, 1))
 }
 
@@ -175,11 +175,11 @@
 	if d.sum == 0 || now == d.at {
 		return d.sum
 	}
-	return d.sum * left(now-d.at, half)
+	return d.sum * decayFactor(now-d.at, half)
 }
 
 // left gives what is left of 1 after a time.
-func left(age, half int64) float64 { return math.Exp2(-float64(age) / float64(half)) }
+func decayFactor(age, half int64) float64 { return math.Exp2(-float64(age) / float64(half)) }
 
 // as gives the sum as of now, where what is left of a term as old as another sum is known.
 func (d *DecayingSum) as(now, half int64, o *DecayingSum, left float64) float64 {
@@ -193,31 +193,31 @@
 }
 
 // Ratio is one decaying sum over another.
-type DecayingRatio struct{ over, under DecayingSum }
+type DecayingRatio struct{ numerator, denominator DecayingSum }
 
 // Add brings both sums up to date and adds to each.
 func (r *DecayingRatio) Add(now int64, over, under float64, half int64) {
-	o, u := r.read(now, half)
-	r.over, r.under = DecayingSum{o + over, now}, DecayingSum{u + under, now}
+	o, u := r.readSums(now, half)
+	r.numerator, r.denominator = DecayingSum{o + over, now}, DecayingSum{u + under, now}
 }
 
 // read gives both sums as of now. What is left of a term is reckoned once where both are of one time.
-func (r *DecayingRatio) read(now, half int64) (over, under float64) {
-	if now == r.under.at {
-		return r.over.Read(now, half), r.under.sum
+func (r *DecayingRatio) readSums(now, half int64) (over, under float64) {
+	if now == r.denominator.at {
+		return r.numerator.Read(now, half), r.denominator.sum
 	}
-	fade := left(now-r.under.at, half)
-	return r.over.as(now, half, &r.under, fade), r.under.as(now, half, &r.under, fade)
+	fade := decayFactor(now-r.denominator.at, half)
+	return r.numerator.as(now, half, &r.denominator, fade), r.denominator.as(now, half, &r.denominator, fade)
 }
 
 // Undo takes back what was added over at a time, as far as it still weighs in.
-func (r *DecayingRatio) Undo(now, at int64, over float64, half int64) {
-	r.over.Add(now, -over*left(now-at, half), half)
+func (r *DecayingRatio) Subtract(now, at int64, over float64, half int64) {
+	r.numerator.Add(now, -over*decayFactor(now-at, half), half)
 }
 
 // Read gives the ratio as of now, leaning on a value with a weight.
 func (r *DecayingRatio) Read(now int64, half int64, on, weight float64) float64 {
-	over, under := r.read(now, half)
+	over, under := r.readSums(now, half)
 	over, under = over+on*weight, under+weight
 	if under == 0 {
 		return 0
@@ -226,31 +226,31 @@
 }
 
 // Fade gives what is left of 1 since the newest terms were added.
-func (r *DecayingRatio) Fade(now int64, half int64) float64 {
-	return left(now-r.under.at, half)
+func (r *DecayingRatio) DecaySinceUpdate(now int64, half int64) float64 {
+	return decayFactor(now-r.denominator.at, half)
 }
 
 // Spread is the mean and deviation of decaying terms.
-type DecayingStats struct{ n, sum, squares DecayingSum }
+type DecayingStats struct{ count, sum, squares DecayingSum }
 
 // Add brings the sums up to date and adds x.
 func (s *DecayingStats) Add(now int64, x float64, half int64) {
-	n, sum, squares := s.read(now, half)
-	s.n, s.sum, s.squares = DecayingSum{n + 1, now}, DecayingSum{sum + x, now}, DecayingSum{squares + x*x, now}
+	n, sum, squares := s.readSums(now, half)
+	s.count, s.sum, s.squares = DecayingSum{n + 1, now}, DecayingSum{sum + x, now}, DecayingSum{squares + x*x, now}
 }
 
 // read gives the sums as of now; all are of one time.
-func (s *DecayingStats) read(now, half int64) (n, sum, squares float64) {
-	if now == s.n.at {
-		return s.n.sum, s.sum.sum, s.squares.sum
+func (s *DecayingStats) readSums(now, half int64) (n, sum, squares float64) {
+	if now == s.count.at {
+		return s.count.sum, s.sum.sum, s.squares.sum
 	}
-	fade := left(now-s.n.at, half)
-	return s.n.as(now, half, &s.n, fade), s.sum.as(now, half, &s.n, fade), s.squares.as(now, half, &s.n, fade)
+	fade := decayFactor(now-s.count.at, half)
+	return s.count.as(now, half, &s.count, fade), s.sum.as(now, half, &s.count, fade), s.squares.as(now, half, &s.count, fade)
 }
 
 // Read gives how many terms weigh in as of now, and their mean and deviation.
 func (s *DecayingStats) Read(now int64, half int64) (n, mean, dev float64) {
-	n, sum, squares := s.read(now, half)
+	n, sum, squares := s.readSums(now, half)
 	if n == 0 {
 		return 0, 0, 0
 	}
--- a/mixer/adopt.go
+++ b/mixer/update.go
@@ -22,15 +22,15 @@
 // Nothing that was counted or learnt begins anew: the forward budget, cold allowances and what searchers bear, what forwards
 // took, suspicion and customers' counts are as they would be without a version.
 func (m *Mixer) UpdateConfig(_ int64, c Config) {
-	if m == nil || len(c.Tariffs) != len(m.c.Tariffs) || len(c.Allowances) != len(m.c.Allowances) {
+	if m == nil || len(c.Tariffs) != len(m.config.Tariffs) || len(c.Allowances) != len(m.config.Allowances) {
 		return
 	}
 	rows := slices.Clone(c.Tariffs) // lookups point into the old ones
-	m.long = float64(ms)
+	m.longestExpected = float64(ms)
 	for i := range rows {
-		rows[i].Effect, rows[i].SecondStep = m.c.Tariffs[i].Effect, m.c.Tariffs[i].SecondStep
-		m.long = max(m.long, float64(rows[i].Expected))
+		rows[i].Effect, rows[i].SecondStep = m.config.Tariffs[i].Effect, m.config.Tariffs[i].SecondStep
+		m.longestExpected = max(m.longestExpected, float64(rows[i].Expected))
 	}
-	m.c.Tariffs, m.c.Allowances = rows, slices.Clone(c.Allowances)
-	m.c.MaxAdvice, m.c.OverWorth = c.MaxAdvice, c.OverWorth
+	m.config.Tariffs, m.config.Allowances = rows, slices.Clone(c.Allowances)
+	m.config.MaxAdvice, m.config.OverWorth = c.MaxAdvice, c.OverWorth
 }
