--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -12,8 +12,8 @@
 
 	"nettlefold/internal/dispatch"
 	"nettlefold/internal/distribute"
-	"nettlefold/internal/duty"
 	"nettlefold/internal/feed"
+	"nettlefold/internal/leases"
 	"nettlefold/internal/rendezvous"
 	"nettlefold/internal/replicated"
 )
@@ -22,9 +22,9 @@
 func TestTheOldestWeightsAreExchangedFirst(t *testing.T) {
 	a := fleetOf(1, 1)[0]
 	for id, version := range map[string]int64{"a": 2, "b": 1, "c": 3, "d": 1, "e": 2} {
-		a.list = append(a.list, dispatch.Listed{ID: id, Versions: map[string]int64{"m": version}})
+		a.list = append(a.list, dispatch.BackendInfo{ID: id, Versions: map[string]int64{"m": version}})
 	}
-	a.list = append(a.list, dispatch.Listed{ID: "other", Versions: map[string]int64{"n": 1}}, dispatch.Listed{ID: "plain"})
+	a.list = append(a.list, dispatch.BackendInfo{ID: "other", Versions: map[string]int64{"n": 1}}, dispatch.BackendInfo{ID: "plain"})
 	var versions []int64
 	for _, l := range a.behind("m", 3) {
 		versions = append(versions, l.Versions["m"])
@@ -50,9 +50,9 @@
 	holds := func(holder string, members *distribute.MemberSet) (owners []string) {
 		for _, a := range agents {
 			a.members = members
-			a.snapshot = &distribute.Snapshot{Duties: map[string]replicated.Duty{}}
+			a.snapshot = &distribute.Snapshot{Leases: map[string]replicated.LeaseRecord{}}
 			if holder != "" {
-				a.snapshot.Duties[key] = replicated.Duty{Holder: holder, Fence: 7}
+				a.snapshot.Leases[key] = replicated.LeaseRecord{Holder: holder, FencingToken: 7}
 			}
 			if a.ownsOrders("m") {
 				owners = append(owners, a.self.ID)
@@ -71,9 +71,9 @@
 }
 
 // backends gives a list of backends that have one version of model m.
-func backends(version int64, ids ...string) (list []dispatch.Listed) {
+func backends(version int64, ids ...string) (list []dispatch.BackendInfo) {
 	for _, id := range ids {
-		list = append(list, dispatch.Listed{ID: id, Versions: map[string]int64{"m": version}})
+		list = append(list, dispatch.BackendInfo{ID: id, Versions: map[string]int64{"m": version}})
 	}
 	return list
 }
@@ -81,8 +81,8 @@
 // TestAFormerHoldersPhasesAreOver: whoever held the orders before goes on telling what it knew of its backends. That does not take the place of
 // what their holder now has told, whichever comes last: a backend with new weights would be ordered again.
 func TestAFormerHoldersPhasesAreOver(t *testing.T) {
-	former := feed.Phase{Name: dispatch.PhaseLoading, Fence: 6, Number: 9}
-	now := feed.Phase{Model: "m", Version: 2, Fence: 7, Number: 3}
+	former := feed.Phase{Name: dispatch.PhaseLoading, FencingToken: 6, Seq: 9}
+	now := feed.Phase{Model: "m", Version: 2, FencingToken: 7, Seq: 3}
 	for _, order := range [][]feed.Phase{{former, now}, {now, former}, {former, now, former}, {now, former, now}} {
 		a := fleetOf(1, 1)[0]
 		a.list = backends(1, "b")
@@ -98,8 +98,8 @@
 func TestPhasesOfOneHolderKeepTheirOrder(t *testing.T) {
 	a := fleetOf(1, 1)[0]
 	a.list = backends(1, "b")
-	a.takePhases(map[string]feed.Phase{"b": {Model: "m", Version: 2, Fence: 6, Number: 3}})
-	a.takePhases(map[string]feed.Phase{"b": {Name: dispatch.PhaseEmptying, Fence: 6, Number: 1}})
+	a.takePhases(map[string]feed.Phase{"b": {Model: "m", Version: 2, FencingToken: 6, Seq: 3}})
+	a.takePhases(map[string]feed.Phase{"b": {Name: dispatch.PhaseEmptying, FencingToken: 6, Seq: 1}})
 	require.Empty(t, a.behind("m", 2))
 }
 
@@ -108,7 +108,7 @@
 func TestAHolderBelievesWhatItTells(t *testing.T) {
 	a := fleetOf(1, 1)[0]
 	a.list = backends(1, "b")
-	loaded := feed.Phase{Model: "m", Version: 2, Fence: 6, Number: 3}
+	loaded := feed.Phase{Model: "m", Version: 2, FencingToken: 6, Seq: 3}
 	a.takePhases(map[string]feed.Phase{"b": loaded})
 	old := time.Now().Add(-phasesKeep - time.Second)
 	a.ownPhases["b"] = ownPhase{loaded, old, old}
@@ -133,8 +133,8 @@
 	l := backends(1, "b")[0]
 	l.Addr = backend.Listener.Addr().String()
 	a := fleetOf(1, 1)[0]
-	a.list = []dispatch.Listed{l}
-	r := &rollout{agent: a, model: "m", lease: &lease{state: duty.New(duty.Terms{}, 7)}, finished: make(chan string, 1)}
+	a.list = []dispatch.BackendInfo{l}
+	r := &rollout{agent: a, model: "m", lease: &lease{state: leases.New(leases.Timing{}, 7)}, finished: make(chan string, 1)}
 	r.one(context.Background(), l, 2)
 	(<-a.commands)() // the phase
 	require.Empty(t, a.behind("m", 2))
@@ -159,14 +159,14 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { orders.Add(1) }))
 	defer backend.Close()
 	a := fleetOf(1, 1)[0]
-	l := &lease{inherited: true, state: duty.New(duty.Terms{Act: time.Hour, Flight: time.Hour}, 7)}
-	require.True(t, l.confirmed(duty.Confirmation{Now: a.now(), Fence: 8}))
+	l := &lease{inherited: true, state: leases.New(leases.Timing{HoldFor: time.Hour, MaxTransit: time.Hour}, 7)}
+	require.True(t, l.confirmed(leases.Renewal{ReceivedAt: a.now(), FencingToken: 8}))
 	require.Greater(t, l.opensIn(a.now()), time.Hour)
 	require.False(t, l.mayAct(a.now()))
 	r := &rollout{agent: a, model: "m", lease: l}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.ErrorIs(t, r.order(ctx, dispatch.Listed{ID: "b", Addr: backend.Listener.Addr().String()}, 2), context.Canceled)
+	require.ErrorIs(t, r.order(ctx, dispatch.BackendInfo{ID: "b", Addr: backend.Listener.Addr().String()}, 2), context.Canceled)
 	require.Zero(t, orders.Load())
 	require.Zero(t, l.opensIn(a.now()+3*time.Hour))
 }
