--- a/mixer/admission.go
+++ b/mixer/admission.go
@@ -5,30 +5,31 @@
 	"slices"
 )
 
-// Take takes a lookup. It is planned once its parts have come.
-func (m *Mixer) StartLookup(now int64, a LookupRequest) *Lookup {
-	t := &m.config.Tariffs[a.Tariff]
+// StartLookup returns the handle of a new lookup. Nothing is forwarded until all parts of its step are added.
+func (m *Mixer) StartLookup(now int64, r LookupRequest) *Lookup {
+	t := &m.config.Tariffs[r.Tariff]
 	m.expireBudget(now)
 	m.budgetEarned = append(m.budgetEarned, now)
-	m.customerLookups[a.Customer].Add(now, 1, loadHalfLife)
+	m.customerLookups[r.Customer].Add(now, 1, loadHalfLife)
 	asked := now
-	if a.Again { // it has waited since its first try; NotAfter is what its patience leaves
-		asked = min(now, a.NotAfter-t.Patience)
+	if r.Again { // the expected time counts from the client's first try, which NotAfter and Patience give
+		asked = min(now, r.NotAfter-t.Patience)
 	}
-	end := min(a.NotAfter, asked+t.Expected) - deadlineMargin
-	l := &Lookup{mixer: m, request: a, tariff: t, expectedParts: a.Parts, neededWeight: t.CompleteFrom, deadline: end, epoch: -1}
-	l.parts = make([]*part, 0, min(a.Parts, maxSlabParts))
-	l.scheduleReview(now, end) // whatever else is lost, parts that never come or a late timer, this look ends it
+	deadline := min(r.NotAfter, asked+t.Expected) - deadlineMargin
+	l := &Lookup{mixer: m, request: r, tariff: t, expectedParts: r.Parts, neededWeight: t.CompleteFrom,
+		deadline: deadline, epoch: -1}
+	l.parts = make([]*part, 0, min(r.Parts, maxSlabParts))
+	l.scheduleReview(now, deadline) // ends the lookup even if parts never come or another timer is late
 	return l
 }
 
-// AddPart hands over one part of the step at hand.
-func (l *Lookup) AddPart(now int64, p PartRequest) {
+// AddPart adds one part of the current step.
+func (l *Lookup) AddPart(now int64, r PartRequest) {
 	l.mixer.budgetEarned = append(l.mixer.budgetEarned, now)
 	if l.ended {
 		return
 	}
-	l.parts = append(l.parts, l.partSlab.add(l, p))
+	l.parts = append(l.parts, l.partSlab.add(l, r))
 	l.mixer.calls++
 	if l.stepComplete = len(l.parts) >= l.expectedParts; !l.stepComplete {
 		return
@@ -40,24 +41,25 @@
 	}
 }
 
-// hopeless decides at taking if the lookup can still be satisfied. It guards against overload, of the fleet
-// or of a few slices, whatever the cause: work that comes too late keeps other work from being in time.
+// infeasible reports whether a new lookup is predicted to miss its deadline. Rejecting it early protects the
+// others under overload of the fleet or of a few slices: late work keeps other work from being in time.
 func (l *Lookup) infeasible(now int64) bool {
 	m := l.mixer
 	times, fleet, fade := m.partTimes[:0], m.fleetUnitTime(now), m.fleetPace.DecaySinceUpdate(now, loadHalfLife)
 	worth := 1.0
-	if c := l.request.Customer; c > 0 { // who goes beyond its share is turned away first
+	if c := l.request.Customer; c > 0 { // customers beyond their allowance are rejected first
 		fair := m.config.Allowances[c-1] / float64(m.config.Mixers) / 1e9 * float64(loadHalfLife) / math.Ln2
-		over := (m.customerLookups[c].Read(now, loadHalfLife) + customerPriorLookups) / (fair + customerPriorLookups)
+		over := (m.customerLookups[c].Read(now, loadHalfLife) + customerPriorLookups) /
+			(fair + customerPriorLookups)
 		worth = m.config.OverWorth + (1-m.config.OverWorth)/max(1, over)
 	}
 	for _, p := range l.parts {
 		least := math.Inf(1)
 		m.eachHolder(now, p, func(s *searcher) {
 			if !m.avoided(now, s) {
-				// What was learnt long ago, of s or of all, must not keep away the lookups that would show it is over.
-				on := fleet / s.size
-				unit := on*fade + (m.unitTime(now, s)-on)*s.pace.DecaySinceUpdate(now, loadHalfLife)
+				// Old statistics fade, or they would reject the lookups that could show that overload is over.
+				prior := fleet / s.size
+				unit := prior*fade + (m.unitTime(now, s)-prior)*s.pace.DecaySinceUpdate(now, loadHalfLife)
 				least = min(least, float64(m.coldWait(now, s))+unit*float64(s.callsOut+1))
 			}
 		})
--- a/mixer/cold.go
+++ b/mixer/cold.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// frac is the least share of its capacity a searcher has now.
+// capacityShare returns the least share of its capacity that a searcher has now; it is cold while below 1.
 func (m *Mixer) capacityShare(now int64, s *searcher) float64 {
 	if s.started == 0 || now-s.started >= m.config.ColdFor {
 		return 1
@@ -10,54 +10,58 @@
 	return m.config.ColdFrom + (1-m.config.ColdFrom)*max(0, float64(now-s.started)/float64(m.config.ColdFor))
 }
 
-// coldWait is how long s must still be spared while cold. This mixer saves up for one part at a time, from a
-// chance point of the way on: else every mixer has a first part for a newcomer at once.
+// coldWait returns how long no part may be sent to s while it is cold. Credit accumulates up to one part and
+// starts at random, or every mixer would send a new searcher its first part at once.
 func (m *Mixer) coldWait(now int64, s *searcher) int64 {
 	if m.capacityShare(now, s) == 1 {
 		return 0
 	}
-	own, w := m.coldRate((s.coldCreditAt+now)/2, s), s.report
-	over := func(until int64) float64 { return float64(max(0, min(now, until)-s.coldCreditAt)) }
-	back := max(s.coldCreditAt, min(now, max(m.coldHeldUntil, w.AwayUntil))) // from when on its own share is not lent
-	s.coldCredit = min(1, s.coldCredit+own*float64(now-back)+w.Lent*over(w.LentUntil))
+	own, r := m.coldRate((s.coldCreditAt+now)/2, s), s.report
+	elapsed := func(until int64) float64 { return float64(max(0, min(now, until)-s.coldCreditAt)) }
+	back := max(s.coldCreditAt, min(now, max(m.coldHeldUntil, r.AwayUntil))) // end of the time its rate is lent
+	s.coldCredit = min(1, s.coldCredit+own*float64(now-back)+r.Lent*elapsed(r.LentUntil))
 	if s.coldCreditAt = now; s.coldCredit >= 1 {
 		return 0
 	}
 	rate := m.coldRate(now, s)
-	if now < w.LentUntil {
-		rate += w.Lent
+	if now < r.LentUntil {
+		rate += r.Lent
 	}
-	return int64(min(float64(s.started+m.config.ColdFor-now), (1-s.coldCredit)/rate+float64(max(0, w.AwayUntil-now))))
+	return int64(min(float64(s.started+m.config.ColdFor-now),
+		(1-s.coldCredit)/rate+float64(max(0, r.AwayUntil-now))))
 }
 
-// coldRate is how many parts per ns this mixer may send to s while cold. All mixers together may send what
-// fills coldMargin of a window, which is frac of what a warm searcher bears, times the multiple. What many
-// send is spread by chance, so they aim lower by coldSpread deviations; a few cannot exceed one part each.
+// coldRate returns how many parts per ns this mixer may send to s while cold. All mixers together may fill
+// coldMargin of what s takes in a window: its capacity share of a warm one's rate, times FallMultiple. What
+// many mixers send varies by chance, so they aim lower by coldDeviations; few send at most one part each.
 func (m *Mixer) coldRate(now int64, s *searcher) float64 {
 	rate, _ := m.coldRates(m.warmRate.Read(now, warmRateHalfLife), now, s)
 	return rate
 }
 
-// coldShare gives that rate, and what of it and of its room for chance it is worth to a borrower: who lends
-// sends nothing itself, so its one part saved up is free in each window, and a borrower's steady rate needs
-// less room for chance.
-func (m *Mixer) coldRates(bears float64, now int64, s *searcher) (rate, loan float64) {
+// coldRates returns the cold rate and the rate that a borrower may send instead. That is higher: the lender
+// sends nothing, so its one part of credit is free in each window, and a steady rate needs less margin.
+func (m *Mixer) coldRates(warmRate float64, now int64, s *searcher) (rate, loan float64) {
 	mixers, window := m.config.coldUsers(), float64(max(m.config.FallFor, ms))
-	most := bears * mixers * m.capacityShare(now, s) * m.config.FallMultiple * coldMargin * window
+	most := warmRate * mixers * m.capacityShare(now, s) * m.config.FallMultiple * coldMargin * window
 	spread := math.Sqrt(most+coldDeviations*coldDeviations/4) - coldDeviations/2
 	rate = max(spread*spread, min(most, mixers*math.Floor((most+1)/mixers))) / mixers / window
 	return rate, max(rate, min(spread*(spread+loanDeviations)/mixers/window, rate+1/window))
 }
 
-// measure learns this mixer's share of what a warm searcher bears: at least what warm ones answer it, and one
-// part in the time that it takes, shared. Time is added against few answers of light parts; mixers err apart.
+// updateWarmRate estimates this mixer's share of a warm searcher's throughput: at least what warm ones answer
+// it, and one part per mean latency, divided among the mixers. Time is added to the latter so that a few
+// answers of light parts do not inflate it; the mixers' errors are independent.
 func (m *Mixer) updateWarmRate(now int64) {
-	n, sum, searchers := 0.0, 0.0, float64(max(1, len(m.searchers))) // none where the last answer is late
+	n, sum, searchers := 0.0, 0.0, float64(max(1, len(m.searchers))) // none if a late answer finds an empty list
 	each := m.warmAnswers.Read(now, loadHalfLife) * math.Ln2 / float64(loadHalfLife) / searchers
-	for i := range m.latencies { // all tariffs together: light parts alone would tell of a machine that bears more
+	for i := range m.latencies { // all tariffs together: light parts alone would show too high a rate
 		k, mean, _ := m.latencies[i].Read(now, loadHalfLife)
 		n, sum = n+k, sum+k*max(mean, float64(ms))
 	}
-	rate := max(each*m.config.answerShare(), n/(sum+coldDeviations*initialLatencyShare*m.longestExpected/math.Sqrt(m.config.coldUsers()))/m.config.coldUsers())
-	m.warmRate = DecayingSum{max(rate, m.warmRate.Read(now, warmRateHalfLife)), now} // as before a jam, they can bear it again
+	rate := max(each*m.config.answerShare(),
+		n/(sum+coldDeviations*initialLatencyShare*m.longestExpected/math.Sqrt(m.config.coldUsers()))/
+			m.config.coldUsers())
+	// The estimate falls only by decay: after overload the searchers are as fast as before.
+	m.warmRate = DecayingSum{max(rate, m.warmRate.Read(now, warmRateHalfLife)), now}
 }
--- a/mixer/learn.go
+++ b/mixer/learn.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// settle takes a forward off its searcher's count and learns from it.
+// recordOutcome removes a forward from its searcher's counts and updates the statistics.
 func (m *Mixer) recordOutcome(now int64, f *forward, o Outcome, took int64) {
 	s := f.searcher
 	s.partsOut--
@@ -16,7 +16,7 @@
 	}
 	switch o {
 	case TimedOut, Cancelled:
-		// Guards against searchers too slow to answer in time, no answer of which ever tells how slow.
+		// A searcher too slow to answer in time would otherwise never show in the statistics.
 		if mean, _ := m.typicalLatency(now, f.part.lookup); o == TimedOut || float64(took) > mean {
 			s.recordPace(now, timeoutFactor*float64(took), f.callsAtSend)
 		}
@@ -27,10 +27,11 @@
 		}
 	case Succeeded:
 		s.lastAnswer, s.unansweredWait, s.suspect, s.probeInterval = now, 0, false, 0
-		if mean, _ := m.typicalLatency(now, f.part.lookup); float64(took) <= connLostMeans*mean { // a late one tells no zone well
+		// A late answer does not show that its zone is healthy.
+		if mean, _ := m.typicalLatency(now, f.part.lookup); float64(took) <= connLostMeans*mean {
 			m.lastAnswer, s.zone.lastAnswer, s.zone.lost = now, now, 0
 		}
-		if f.lostAt > 0 && f.connLoss != nil { // only late: else heavy parts on sound days cost a connection each
+		if f.lostAt > 0 && f.connLoss != nil { // only late: heavy parts must not cost healthy connections
 			f.connLoss.Subtract(now, f.lostAt, 1, connLossHalfLife)
 		}
 		if m.capacityShare(now, s) == 1 {
@@ -41,7 +42,7 @@
 		m.latencies[f.part.lookup.request.Tariff].Add(now, float64(took), loadHalfLife)
 		m.updateWarmRate(now)
 	case Failed, Rejected, Unreachable, ConnectionReset:
-		// Guards against one that fails fast, whose count near zero would draw every pick, or turns away.
+		// A searcher that fails or rejects fast has few calls in flight and would attract every pick.
 		mean, _ := m.typicalLatency(now, f.part.lookup)
 		if s.unansweredWait += int64(failureMeans * mean); o == Failed {
 			s.unansweredWait -= int64((failureMeans - errorMeans) * mean)
@@ -50,13 +51,14 @@
 	}
 }
 
+// recordPace adds one forward's latency and the calls in flight with it to the searcher's pace.
 func (s *searcher) recordPace(now int64, time float64, calls int) {
 	s.pace.Add(now, time, float64(calls), paceHalfLife)
 	s.recentPace.Add(now, time, float64(calls), loadHalfLife)
 }
 
-// typical gives how long the tariff's forwards lately took in the mean, a guess when none did, and after how
-// long one is late against nearly all of them.
+// typicalLatency returns the recent mean latency of the tariff's forwards, a default without answers, and the
+// time after which a forward is late compared with nearly all of them.
 func (m *Mixer) typicalLatency(now int64, l *Lookup) (mean float64, late int64) {
 	n, mean, dev := m.latencies[l.request.Tariff].Read(now, loadHalfLife)
 	if n < epsilon {
@@ -65,18 +67,18 @@
 	return mean, int64(mean + lateDeviations*max(dev, mean/4))
 }
 
-// unit is what forwards to s lately took for each call out with them, leaning on the fleet's figure where
-// s has shown little. Times the calls that a new forward joins, it is the time it is likely to take.
-// What others say of it stands for the fleet's, and weighs more than what s showed this mixer before.
+// unitTime estimates the latency of forwards to s per call in flight there; times the calls in flight, it gives
+// a new forward's predicted latency. The fleet's figure, corrected by what peers report of s, serves as the
+// prior; a report newer than the last answer outweighs what s showed this mixer before.
 func (m *Mixer) unitTime(now int64, s *searcher) float64 {
 	if s.unitMemo.valid(now, m.calls) {
 		return s.unitMemo.value
 	}
-	on, weight := m.fleetUnitTime(now)/s.size, fleetPriorCalls
-	if w := s.currentReport(now); w.Slow > 0 {
-		if on *= w.Slow; s.lastAnswer < w.At {
-			weight += min(w.Weight, maxReportCalls) + s.pace.denominator.Read(now, paceHalfLife)
+	prior, weight := m.fleetUnitTime(now)/s.size, fleetPriorCalls
+	if r := s.currentReport(now); r.Slow > 0 {
+		if prior *= r.Slow; s.lastAnswer < r.At {
+			weight += min(r.Weight, maxReportCalls) + s.pace.denominator.Read(now, paceHalfLife)
 		}
 	}
-	return s.unitMemo.set(now, m.calls, s.pace.Read(now, paceHalfLife, on, weight))
+	return s.unitMemo.set(now, m.calls, s.pace.Read(now, paceHalfLife, prior, weight))
 }
--- a/mixer/list.go
+++ b/mixer/list.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// Listed takes news of the list: changes, or with full set all of it.
-func (m *Mixer) UpdateList(now int64, rows []Entry, full bool) {
+// UpdateList applies changes to the membership list; with full set, entries is the whole list.
+func (m *Mixer) UpdateList(now int64, entries []Entry, full bool) {
 	m.listFailures = 0
 	m.invalidateReviews()
 	m.calls++
-	var moved []*searcher
+	var changed []*searcher
 	if full {
 		for _, cell := range m.cells {
-			moved = append(moved, cell...)
+			changed = append(changed, cell...)
 		}
-		for _, s := range moved {
+		for _, s := range changed {
 			s.status = Dead
 		}
 	}
-	for _, e := range rows {
+	for _, e := range entries {
 		s := m.searchers[e.Searcher]
 		if s == nil {
 			if e.Status == Dead || e.Cell < 0 || e.Cell >= m.config.Cells {
 				continue
 			}
-			s = &searcher{id: e.Searcher, cell: e.Cell, status: Dead, started: e.Started - 1} // met as a new process
+			s = &searcher{id: e.Searcher, cell: e.Cell, status: Dead, started: e.Started - 1} // as a new process
 			m.searchers[e.Searcher] = s
 			m.cells[e.Cell] = append(m.cells[e.Cell], s)
 		}
@@ -33,13 +33,14 @@
 		if m.config.Sized && e.Size > 0 {
 			s.size = e.Size
 		}
-		if s.started != e.Started { // a new process: nothing learnt of the old one holds
+		if s.started != e.Started { // a new process: the old one's statistics do not apply
 			s.started, s.unansweredWait, s.suspect, s.probeInterval, s.report = e.Started, 0, false, 0, PeerReport{}
-			s.pace, s.recentPace, s.coldDemand, s.coldCredit, s.coldCreditAt = DecayingRatio{}, DecayingRatio{}, DecayingSum{}, m.rng.Float64(), now
+			s.pace, s.recentPace, s.coldDemand, s.coldCredit, s.coldCreditAt =
+				DecayingRatio{}, DecayingRatio{}, DecayingSum{}, m.rng.Float64(), now
 		}
-		moved = append(moved, s)
+		changed = append(changed, s)
 	}
-	for _, s := range moved {
+	for _, s := range changed {
 		if len(s.inFlight) > 0 && s.inFlight[0].lost() {
 			s.reviewLookups(now)
 		}
@@ -47,7 +48,7 @@
 	}
 }
 
-// forget drops a searcher that is gone once nothing is out there: replaced machines must not pile up.
+// removeIfGone drops a dead searcher without forwards in flight, so that replaced machines do not accumulate.
 func (m *Mixer) removeIfGone(s *searcher) {
 	if s.status == Dead && len(s.inFlight) == 0 && m.searchers[s.id] == s {
 		delete(m.searchers, s.id)
@@ -55,7 +56,7 @@
 	}
 }
 
-// ListRefused is told that a list call failed. It is asked for again after a growing, jittered wait.
+// ListFailed records that a list call failed and schedules the next one with exponential backoff and jitter.
 func (m *Mixer) ListFailed(now int64) {
 	wait := firstListRetryDelay << min(m.listFailures, 6)
 	if m.config.AskWithin > 0 {
@@ -65,7 +66,7 @@
 	m.env.SetTimer(wait/2+m.rng.Int63n(wait), m)
 }
 
-// Due asks for the list.
+// HandleTimer requests the list unless a request is pending.
 func (m *Mixer) HandleTimer(now int64) {
 	if !m.subscribing {
 		m.subscribing = true
@@ -73,32 +74,33 @@
 	}
 }
 
-// Told takes what other mixers say and lend. All of it ends by itself: who hears no more is as one alone.
-func (m *Mixer) UpdatePeerReports(now int64, words []PeerReport) {
+// UpdatePeerReports takes the reports and loans of other mixers. All expire: without new ones the mixer acts
+// alone.
+func (m *Mixer) UpdatePeerReports(now int64, reports []PeerReport) {
 	m.calls++
-	for _, w := range words {
-		if s := m.searchers[w.Searcher]; s != nil && s.started == w.Started {
-			if w.Lent+s.report.Lent > 0 || max(w.AwayUntil, s.report.AwayUntil) > 0 {
-				m.coldWait(now, s) // first what was lent and borrowed up to now
+	for _, r := range reports {
+		if s := m.searchers[r.Searcher]; s != nil && s.started == r.Started {
+			if r.Lent+s.report.Lent > 0 || max(r.AwayUntil, s.report.AwayUntil) > 0 {
+				m.coldWait(now, s) // adds up credit under the old loans first
 			}
-			if now < w.AwayUntil {
-				s.coldCredit = 0 // what was saved up is lent too
+			if now < r.AwayUntil {
+				s.coldCredit = 0 // lent with the rate
 			}
-			if w.Sound && !s.report.Sound && s.suspect {
-				s.probeInterval, s.nextProbe = 0, now // it is back for others: the first who may should see for itself
+			if r.Sound && !s.report.Sound && s.suspect {
+				s.probeInterval, s.nextProbe = 0, now // it answers others again: probe it at once
 			}
-			s.report = w
+			s.report = r
 		}
 	}
 }
 
-// Hold keeps its own cold allowance back for a while: a mixer started anew may have lent it before.
+// HoldColdAllowance suspends the mixer's own cold allowance: before a restart it may have lent it out.
 func (m *Mixer) HoldColdAllowance(until int64) { m.coldHeldUntil = until }
 
-// said gives what others say of the process that runs, nothing once it is old.
-func (s *searcher) currentReport(now int64) (w PeerReport) {
+// currentReport returns the peer report on the running process, zero once it has expired.
+func (s *searcher) currentReport(now int64) (r PeerReport) {
 	if now < s.report.Until {
-		w = s.report
+		r = s.report
 	}
-	return w
+	return r
 }
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -1,126 +1,140 @@
-// Package mixer decides how lookups are served from many searchers.
+// Package mixer decides how lookups are distributed over many searchers, the backends that serve them.
 //
-// How it is called: New makes a mixer; Listed and ListRefused bring news of the list; Take gives a lookup's
-// handle, AddPart hands over its parts, Outcome tells how a forward ended, Gone that the client has left; Due
-// comes with a timer, Told with what other mixers say. Calls come in the clock's order. It acts by Floor.
+// New makes a Mixer. UpdateList and ListFailed report changes of the membership list; StartLookup returns the
+// handle of a lookup, AddPart adds its parts, HandleOutcome reports how a forward ended and Abandon that
+// the client has left; HandleTimer runs when a timer expires, and UpdatePeerReports takes the reports of
+// other mixers. Calls must come in the order of the clock. The mixer acts through its Environment.
 //
-// The ordinary path is water-filling: exactly as many parts as make the answer whole, each to the holder
-// with the fewest calls of this mixer out, the count raised after each pick. docs/design.md says what is
-// added to it, when and why. Read review.go first: there every lookup moves on. It asks pick.go where to go;
-// admission.go turns away, learn.go hears of outcomes, suspect.go and cold.go know whom to leave or spare.
+// The base policy is water-filling with least outstanding requests: exactly as many parts as make the
+// answer complete, each sent to the holder with the fewest calls in flight from this mixer, counting each
+// call as it is made. docs/design.md describes what is added to that and why. Start with review.go, through
+// which every lookup advances: pick.go selects searchers, admission.go sheds load, learn.go updates
+// statistics from outcomes, suspect.go detects failures and cold.go limits traffic during slow start.
 package mixer
 
 import "math/rand"
 
+// Times that depend on load are multiples of the tariff's mean latency ("means") or shares of a given time.
 const (
-	ms = int64(1_000_000)
-
-	loadHalfLife         = 4000 * ms  // ns; sums follow a change of load within seconds, yet hold some tens of forwards
-	paceHalfLife         = 16000 * ms // ns; a searcher's own pace: sparse mixers meet each only every ten seconds or so
-	fleetPriorCalls      = 1.5        // calls; how much of the fleet's figure is blended into a searcher's own
-	timeoutFactor        = 2.0        // how much longer a forward is held to take than it waited before it timed out
-	lateDeviations       = 4.0        // deviations above the mean from which a forward is late; at 1.25 copies feed jams
-	suspectMeans         = 8.0        // means that forwards wait in all, unanswered, that make a searcher suspect
-	presumedLostMeans    = 5.0        // means after which one such forward is sent again; at 3 sound ones are, in jams
-	failureMeans         = 3.0        // means for which a failure counts: three in a row tell
-	errorMeans           = 1.0        // means for which an error counts: it is there and may serve the next one
-	connLostMeans        = 2.5        // means after which a forward without any answer since counts as lost on its line
-	firstProbeShare      = 0.4        // of the longest expected time, before a suspect's first test; then doubled
-	lastProbeShare       = 3.2        // of the same, at most; a searcher that is back is missed for about this long
-	initialLatencyShare  = 0.125      // of the expected time, what a forward is held to take until some have come
-	initialWarmShare     = 0.25       // of the longest, in which a warm one bears a part: a guess to begin a cold fleet
-	warmRateHalfLife     = 60000 * ms // ns; machines change slowly, a jam or a lull lasts less
-	coldMargin           = 0.8        // of what a cold searcher bears, the part that the mixers together allow themselves
-	coldDeviations       = 2.0        // deviations kept for what chance adds in a window; at 3 newcomers idle in releases
-	admissionShare       = 0.33       // of the time left, what a lookup may be predicted to take; 0.2 idles, 0.42 jams
-	twoStepFactor        = 1.6        // of the first, how long both steps take: the second asks less of each part
-	retryAfterShare      = 0.08       // of the time left, the wait advised to a client turned away at taking
-	maxHedgeShare        = 0.15       // copies for each forward when idle; more do not shorten lookups further
-	hedgeLoadFactor      = 2.5        // how fast that share fades as forwards take more of the expected time
-	blockedPartDelay     = 50 * ms    // ns; pause before a part that no holder may take is looked at again
-	deadlineMargin       = 8 * ms     // ns; an ending is sent this early, to arrive in time
-	silentZoneLosses     = 3          // forwards lost in a row, with no answer from a whole zone, that make it silent
-	minProbes            = 0.5        // such tests that are always allowed, faded: one in four seconds or so
-	probeShare           = 0.03       // of forwards, those that test suspects and silent zones; each may delay a lookup
-	firstListRetryDelay  = 500 * ms   // ns; first wait after a refused list call, doubled up to a third of AskWithin
-	crossZoneFactor      = 16.0       // share of a forward's time that a price of 1 on crossing zones is worth
-	connLossHalfLife     = 8000 * ms  // ns; how long what was learnt of idle connections holds
-	idleLossFactor       = 2.0        // of what new connections lose, idle ones may: new ones are few to judge by
-	idleLossThreshold    = 1.0        // forwards lost on idle connections, beyond what new ones lose, that close them
-	loanDeviations       = 1.0        // deviations, of those kept for chance, that are lent: a steady rate needs less
-	maxReportCalls       = 12.0       // calls that others' word weighs at most; 4 leave old answers in front
-	lastChanceMeans      = 2.5        // means that are left, when a part that may have one forward out goes elsewhere
-	recallShare          = 0.7        // of the time left, what it may be predicted to take there
-	customerPriorLookups = 1.0        // lookups, held in a customer's favour and against it: each mixer sees few of it
-	epsilon              = 1e-6       // weights may fall short by rounding
+	ms = int64(1_000_000) // nanoseconds in a millisecond
+
+	loadHalfLife = 4000 * ms  // ns; follows a change of load within seconds, yet covers some tens of forwards
+	paceHalfLife = 16000 * ms // ns; of one searcher's pace: mixers with little traffic use each every 10 s or so
+
+	fleetPriorCalls     = 1.5   // calls; weight of the fleet's figure when estimating one searcher's
+	timeoutFactor       = 2.0   // estimated latency of a forward that timed out, as a multiple of its wait
+	lateDeviations      = 4.0   // standard deviations above the mean; at 1.25, hedges feed overload
+	suspectMeans        = 8.0   // means; total unanswered wait of forwards that makes a searcher suspect
+	presumedLostMeans   = 5.0   // means until one such forward is resent; at 3, healthy ones are under overload
+	failureMeans        = 3.0   // means that a failure adds to unanswered wait: three in a row make a suspect
+	errorMeans          = 1.0   // means that an error adds: the searcher is up and may serve the next forward
+	connLostMeans       = 2.5   // means without any answer until a forward counts as lost on its connection
+	firstProbeShare     = 0.4   // of the longest expected time; delay before the first probe, then doubled
+	lastProbeShare      = 3.2   // of the same; longest delay, about how long a recovered searcher stays unused
+	initialLatencyShare = 0.125 // of the expected time; assumed latency of a forward before any answer
+	initialWarmShare    = 0.25  // of the longest expected time; assumed work per part in an all-cold fleet
+
+	warmRateHalfLife = 60000 * ms // ns; machines change slowly, overload and idle periods are shorter
+
+	coldMargin      = 0.8    // of what a cold searcher can take; share that all mixers together send
+	coldDeviations  = 2.0    // standard deviations kept for chance; at 3, cold searchers idle during rollouts
+	admissionShare  = 0.33   // of the time left; predicted latency admitted: 0.2 idles, 0.42 overloads
+	twoStepFactor   = 1.6    // predicted time of both steps over the first: the second asks less of each part
+	retryAfterShare = 0.08   // of the time left; wait advised to a rejected client
+	maxHedgeShare   = 0.15   // hedges per forward on an idle fleet; more do not shorten lookups further
+	hedgeLoadFactor = 2.5    // how fast that share falls as latency takes more of the expected time
+	deadlineMargin  = 8 * ms // ns; final answers are sent this early to arrive in time
+	minProbes       = 0.5    // decayed probes always allowed, about one in 4 s
+	probeShare      = 0.03   // of forwards; probes of suspects and silent zones, each may delay a lookup
+	crossZoneFactor = 16.0   // share of a forward's time that a CrossPrice of 1 is worth
+	loanDeviations  = 1.0    // standard deviations of coldDeviations that are lent: a steady rate needs less
+	maxReportCalls  = 12.0   // calls; largest weight of peer reports: with 4, old own answers dominate
+	lastChanceMeans = 2.5    // means left when a part limited to one forward in flight is sent elsewhere
+	recallShare     = 0.7    // of the time left; longest predicted time of that new forward
+	epsilon         = 1e-6   // tolerance for rounding in sums of weights
+
+	blockedPartDelay    = 50 * ms  // ns; delay before retrying a part that no holder may take
+	silentZoneLosses    = 3        // forwards lost in a row that make a zone without answers silent
+	firstListRetryDelay = 500 * ms // ns; after a failed list call, doubled up to a third of AskWithin
+
+	connLossHalfLife     = 8000 * ms // ns; of loss statistics of idle and new connections
+	idleLossFactor       = 2.0       // loss rate allowed on idle connections over that on new, which are few
+	idleLossThreshold    = 1.0       // forwards lost on idle connections beyond that rate before closing them
+	customerPriorLookups = 1.0       // lookups added to a customer's use and share: each mixer sees few of them
 )
 
-// Mixer is one mixer. It shares nothing with others but by Told and Tell.
+// Mixer distributes the lookups of one process. Mixers exchange state only through Observations and
+// UpdatePeerReports. A Mixer is not safe for concurrent use.
 type Mixer struct {
 	config    Config
 	env       Environment
 	rng       *rand.Rand
-	latencies []DecayingStats // by tariff, how long its forwards take
+	latencies []DecayingStats // of forwards, by tariff
 	searchers map[string]*searcher
 	cells     [][]*searcher // by cell, in the order first listed
 
-	fleetPace                            DecayingRatio // of the whole fleet: how long forwards took, times size, over the calls out there
+	fleetPace                            DecayingRatio // latency times searcher size, over calls in flight
 	zones                                map[string]*zone
-	sentForwards, sentHedges, sentProbes DecayingSum   // forwards, copies and tests among them
-	idleConnLoss, newConnLoss            DecayingRatio // forwards lost over sent, on connections that lay idle, on new ones
-	budgetEarned, budgetSpent            []int64       // when lookups and parts were taken and further forwards made, for the budget
-	warmAnswers, warmRate                DecayingSum   // answers of warm searchers, parts per ns this mixer may count on of one
-	lastAnswer                           int64         // last answer of any searcher
-	subscribing                          bool          // a list call is out or the subscription runs
-	longestExpected                      float64       // ns, the longest expected time
+	sentForwards, sentHedges, sentProbes DecayingSum   // all forwards; hedges and probes among them
+	idleConnLoss, newConnLoss            DecayingRatio // lost over sent forwards, on idle and on new connections
+	budgetEarned, budgetSpent            []int64       // times of new lookups and parts, and of retries
+	warmAnswers, warmRate                DecayingSum   // answers of warm searchers; own parts per ns for one
+	lastAnswer                           int64         // of any searcher
+	subscribing                          bool          // a list call is pending or the subscription is active
+	longestExpected                      float64       // ns; longest expected time of any tariff
 	listFailures                         int
-	customerLookups                      []DecayingSum // lookups taken of each, the first of those who are not told
-	coldHeldUntil                        int64         // until then its own cold allowance may still be lent from before its start
-	epoch, calls                         int64         // counts what may bear on lookups beside their own answers; calls
-	reviewScratch                                      // kept from one review to the next to spare allocations
+	customerLookups                      []DecayingSum // lookups by customer, index 0 for unknown ones
+	coldHeldUntil                        int64         // end of the hold on its own cold allowance
+	epoch, calls                         int64         // version of what reviews read; calls of the mixer
+	reviewScratch                                      // buffers reused by reviews
 }
 
-// zone is what is known of a place: its last answer, and how many forwards sent since were lost.
-type zone struct{ lastAnswer, lost int64 }
+// zone is the state of one zone.
+type zone struct {
+	lastAnswer int64
+	lost       int64 // forwards sent since the last answer and lost
+}
 
 func (z *zone) silent() bool { return z.lost >= silentZoneLosses }
 
-// searcher is one machine of the list.
+// searcher is the state of one listed backend.
 type searcher struct {
 	id                       string
 	cell                     int
-	size                     float64 // by the list, 1 where that does not tell
+	size                     float64 // from the list, 1 where it gives none
 	zone                     *zone
 	status                   Status
 	started                  int64
-	callsOut, partsOut       int           // this mixer's calls out, which water-filling levels, and the parts in them
-	newestCall               *call         // the newest
-	pace, recentPace         DecayingRatio // of its answers, and of the newest, which others are told
-	lastAnswer, lastForward  int64         // last answer, last forward
-	unansweredWait           int64         // what forwards sent since have waited in vain
-	suspect                  bool          // not to be picked but for a test
-	probeInterval, nextProbe int64         // before the next test, and when that is
-	coldCredit               float64       // cold: of one part, how much may be sent, and up to when that was reckoned
+	callsOut, partsOut       int // calls in flight, which water-filling levels, and parts in them
+	newestCall               *call
+	pace, recentPace         DecayingRatio // latency over calls in flight; the recent one is for peers
+	lastAnswer, lastForward  int64
+	unansweredWait           int64 // ns; total wait of failed forwards sent since the last answer
+	suspect                  bool  // only probed until it answers
+	probeInterval, nextProbe int64
+	coldCredit               float64 // of one part that may be sent while cold, as of coldCreditAt
 	coldCreditAt             int64
-	inFlight                 []*forward
-	report                   PeerReport  // of others, on the process named there
-	coldDemand, sentForwards DecayingSum // cold: forwards sent there, and those that would have been with credit; all forwards
+	inFlight                 []*forward // oldest first
+	report                   PeerReport
+	coldDemand, sentForwards DecayingSum // forwards and those that lacked cold credit; all forwards
 	searcherCache
 }
 
-// cut tells whether no answer can come: its process is gone, or its whole zone is silent.
+// cutOff reports whether no answer can come: the process is gone, or its whole zone is silent.
 func (f *forward) cutOff() bool {
-	return f.searcher.status == Dead || f.processStart != f.searcher.started || f.searcher.zone.silent() && f.sentAt >= f.searcher.zone.lastAnswer
+	return f.searcher.status == Dead || f.processStart != f.searcher.started ||
+		f.searcher.zone.silent() && f.sentAt >= f.searcher.zone.lastAnswer
 }
 
-// lost tells whether no answer is waited for any more: it is cut, out for too long, or its searcher suspect.
+// lost reports whether the forward is no longer waited for: cut off, presumed lost, or sent to a suspect.
 func (f *forward) lost() bool { return f.presumedLost || f.searcher.suspect || f.cutOff() }
 
 func (f *forward) mayHaveRun() bool { return !f.done || f.ran }
 
-// New makes a mixer.
-func New(now int64, c Config, seed int64, floor Environment) *Mixer {
-	m := &Mixer{config: c, env: floor, rng: rand.New(rand.NewSource(seed)), latencies: make([]DecayingStats, len(c.Tariffs))}
+// New returns a Mixer that acts through env. The seed makes its random choices reproducible.
+func New(now int64, c Config, seed int64, env Environment) *Mixer {
+	m := &Mixer{config: c, env: env, rng: rand.New(rand.NewSource(seed)),
+		latencies: make([]DecayingStats, len(c.Tariffs))}
 	m.customerLookups = make([]DecayingSum, 1+len(c.Allowances))
 	m.cells, m.searchers, m.zones = make([][]*searcher, c.Cells), map[string]*searcher{}, map[string]*zone{}
 	m.longestExpected = float64(ms)
--- a/mixer/pick.go
+++ b/mixer/pick.go
@@ -2,48 +2,50 @@
 
 import "slices"
 
-// pick water-fills one forward: of all parts not yet served and all their holders it takes the least
-// count, and the count rises with the pick. Unasked parts come before repeats, equals are ordered by what
-// is known beyond the count, and then by chance.
-func (l *Lookup) pickForward(now int64, copy bool, mean float64, late int64) (best *part, to *searcher) {
-	m, left, step, home, at := l.mixer, float64(l.deadline-now), l.parts[l.stepStart:], l.mixer.zones[l.mixer.config.Zone], 0
-	if copy && !m.mayHedge(now, l, mean) {
+// pickForward selects the next forward by water-filling: of all unanswered parts and their holders, the one
+// with the fewest calls in flight, a count that rises with each pick. Parts not yet sent come before retries;
+// ties are broken by predicted latency, effort, and then at random. mean and late are those of the tariff.
+func (l *Lookup) pickForward(now int64, hedge bool, mean float64, late int64) (best *part, to *searcher) {
+	m, left, step, home, at := l.mixer, float64(l.deadline-now), l.parts[l.stepStart:],
+		l.mixer.zones[l.mixer.config.Zone], 0
+	if hedge && !m.mayHedge(now, l, mean) {
 		return nil, nil
 	}
-	var want *searcher // want is cold and would be picked if it had credit
+	var want *searcher // a cold one that would be picked if it had credit
 	least, wanted := maxKey, pickKey{}
-	m.keyBounds.begin(len(step), copy, m.mayProbe(now)) // else keys only rise from here on
+	m.keyBounds.begin(len(step), hedge, m.mayProbe(now)) // until these change, keys only rise
 	for i := m.keyBounds.first(&least); i >= 0; i = m.keyBounds.first(&least) {
 		p, low := step[i], excludedKey
 		bound, out := p.exclusiveForward(), p.newestPending(now)
-		// What is bound is left: its answer may be near, and what is withdrawn may be worked on all the same.
-		if p.answered || !l.maySend(now, p) || out > 0 && (!copy || out+late > now) ||
+		// An exclusive forward is left to finish: its answer may be near, and cancelled work may still be done.
+		if p.answered || !l.maySend(now, p) || out > 0 && (!hedge || out+late > now) ||
 			bound != nil && !bound.cutOff() && left > lastChanceMeans*mean {
 			m.keyBounds.set(i, excludedKey)
 			continue
 		}
 		m.eachHolder(now, p, func(s *searcher) {
-			if len(p.forwards) > 0 && slices.ContainsFunc(p.forwards, func(f *forward) bool { return f.searcher == s }) {
+			if len(p.forwards) > 0 &&
+				slices.ContainsFunc(p.forwards, func(f *forward) bool { return f.searcher == s }) {
 				return
 			}
 			class, unit := 0, m.unitTime(now, s)
-			if len(s.inFlight) > 0 { // at least what the oldest out there has waited
+			if len(s.inFlight) > 0 { // at least what the oldest forward in flight has waited
 				unit = max(unit, float64(now-s.inFlight[0].sentAt)/float64(s.inFlight[0].callsAtSend))
 			}
-			time, shunned := unit*float64(s.partsOut+1), m.avoided(now, s)
-			if bound != nil && (shunned || time > recallShare*left) {
-				return // no better than where it is
+			time, avoided := unit*float64(s.partsOut+1), m.avoided(now, s)
+			if bound != nil && (avoided || time > recallShare*left) {
+				return // no better than the searcher that has the part
 			}
-			if s.zone != home { // weighed against time by what crossing costs
+			if s.zone != home { // the price of crossing zones, weighed against time
 				time *= 1 + crossZoneFactor*m.config.CrossPrice
 			}
-			if shunned {
-				class = 1 // nobody better holds it
+			if avoided {
+				class = 1 // last resort
 			} else if s.suspect {
-				class = -1 // the one test, backed by a copy as soon as the lookup is looked at again
+				class = -1 // a probe, backed by a hedge at the next review
 			}
-			asked, tie := min(1, len(p.forwards)), s.tieBreak.draw(now, m.calls, m.rng)
-			key := pickKey{rankOf(class, asked, s.callsOut), time, float64(p.Effort), tie}
+			retry, tie := min(1, len(p.forwards)), s.tieBreak.draw(now, m.calls, m.rng)
+			key := pickKey{rankOf(class, retry, s.callsOut), time, float64(p.Effort), tie}
 			if key.less(&low) {
 				low = key
 			}
@@ -67,7 +69,7 @@
 	return best, to
 }
 
-// holders goes through the searchers that may serve a part, now or when their cold allowance next does.
+// eachHolder calls each for every searcher that may serve a part, now or once its cold allowance permits.
 func (m *Mixer) eachHolder(now int64, p *part, each func(*searcher)) {
 	for j := range m.config.Reach {
 		for _, s := range m.cells[(p.Slice+j)%m.config.Cells] {
@@ -78,11 +80,11 @@
 	}
 }
 
-// lastOut gives when the newest forward that may still bring an answer was sent, 0 if there is none.
+// newestPending returns when the newest forward that may still be answered was sent, 0 if there is none.
 func (p *part) newestPending(now int64) (sent int64) {
 	for _, f := range p.forwards {
 		if !f.done && (f.recalled || f.sentAt == now) {
-			return now // it goes out again at once, or just went
+			return now // about to be resent, or just sent
 		}
 		if !f.done && !f.lost() {
 			sent = max(sent, f.sentAt)
@@ -91,7 +93,7 @@
 	return sent
 }
 
-// bound gives what is out of a part where that keeps it from going elsewhere, as two may not be out at once.
+// exclusiveForward returns the forward in flight that blocks others of the part where hedging is not allowed.
 func (p *part) exclusiveForward() *forward {
 	n := len(p.forwards) - 1
 	if p.lookup.mixer.config.MayCopy || n < 0 || p.forwards[n].done {
@@ -100,37 +102,42 @@
 	return p.forwards[n]
 }
 
-// mayCopy is the allowance for copies. It fades as forwards take more of the expected time, or jams are fed.
+// mayHedge reports whether the hedge budget allows one more. It shrinks with latency: hedges feed overload.
 func (m *Mixer) mayHedge(now int64, l *Lookup, mean float64) bool {
 	ease := 1 - hedgeLoadFactor*mean/float64(l.tariff.Expected)
-	return ease > 0 && m.sentHedges.Read(now, loadHalfLife) <= maxHedgeShare*ease*m.sentForwards.Read(now, loadHalfLife)
+	return ease > 0 &&
+		m.sentHedges.Read(now, loadHalfLife) <= maxHedgeShare*ease*m.sentForwards.Read(now, loadHalfLife)
 }
 
+// maySend reports whether a part may be forwarded, within the retry budget if it is a retry.
 func (l *Lookup) maySend(now int64, p *part) bool {
-	m, barred := l.mixer, l.exhausted(now, p)
-	if len(p.forwards) == 0 || barred {
-		return !barred
+	m, exhausted := l.mixer, l.exhausted(now, p)
+	if len(p.forwards) == 0 || exhausted {
+		return !exhausted
 	}
 	m.expireBudget(now)
 	most := m.config.BudgetFree + m.config.BudgetShare*float64(len(m.budgetEarned))
-	return (m.config.BudgetFor == 0 || float64(len(m.budgetSpent)+1) <= most) && (m.config.MayCancel || p.exclusiveForward() == nil)
+	return (m.config.BudgetFor == 0 || float64(len(m.budgetSpent)+1) <= most) &&
+		(m.config.MayCancel || p.exclusiveForward() == nil)
 }
 
-// barred tells whether no forward of a part is left, or none that the rules on effects allow.
+// exhausted reports whether a part has no forward left, or none that its tariff's effect allows.
 func (l *Lookup) exhausted(now int64, p *part) bool {
-	once := func(f *forward) bool {
+	unrepeatable := func(f *forward) bool {
 		late := now-f.sentAt > l.tariff.RepeatFor-deadlineMargin
 		return f.mayHaveRun() && (l.tariff.Effect == AtMostOnce || l.tariff.Effect == Deduplicated && late)
 	}
-	return p.closed || len(p.forwards) >= l.mixer.config.MaxForwards || slices.ContainsFunc(p.forwards, once)
+	return p.closed || len(p.forwards) >= l.mixer.config.MaxForwards ||
+		slices.ContainsFunc(p.forwards, unrepeatable)
 }
 
+// expireBudget drops what has left the window of the retry budget.
 func (m *Mixer) expireBudget(now int64) {
 	start := now - m.config.BudgetFor
 	m.budgetEarned, m.budgetSpent = timesFrom(m.budgetEarned, start+1), timesFrom(m.budgetSpent, start)
 }
 
-// send books one forward; review puts it out.
+// send records one forward, which review then hands to the environment.
 func (l *Lookup) send(now int64, p *part, s *searcher) *forward {
 	m := l.mixer
 	f := p.newForward()
@@ -138,7 +145,7 @@
 	if s.newestCall == nil || s.newestCall.at != now || s.newestCall.size >= int64(m.config.PerCall) {
 		s.newestCall = &call{at: now}
 	}
-	if s.suspect { // on a connection that fell silent a test would tell nothing of its searcher
+	if s.suspect { // a probe on a connection that went silent would show nothing about the searcher
 		m.env.CloseIdle(s.id)
 	} else if s.callsOut == 0 {
 		f.connLoss = m.chooseConnection(now, s)
--- a/mixer/review.go
+++ b/mixer/review.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// review is the one place where a lookup moves on: it answers, ends, forwards, and sets the next look.
+// review is the single place where a lookup advances: it answers, ends, forwards, and sets the next review.
 func (l *Lookup) review(now int64) {
 	m, step, in := l.mixer, l.parts[l.stepStart:], 0.0
 	if l.ended || !l.stepComplete && now < l.deadline {
@@ -22,14 +22,15 @@
 		l.answer(now)
 		return
 	}
-	live, onTime, next, hope := in, in, l.deadline, in
+	// Weights of parts answered or pending, of those not late among them, and of those that may yet succeed.
+	live, onTime, next, possible := in, in, l.deadline, in
 	for _, p := range step {
 		if p.answered {
 			continue
 		}
 		m.checkSilence(now, p, mean)
 		if slices.ContainsFunc(p.forwards, func(f *forward) bool { return !f.done }) || !l.exhausted(now, p) {
-			hope += p.Weight
+			possible += p.Weight
 		}
 		if sent := p.newestPending(now); sent > 0 {
 			if live += p.Weight; sent+late > now {
@@ -38,50 +39,53 @@
 			}
 		}
 	}
-	if now >= l.deadline || hope < l.neededWeight-epsilon { // where enough parts have failed for good, others may still serve it
+	// Once too few parts can succeed, the client may still be served elsewhere.
+	if now >= l.deadline || possible < l.neededWeight-epsilon {
 		l.giveUp(now, in)
 		return
 	}
-	picks := m.picked[:0]
+	picked := m.picked[:0]
 	m.keyBounds.reset()
 	for onTime < l.neededWeight-epsilon {
-		copy := live >= l.neededWeight-epsilon // all that is needed is out, but some of it is late
-		p, to := l.pickForward(now, copy, mean, late)
+		hedge := live >= l.neededWeight-epsilon // enough parts are pending, but some of them are late
+		p, to := l.pickForward(now, hedge, mean, late)
 		if p == nil {
 			next = min(next, now+blockedPartDelay)
 			break
 		}
-		if onTime += p.Weight; copy {
+		if onTime += p.Weight; hedge {
 			m.sentHedges.Add(now, 1, loadHalfLife)
 		} else {
 			live += p.Weight
 		}
-		if f := p.exclusiveForward(); f != nil { // sent again when its withdrawal is in
+		if f := p.exclusiveForward(); f != nil { // resent once its cancellation is confirmed
 			f.recalled = true
 			m.env.Cancel(p.ID, len(p.forwards)-1)
 		} else {
-			picks = append(picks, l.send(now, p, to))
+			picked = append(picked, l.send(now, p, to))
 		}
 	}
-	for _, f := range picks {
+	for _, f := range picked {
 		m.env.Forward(f.part.ID, f.searcher.id, l.deadline-now)
 		next = min(next, now+late)
-		test := f.searcher.suspect && !m.avoided(now, f.searcher) // no last resort: those would use up the tests
-		if test || f.searcher.zone.silent() {
+		// A last resort is no probe: counting it would use up the allowance for probes.
+		probe := f.searcher.suspect && !m.avoided(now, f.searcher)
+		if probe || f.searcher.zone.silent() {
 			m.sentProbes.Add(now, 1, loadHalfLife)
 		}
 		if f.searcher.suspect {
 			next = now
-			if test {
+			if probe {
 				m.markSuspect(now, f.searcher)
 			}
 		}
 	}
-	m.picked = picks
+	m.picked = picked
 	l.scheduleReview(now, next)
 	l.recordQuiet(now, onTime >= l.neededWeight-epsilon)
 }
 
+// scheduleReview sets a timer for a review at the given time unless one is set for an earlier time.
 func (l *Lookup) scheduleReview(now, at int64) {
 	if at = max(at, now+1); l.nextReview == 0 || at < l.nextReview {
 		l.nextReview = at
@@ -89,20 +93,20 @@
 	}
 }
 
-// Due looks at the lookup again.
+// HandleTimer reviews the lookup.
 func (l *Lookup) HandleTimer(now int64) {
 	l.nextReview = 0
 	l.mixer.calls++
 	l.review(now)
 }
 
-// Gone is told that the client left.
+// Abandon ends a lookup whose client has left.
 func (l *Lookup) Abandon(now int64) { l.ended = true }
 
-// Outcome is told how a forward of part i ended.
-func (l *Lookup) HandleOutcome(now int64, i, copy int, o Outcome, took int64, over bool) {
+// HandleOutcome records how forward n of part i ended after the time took. A closed part is not retried.
+func (l *Lookup) HandleOutcome(now int64, i, n int, o Outcome, took int64, closed bool) {
 	p := l.parts[i]
-	f := p.forwards[copy]
+	f := p.forwards[n]
 	f.done, f.ran = true, !o.NeverRan()
 	l.mixer.calls++
 	l.mixer.recordOutcome(now, f, o, took)
@@ -111,11 +115,11 @@
 	} else {
 		l.mixer.invalidateReviews()
 	}
-	p.answered, p.closed = p.answered || o == Succeeded, p.closed || over
+	p.answered, p.closed = p.answered || o == Succeeded, p.closed || closed
 	l.review(now)
 }
 
-// withdraw gives up what is still out of a lookup that ends: it would hold searchers' time that others need.
+// cancelInFlight cancels the forwards in flight of a lookup that ends: they would take capacity from others.
 func (l *Lookup) cancelInFlight() {
 	for _, p := range l.parts {
 		for i, f := range p.forwards {
@@ -126,7 +130,7 @@
 	}
 }
 
-// answer gives a whole answer. A second step's parts then come to the same handle.
+// answer sends a complete answer. The parts of a second step are then added to the same handle.
 func (l *Lookup) answer(now int64) {
 	l.cancelInFlight()
 	l.mixer.env.Answer(l.request.ID, true)
@@ -134,7 +138,8 @@
 		l.ended = true
 		return
 	}
-	l.stepStart, l.expectedParts, l.neededWeight, l.stepComplete, l.epoch = len(l.parts), len(l.parts), 1, false, -1
+	l.stepStart, l.expectedParts, l.neededWeight, l.stepComplete, l.epoch =
+		len(l.parts), len(l.parts), 1, false, -1
 	for _, p := range l.parts {
 		if p.answered && l.expectedParts < l.stepStart+l.tariff.SecondStep {
 			l.expectedParts++
@@ -142,13 +147,14 @@
 	}
 }
 
-// giveUp ends a lookup at once with what honesty allows: an answer from the least share, a bounce where
-// nothing may have run that must not run twice, else a failure.
+// giveUp ends a lookup that cannot be completed: with a partial answer if it has the least share, with a
+// failure if a part that must not be repeated may have run, else with a rejection that the client may retry.
 func (l *Lookup) giveUp(now int64, in float64) {
 	l.ended = true
 	l.cancelInFlight()
 	final := l.stepStart > 0 || l.tariff.SecondStep == 0 // any other answer would only start the second step
-	if final && l.tariff.LeastShare < l.tariff.CompleteFrom && in >= l.tariff.LeastShare && l.tariff.Partial > 0 {
+	if final && l.tariff.LeastShare < l.tariff.CompleteFrom &&
+		in >= l.tariff.LeastShare && l.tariff.Partial > 0 {
 		l.mixer.env.Answer(l.request.ID, false)
 		return
 	}
@@ -159,8 +165,9 @@
 		}
 	}
 	wait := int64(0)
-	if l.mixer.config.MayAdvise && now < l.deadline { // back while there is time, and not all at once
-		wait = min(l.mixer.config.MaxAdvice, int64(retryAfterShare*float64(l.deadline-now)*(0.5+l.mixer.rng.Float64())))
+	if l.mixer.config.MayAdvise && now < l.deadline { // retry within the deadline, with jitter
+		wait = min(l.mixer.config.MaxAdvice,
+			int64(retryAfterShare*float64(l.deadline-now)*(0.5+l.mixer.rng.Float64())))
 	}
 	l.mixer.env.Reject(l.request.ID, wait)
 }
--- a/mixer/suspect.go
+++ b/mixer/suspect.go
@@ -2,8 +2,9 @@
 
 import "cmp"
 
-// hearken judges searchers not by the list: when forwards to one since its last answer have waited, added up,
-// for several times what they take, it is suspect. One alone may be slow or heavy and has to wait longer.
+// checkSilence is the failure detector: it suspects the searchers of a part's forwards once the forwards sent
+// there since the last answer have waited, in sum, for several mean latencies. A single one may be slow or
+// heavy and has to wait longer.
 func (m *Mixer) checkSilence(now int64, p *part, mean float64) {
 	for _, f := range p.forwards {
 		if s := f.searcher; !s.suspect && s.lastAnswer <= f.sentAt {
@@ -24,9 +25,10 @@
 	}
 }
 
-// distrust keeps a searcher from being picked, but for a test, until it answers.
+// markSuspect excludes a searcher from picks, except for probes with backoff and jitter, until it answers.
 func (m *Mixer) markSuspect(now int64, s *searcher) {
-	s.probeInterval = int64(min(max(2*float64(s.probeInterval), firstProbeShare*m.longestExpected), lastProbeShare*m.longestExpected))
+	s.probeInterval = int64(min(max(2*float64(s.probeInterval), firstProbeShare*m.longestExpected),
+		lastProbeShare*m.longestExpected))
 	s.nextProbe = now + s.probeInterval/2 + m.rng.Int63n(s.probeInterval)
 	if !s.suspect {
 		s.suspect = true
@@ -35,54 +37,59 @@
 	}
 }
 
+// reviewLookups schedules a review of every lookup with a forward in flight at s.
 func (s *searcher) reviewLookups(now int64) {
 	for _, f := range s.inFlight {
 		f.part.lookup.scheduleReview(now, now)
 	}
 }
 
-// doubted tells whether others hold s silent, and it has not answered this mixer since.
+// reportedSilent reports whether peers consider s silent and it has not answered this mixer since.
 func (s *searcher) reportedSilent(now int64) bool {
 	return s.currentReport(now).Silent && s.lastAnswer < s.report.At
 }
 
-// due tells whether a suspect may be tested. Mixers that suspect it together test it as often as one alone.
+// probeDue reports whether a suspect may be probed. Mixers that suspect it probe it together as often as one.
 func (s *searcher) probeDue(now int64) bool {
 	return now >= s.nextProbe+s.probeInterval*int64(s.currentReport(now).Suspecting)
 }
 
-// shunned tells whether s is suspect or in a silent zone, and not to be tested now.
+// avoided reports whether s is suspect or in a silent zone and must not be probed now.
 func (m *Mixer) avoided(now int64, s *searcher) bool {
 	if !s.suspect && s.reportedSilent(now) {
-		return true // those who found out test it
+		return true // the mixers that suspect it probe it
 	}
 	return (s.suspect || s.zone.silent()) && (s.suspect && !s.probeDue(now) || !m.mayProbe(now))
 }
 
-// mayTest is the allowance for tests.
+// mayProbe reports whether the probe budget allows one more.
 func (m *Mixer) mayProbe(now int64) bool {
-	return m.sentProbes.Read(now, loadHalfLife) < max(minProbes, probeShare*m.sentForwards.Read(now, loadHalfLife))
+	return m.sentProbes.Read(now, loadHalfLife) <
+		max(minProbes, probeShare*m.sentForwards.Read(now, loadHalfLife))
 }
 
-// connect closes what lies idle to s where idle connections lose more than new ones. It guards against
-// connections dropped unseen, which say nothing of the searcher. Where connecting fails, new ones lose more.
+// chooseConnection closes the idle connections to s if idle ones lose more forwards than new ones do, and
+// returns the loss statistics of the kind now used. Connections may be dropped silently, which says nothing
+// about the searcher; where connecting itself fails, new ones lose more.
 func (m *Mixer) chooseConnection(now int64, s *searcher) *DecayingRatio {
-	line, share := &m.idleConnLoss, m.newConnLoss.Read(now, connLossHalfLife, 0, fleetPriorCalls)
-	if line.numerator.Read(now, connLossHalfLife)-idleLossFactor*share*line.denominator.Read(now, connLossHalfLife) >= idleLossThreshold {
+	loss, share := &m.idleConnLoss, m.newConnLoss.Read(now, connLossHalfLife, 0, fleetPriorCalls)
+	if loss.numerator.Read(now, connLossHalfLife)-
+		idleLossFactor*share*loss.denominator.Read(now, connLossHalfLife) >= idleLossThreshold {
 		m.env.CloseIdle(s.id)
-		line = &m.newConnLoss
+		loss = &m.newConnLoss
 	}
-	line.Add(now, 0, 1, connLossHalfLife)
-	return line
+	loss.Add(now, 0, 1, connLossHalfLife)
+	return loss
 }
 
-// miss counts a forward as lost on its connection and in its zone, the latter where others answer meanwhile.
-// It guards against a zone lost, which a mixer with little traffic else meets searcher by searcher for long.
+// recordLoss counts a forward as lost, once, on its connection and, while other zones answer, in its zone. A
+// mixer with little traffic would otherwise detect the loss of a zone one searcher at a time.
 func (f *forward) recordLoss(now int64) {
 	if f.lostAt == 0 && f.connLoss != nil {
 		f.connLoss.Add(now, 1, 0, connLossHalfLife)
 	}
-	if z := f.searcher.zone; f.lostAt == 0 && z.lastAnswer <= f.sentAt && f.sentAt < f.part.lookup.mixer.lastAnswer {
+	if z := f.searcher.zone; f.lostAt == 0 && z.lastAnswer <= f.sentAt &&
+		f.sentAt < f.part.lookup.mixer.lastAnswer {
 		z.lost++
 		f.part.lookup.mixer.invalidateReviews()
 	}
