--- a/mixer/bounds.go
+++ b/mixer/bounds.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// key orders what may be picked: the least rank goes first, of equals the least time, of these the least effort, of these the
-// least tie-break, which each searcher draws anew for each review.
+// pickKey orders the candidates of a pick: the least rank first, then the least time, then the least effort, and
+// last a tie-break that each searcher draws anew for each review.
 type pickKey struct{ rank, time, effort, tie float64 }
 
-// turns is beyond any count of calls that are out at one searcher.
+// callsRange is greater than any number of calls in flight at one searcher.
 const callsRange = 1 << 32
 
-// rank is one figure for three that are compared one after another: the class, asked 0 or 1, and calls, below turns.
-func rankOf(class, asked, calls int) float64 { return float64((2*class+asked)*callsRange + calls) }
+// rankOf combines three numbers that are compared in order: the class, retry (0 or 1), and calls, below callsRange.
+func rankOf(class, retry, calls int) float64 { return float64((2*class+retry)*callsRange + calls) }
 
 var (
-	unknownKey  = pickKey{rank: math.Inf(-1)}    // below all: has to be looked at
-	maxKey      = pickKey{rank: math.MaxFloat64} // above all that may be picked
-	excludedKey = pickKey{rank: math.Inf(1)}     // what may not be picked
+	unknownKey  = pickKey{rank: math.Inf(-1)}    // below all keys: the part must be examined
+	maxKey      = pickKey{rank: math.MaxFloat64} // above all keys that may be picked
+	excludedKey = pickKey{rank: math.Inf(1)}     // of a part that must not be picked
 )
 
-// less tells whether k comes before o. No figure is NaN.
+// less reports whether k comes before o. No field may be NaN.
 func (k *pickKey) less(o *pickKey) bool {
 	if k.rank != o.rank {
 		return k.rank < o.rank
@@ -29,30 +29,30 @@
 	return k.effort < o.effort || k.effort == o.effort && k.tie < o.tie
 }
 
-// block is how many rows one bound of bounds stands for.
+// blockSize is the number of parts covered by one entry of keyBounds.blockMin.
 const blockSize = 16
 
-// bounds holds for each of a row of parts a key that none of its holders lies below, so that a pick looks only at parts that may have
-// the least. It stays right while keys only rise: what a pick rests on beside them is told to begin, and a part that was picked is
-// set anew. It decides nothing: whoever looks at all parts picks the same.
+// keyBounds holds a lower bound of the keys of each part's holders, so that a pick examines only the parts that may
+// have the least. Bounds stay valid while keys only rise: begin is told the other inputs of the keys, and the bound of
+// a part that was picked is reset. It does not influence the choice, which is the same as when examining all parts.
 type keyBounds struct {
-	lower, blockMin []pickKey // of each part, and the least of each block of them
+	lower, blockMin []pickKey // bound of each part, and the least bound of each block of parts
 	hedge, probes   bool
 	hidden          []hiddenPart
 }
 
-// hidden is a part that one pick has looked at.
+// hiddenPart is a part that the current pick has examined.
 type hiddenPart struct {
 	index int
 	key   pickKey
 }
 
-// begin has all n parts looked at, unless it was begun for the same since the last end.
-func (r *keyBounds) begin(n int, copy, tests bool) {
-	if len(r.lower) == n && r.hedge == copy && r.probes == tests {
+// begin marks all n parts as unknown, unless it was called with the same arguments since the last reset.
+func (r *keyBounds) begin(n int, hedge, probes bool) {
+	if len(r.lower) == n && r.hedge == hedge && r.probes == probes {
 		return
 	}
-	r.lower, r.blockMin, r.hedge, r.probes = r.lower[:0], r.blockMin[:0], copy, tests
+	r.lower, r.blockMin, r.hedge, r.probes = r.lower[:0], r.blockMin[:0], hedge, probes
 	for i := range n {
 		r.lower = append(r.lower, unknownKey)
 		if i%blockSize == 0 {
@@ -61,28 +61,28 @@
 	}
 }
 
-// end forgets all parts: the next begin is of another time or query.
+// reset drops all bounds; the next begin is for another time or lookup.
 func (r *keyBounds) reset() { r.lower = r.lower[:0] }
 
-// set tells part i's key, which is no more than any of its holders' has.
+// set stores the bound of part i, which must not exceed the key of any of its holders.
 func (r *keyBounds) set(i int, k pickKey) {
 	least, first := &r.blockMin[i/blockSize], i/blockSize*blockSize
-	was := r.lower[i]
+	old := r.lower[i]
 	if r.lower[i] = k; k.less(least) {
 		*least = k
 	}
-	if was != *least || k == was {
+	if old != *least || k == old {
 		return
 	}
 	*least = r.lower[first]
-	for j := first + 1; j < min(first+blockSize, len(r.lower)) && *least != was; j++ { // none lies below what was the least
+	for j := first + 1; j < min(first+blockSize, len(r.lower)) && *least != old; j++ { // none is below the old least
 		if r.lower[j].less(least) {
 			*least = r.lower[j]
 		}
 	}
 }
 
-// first gives a part of the least bound, -1 where none lies below k.
+// first returns a part with the least bound, or -1 if none is below k.
 func (r *keyBounds) first(k *pickKey) int {
 	at := -1
 	for i := range r.blockMin {
@@ -100,13 +100,13 @@
 	}
 }
 
-// hide passes a part over until show, which tells its key.
+// hide excludes a part until show, which sets its bound to k.
 func (r *keyBounds) hide(i int, k pickKey) {
 	r.hidden = append(r.hidden, hiddenPart{i, k})
 	r.set(i, excludedKey)
 }
 
-// show brings all hidden parts back.
+// show sets the bounds of all hidden parts.
 func (r *keyBounds) show() {
 	for _, h := range r.hidden {
 		r.set(h.index, h.key)
--- a/mixer/learn.go
+++ b/mixer/learn.go
@@ -67,7 +67,7 @@
 	return mean, int64(mean + lateDeviations*max(dev, mean/4))
 }
 
-// unitTime estimates the latency of forwards to s per call in flight there; times the calls in flight, it gives
+// unitTime estimates the latency of forwards to s per call in flight there; times those calls, it gives
 // a new forward's predicted latency. The fleet's figure, corrected by what peers report of s, serves as the
 // prior; a report newer than the last answer outweighs what s showed this mixer before.
 func (m *Mixer) unitTime(now int64, s *searcher) float64 {
--- a/mixer/observe.go
+++ b/mixer/observe.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// Own is what this mixer knows of one process of a searcher by itself. Nothing that others said is in it.
+// Observation is what this mixer itself knows about one process of a searcher, without the reports of others.
 type Observation struct {
 	Searcher     string
-	Started      int64 // of the process
-	Heard        int64 // its last answer, 0: none
-	Pace, Weight float64
-	Slow         float64 // Pace over the fleet's, 0 where either is not known
+	Started      int64   // of the process
+	Heard        int64   // time of its last answer, 0 for none
+	Pace, Weight float64 // ns of latency per call in flight, and the decayed number of calls behind it
+	Slow         float64 // Pace over the fleet's, 0 if either is unknown
 	Suspect      bool
 	Cold         bool
-	Rate, Loan   float64 // parts per ns of its own cold allowance now, and what it is worth to a borrower for the time asked for
-	Want         float64 // parts per ns lately sent there while cold, or that would have been with more
-	Traffic      float64 // parts per ns lately sent to each live searcher of its cell: what it would use of a warm one
-	Quiet        bool    // nothing was sent there for as long as a cold searcher's window
+	Rate, Loan   float64 // parts per ns of its own cold allowance now, and for a borrower during the loan
+	Want         float64 // parts per ns recently sent there while cold, or held back for lack of credit
+	Traffic      float64 // parts per ns recently sent to each live searcher of its cell: the demand for a warm one
+	Quiet        bool    // nothing was sent there for the window of the cold allowance
 }
 
-// Tell goes through the listed searchers, cell by cell. Loan holds for the time given, in ns.
+// Observations calls each for every live searcher, cell by cell. Loan is for a loan of the given duration in ns.
 func (m *Mixer) Observations(now, within int64, each func(Observation)) {
 	fleet := m.fleetPace.Read(now, loadHalfLife, 0, 0)
 	for _, cell := range m.cells {
@@ -32,7 +32,8 @@
 			if s.status != Live {
 				continue
 			}
-			o := Observation{Searcher: s.id, Started: s.started, Heard: s.lastAnswer, Suspect: s.suspect, Weight: s.recentPace.denominator.Read(now, loadHalfLife)}
+			o := Observation{Searcher: s.id, Started: s.started, Heard: s.lastAnswer, Suspect: s.suspect,
+				Weight: s.recentPace.denominator.Read(now, loadHalfLife)}
 			if o.Weight > epsilon {
 				o.Pace = s.recentPace.Read(now, loadHalfLife, 0, 0)
 				if fleet > 0 {
@@ -41,7 +42,7 @@
 			}
 			if o.Cold = m.capacityShare(now, s) < 1; o.Cold {
 				o.Rate = m.coldRate(now, s)
-				_, o.Loan = m.coldRates(m.warmRate.Read(now+within, warmRateHalfLife), now, s) // it grows warmer meanwhile
+				_, o.Loan = m.coldRates(m.warmRate.Read(now+within, warmRateHalfLife), now, s) // with the estimate of the end, as s warms up
 				o.Traffic = traffic / float64(live) * math.Ln2 / float64(paceHalfLife)
 				o.Quiet = now-s.lastForward > m.config.FallFor
 				o.Want = s.coldDemand.Read(now, loadHalfLife) * math.Ln2 / float64(loadHalfLife)
@@ -51,99 +52,103 @@
 	}
 }
 
-// Runs tells whether a process of a searcher is known, or was and something is still out there.
+// KnowsProcess reports whether a process of a searcher is listed, or gone with forwards still in flight there.
 func (m *Mixer) KnowsProcess(searcher string, started int64) bool {
 	s := m.searchers[searcher]
 	return s != nil && s.started == started
 }
 
-// Standing is how a searcher stands with this mixer and why. It answers why it was passed over.
+// SearcherState is the state of one searcher at this mixer. It explains why the searcher is not picked.
 type SearcherState struct {
 	Observation
 	Status           Status
-	Calls, Parts     int     // out there
-	Unit, Fleet      float64 // ns a call, with what others say, and the fleet's
-	Doubted, Shunned bool    // others hold it silent; it is picked last
+	Calls, Parts     int     // in flight
+	Unit, Fleet      float64 // estimated ns per call in flight, with peer reports; the fleet's, for its size
+	Doubted, Shunned bool    // reported silent by peers; picked only as a last resort
 	ZoneSilent       bool
-	TestIn           int64      // ns until a suspect is due for a test
-	ColdWait         int64      // ns until its cold allowance has a part
-	Word             PeerReport // what others say, none once it is old
+	TestIn           int64      // ns until a suspect may be probed
+	ColdWait         int64      // ns until its cold allowance permits a part
+	Word             PeerReport // zero if there is none or it has expired
 }
 
-// Standing gives how a searcher stands, false where it is not listed.
+// SearcherState returns the state of a searcher, false if it is not listed.
 func (m *Mixer) SearcherState(now int64, searcher string) (SearcherState, bool) {
 	s := m.searchers[searcher]
 	if s == nil {
 		return SearcherState{}, false
 	}
 	m.calls++
-	st := SearcherState{Status: s.status, Calls: s.callsOut, Parts: s.partsOut, Unit: m.unitTime(now, s), Fleet: m.fleetPace.Read(now, loadHalfLife, 0, 0) / s.size,
-		Doubted: s.reportedSilent(now), Shunned: m.avoided(now, s), ZoneSilent: s.zone.silent(), ColdWait: m.coldWait(now, s), Word: s.currentReport(now)}
+	st := SearcherState{Status: s.status, Calls: s.callsOut, Parts: s.partsOut, Unit: m.unitTime(now, s),
+		Fleet: m.fleetPace.Read(now, loadHalfLife, 0, 0) / s.size, Doubted: s.reportedSilent(now), Shunned: m.avoided(now, s),
+		ZoneSilent: s.zone.silent(), ColdWait: m.coldWait(now, s), Word: s.currentReport(now)}
 	if s.suspect {
 		st.TestIn = max(0, s.nextProbe+s.probeInterval*int64(st.Word.Suspecting)-now)
 	}
-	st.Observation = Observation{Searcher: s.id, Started: s.started, Heard: s.lastAnswer, Suspect: s.suspect, Cold: m.capacityShare(now, s) < 1,
-		Pace: s.pace.Read(now, paceHalfLife, 0, 0), Weight: s.pace.denominator.Read(now, paceHalfLife)}
+	st.Observation = Observation{Searcher: s.id, Started: s.started, Heard: s.lastAnswer, Suspect: s.suspect,
+		Cold: m.capacityShare(now, s) < 1, Pace: s.pace.Read(now, paceHalfLife, 0, 0), Weight: s.pace.denominator.Read(now, paceHalfLife)}
 	return st, true
 }
 
-// Kept is what a mixer has learnt that means the same to another of the same shape, as its clocks and sizes do.
+// Snapshot holds the statistics of a mixer that are valid for another one with the same cells, sizes and clock.
 type Snapshot struct {
-	Fleet   Pace   // of all forwards, times the searchers' sizes
-	Process []Pace // of each process that answered
+	Fleet   Pace   // of the whole fleet, latencies times searcher sizes
+	Process []Pace // of each live process that is not suspect
 }
 
-// Pace is how long forwards took, in ns, over the calls that were out with them, as it weighs at one time.
+// Pace holds the decayed sums of the latency of forwards, in ns, and of the calls in flight with them. It is stored
+// under its field names.
 type Pace struct {
 	Searcher    string `json:",omitempty"`
 	Started     int64  // of the process
 	Took, Calls float64
 }
 
-// Keep gives what is worth keeping. What is held against searchers, silence and failures, and what depends on the number of
-// mixers and on tariffs is not in it.
+// Snapshot returns the statistics to store. It omits suspicion and failures, and all that depends on the number of
+// mixers or on tariffs.
 func (m *Mixer) Snapshot(now int64) Snapshot {
-	k := Snapshot{Fleet: Pace{Took: m.fleetPace.numerator.Read(now, loadHalfLife), Calls: m.fleetPace.denominator.Read(now, loadHalfLife)}}
+	snapshot := Snapshot{Fleet: Pace{Took: m.fleetPace.numerator.Read(now, loadHalfLife),
+		Calls: m.fleetPace.denominator.Read(now, loadHalfLife)}}
 	for _, cell := range m.cells {
 		for _, s := range cell {
 			if calls := s.pace.denominator.Read(now, paceHalfLife); s.status == Live && !s.suspect && calls > epsilon {
-				k.Process = append(k.Process, Pace{s.id, s.started, s.pace.numerator.Read(now, paceHalfLife), calls})
+				snapshot.Process = append(snapshot.Process, Pace{s.id, s.started, s.pace.numerator.Read(now, paceHalfLife), calls})
 			}
 		}
 	}
-	return k
+	return snapshot
 }
 
-// Resume takes what another kept at a time, as far as the processes still run. It fades from then on as what is learnt does. It
-// gives the number of processes that were met again.
-func (m *Mixer) Restore(at int64, k Snapshot) (met int) {
+// Restore adopts the parts of a snapshot taken at a time whose processes still run; they decay from that time on. It
+// returns the number of these processes.
+func (m *Mixer) Restore(at int64, snapshot Snapshot) (restored int) {
 	m.calls++
-	m.fleetPace = DecayingRatio{DecayingSum{k.Fleet.Took, at}, DecayingSum{k.Fleet.Calls, at}}
-	for _, p := range k.Process {
+	m.fleetPace = DecayingRatio{DecayingSum{snapshot.Fleet.Took, at}, DecayingSum{snapshot.Fleet.Calls, at}}
+	for _, p := range snapshot.Process {
 		if s := m.searchers[p.Searcher]; s != nil && s.started == p.Started {
 			s.pace = DecayingRatio{DecayingSum{p.Took, at}, DecayingSum{p.Calls, at}}
-			met++
+			restored++
 		}
 	}
-	return met
+	return restored
 }
 
-// PaceHalf is the half-life, in ns, of what is held of a searcher's own pace, and of what was sent there.
+// PaceHalfLife is the half-life, in ns, of the statistics of one searcher: its pace and the forwards sent to it.
 const PaceHalfLife = paceHalfLife
 
-// Use is what the choice of the searchers to use goes by.
+// Usage is the input for choosing the subset of searchers to use.
 type Usage struct {
 	Searcher            string
 	Started             int64 // of the process
 	Suspect, ZoneSilent bool
-	SentRate            float64 // parts per ns lately sent there
+	SentRate            float64 // parts per ns recently sent there
 }
 
-// Use goes through those of some searchers that are listed live.
+// Usage calls each for those of the searchers that are listed as live.
 func (m *Mixer) Usage(now int64, searchers []string, each func(Usage)) {
 	for _, id := range searchers {
 		if s := m.searchers[id]; s != nil && s.status == Live {
-			each(Usage{id, s.started, s.suspect, s.zone.silent(), s.sentForwards.Read(now, paceHalfLife) * math.Ln2 / float64(paceHalfLife)})
+			each(Usage{id, s.started, s.suspect, s.zone.silent(),
+				s.sentForwards.Read(now, paceHalfLife) * math.Ln2 / float64(paceHalfLife)})
 		}
 	}
 }
--- a/mixer/skip.go
+++ b/mixer/skip.go
@@ -2,17 +2,17 @@
 
 import "cmp"
 
-// What stands here spares reviews and decides nothing: without it each would go through all parts and find the same.
+// Skipping reviews only saves work: a full review of all parts would find the same.
 
-// calmMost is how many forwards out at a searcher, none of which has waited for over twice the usual time, cannot together have
-// waited for so long that it is suspect.
+// maxQuietForwards is the number of forwards in flight at a searcher that cannot make it suspect as long as none of
+// them has waited for more than twice the mean latency.
 const maxQuietForwards = int(suspectMeans / 2)
 
-// stir has the next review of every lookup go through its parts.
+// invalidateReviews makes the next review of every lookup a full one.
 func (m *Mixer) invalidateReviews() { m.epoch++ }
 
-// rest notes, after a review, whether the next ones can find nothing to do until something has stirred or time has
-// passed: all that is awaited went out at one time, each part once, to searchers with nothing against them.
+// recordQuiet records, after a review, whether later ones can be skipped until reviews are invalidated or time has
+// passed: all pending parts were sent at one time, each once, to healthy searchers.
 func (l *Lookup) recordQuiet(now int64, onTime bool) {
 	l.epoch, l.stepSentAt, l.oldestInFlight, l.answeredWeight = -1, 0, now, 0
 	for _, p := range l.parts[l.stepStart:] {
@@ -20,9 +20,10 @@
 			l.answeredWeight += p.Weight
 		} else if len(p.forwards) > 0 {
 			f := p.forwards[len(p.forwards)-1]
-			l.stepSentAt, l.oldestInFlight = cmp.Or(l.stepSentAt, f.sentAt), min(l.oldestInFlight, f.searcher.oldestSentAt(f.sentAt))
-			onTime = onTime && len(p.forwards) == 1 && !f.done && !f.recalled && !f.lost() && f.sentAt == l.stepSentAt &&
-				f.searcher.unansweredWait == 0 && len(f.searcher.inFlight) <= maxQuietForwards
+			l.stepSentAt, l.oldestInFlight = cmp.Or(l.stepSentAt, f.sentAt),
+				min(l.oldestInFlight, f.searcher.oldestSentAt(f.sentAt))
+			onTime = onTime && len(p.forwards) == 1 && !f.done && !f.recalled && !f.lost() &&
+				f.sentAt == l.stepSentAt && f.searcher.unansweredWait == 0 && len(f.searcher.inFlight) <= maxQuietForwards
 		}
 	}
 	if onTime && l.stepSentAt > 0 {
@@ -30,8 +31,9 @@
 	}
 }
 
-// calm tells whether a review can find nothing to do: nothing is late, and none of the searchers silent for too long, as
-// calmMost forwards that have waited twice the usual time are not.
+// canSkipReview reports whether a review has nothing to do: no part is late, and no searcher can be suspect, as at
+// most maxQuietForwards are in flight there, none for more than twice the mean latency.
 func (l *Lookup) canSkipReview(now int64, mean float64) bool {
-	return l.epoch == l.mixer.epoch && now < l.deadline && l.answeredWeight < l.neededWeight-2*epsilon && float64(now-l.oldestInFlight) <= 2*mean-1
+	return l.epoch == l.mixer.epoch && now < l.deadline && l.answeredWeight < l.neededWeight-2*epsilon &&
+		float64(now-l.oldestInFlight) <= 2*mean-1
 }
--- a/mixer/state.go
+++ b/mixer/state.go
@@ -5,30 +5,31 @@
 	"slices"
 )
 
-// call is what travels together to one searcher.
+// call is a batch of parts sent together to one searcher: when, how many, and how many of them are in flight.
 type call struct{ at, size, left int64 }
 
-// forward is one try of a part.
+// forward is one attempt to serve a part.
 type forward struct {
 	part         *part
 	searcher     *searcher
 	call         *call
-	callsAtSend  int   // calls out there, with its own
-	processStart int64 // start of the process it went to
+	callsAtSend  int   // calls in flight there, including its own
+	processStart int64 // start of the process it was sent to
 	sentAt       int64
-	done, ran    bool           // has its outcome; may have run
-	presumedLost bool           // waited for no more
-	recalled     bool           // withdrawn, to be sent again elsewhere when that has its outcome
-	connLoss     *DecayingRatio // nil where the connection was in use
-	lostAt       int64          // when it was counted as lost by line and zone, 0 if it was not
+	done, ran    bool           // its outcome is known; it may have run
+	presumedLost bool           // no longer waited for
+	recalled     bool           // cancelled, and resent elsewhere once its outcome is known
+	connLoss     *DecayingRatio // loss statistics of its kind of connection, nil if that was in use
+	lostAt       int64          // when it was counted as lost, 0 if it was not
 }
 
+// part is one part of a lookup.
 type part struct {
 	PartRequest
 	lookup           *Lookup
-	answered, closed bool
+	answered, closed bool // a closed part is not retried
 	forwards         []*forward
-	firstForward     forward // where the first is, and its place in forwards
+	firstForward     forward // storage of the first forward and of forwards
 	forwardsArray    [1]*forward
 }
 
@@ -38,19 +39,19 @@
 	request       LookupRequest
 	tariff        *Tariff
 	parts         []*part
-	stepStart     int // first part of the step at hand
-	expectedParts int // parts there are once the step is complete
+	stepStart     int // index of the current step's first part
+	expectedParts int // number of parts once the current step is complete
 	neededWeight  float64
-	deadline      int64 // when its full revenue ends; it is given up then
-	nextReview    int64 // when it is looked at next
+	deadline      int64 // end of the full revenue, when the lookup is given up
+	nextReview    int64 // time of the next review, 0 if none is scheduled
 	partSlab      partSlab
 
-	epoch, stepSentAt, oldestInFlight int64 // as of the last review, for calm
+	epoch, stepSentAt, oldestInFlight int64 // as of the last review, for canSkipReview
 	answeredWeight                    float64
-	stepComplete, ended               bool // the step's parts have come; it has its final answer
+	stepComplete, ended               bool // all parts of the step are added; the final answer is sent
 }
 
-// memo keeps a figure while it holds: within one call to the mixer that lets figures change.
+// memo caches a value within one call to the mixer that may change it.
 type memo struct {
 	now, call int64
 	value     float64
@@ -58,13 +59,13 @@
 
 func (c *memo) valid(now, call int64) bool { return c.now == now && c.call == call }
 
-// keep notes a figure and gives it.
-func (c *memo) set(now, call int64, is float64) float64 {
-	*c = memo{now, call, is}
-	return is
+// set stores a value and returns it.
+func (c *memo) set(now, call int64, value float64) float64 {
+	*c = memo{now, call, value}
+	return value
 }
 
-// draw gives a figure of chance that stays the same while it holds.
+// draw returns a random value that stays the same while it is valid.
 func (c *memo) draw(now, call int64, rng *rand.Rand) float64 {
 	if c.valid(now, call) {
 		return c.value
@@ -72,14 +73,13 @@
 	return c.set(now, call, float64(rng.Int63()))
 }
 
-// kept is what a searcher has of its own to spare work: what it takes for a call, its tie-break, and room for the first forwards
-// that are out there.
+// searcherCache saves work for a searcher: its unit time, its tie-break, and storage for the first forwards in flight.
 type searcherCache struct {
 	unitMemo, tieBreak memo
 	inFlightArray      [2]*forward
 }
 
-// room gives the row of forwards that are out there, for one more.
+// inFlightBuffer returns the slice of forwards in flight, to append to.
 func (s *searcher) inFlightBuffer() []*forward {
 	if s.inFlight == nil {
 		return s.inFlightArray[:0]
@@ -87,15 +87,15 @@
 	return s.inFlight
 }
 
-// scratch is what reviews use anew each time.
+// reviewScratch holds buffers that reviews reuse.
 type reviewScratch struct {
 	keyBounds keyBounds
 	picked    []*forward
 	partTimes []float64
-	fleetMemo memo // of the whole fleet
+	fleetMemo memo
 }
 
-// fleet gives how long forwards took over the calls that were out with them, of the whole fleet.
+// fleetUnitTime returns the fleet's latency of forwards per call in flight, for a searcher of size 1.
 func (m *Mixer) fleetUnitTime(now int64) float64 {
 	if m.fleetMemo.valid(now, m.calls) {
 		return m.fleetMemo.value
@@ -103,24 +103,24 @@
 	return m.fleetMemo.set(now, m.calls, m.fleetPace.Read(now, loadHalfLife, 0, 0))
 }
 
-// slab makes parts, many at a time.
+// partSlab allocates the parts of a lookup many at a time.
 type partSlab []part
 
-// slabMost bounds how many parts are made at a time.
+// maxSlabParts is the largest number of parts allocated at a time.
 const maxSlabParts = 512
 
-// add makes one more part of a lookup.
-func (r *partSlab) add(l *Lookup, piece PartRequest) *part {
+// add returns a new part of a lookup.
+func (r *partSlab) add(l *Lookup, request PartRequest) *part {
 	if len(*r) == cap(*r) {
 		*r = make(partSlab, 0, min(max(1, l.expectedParts-len(l.parts)), maxSlabParts))
 	}
-	*r = append(*r, part{PartRequest: piece, lookup: l})
+	*r = append(*r, part{PartRequest: request, lookup: l})
 	p := &(*r)[len(*r)-1]
 	p.forwards = p.forwardsArray[:0]
 	return p
 }
 
-// next gives where a part's next forward is.
+// newForward returns storage for the part's next forward.
 func (p *part) newForward() *forward {
 	if len(p.forwards) == 0 {
 		return &p.firstForward
@@ -128,16 +128,16 @@
 	return &forward{}
 }
 
-// from gives the part of a row of times, in their order, that lies at a time or after it.
+// timesFrom returns the suffix of sorted times that begins at a given time.
 func timesFrom(times []int64, at int64) []int64 {
 	i, _ := slices.BinarySearch(times, at)
 	if i == len(times) {
-		return times[:0] // with the room that it has
+		return times[:0] // keeps the capacity
 	}
 	return times[i:]
 }
 
-// oldest gives when the first of the forwards that are out there was sent, the time told if none was before it.
+// oldestSentAt returns the earlier of a given time and the time when the oldest forward in flight was sent.
 func (s *searcher) oldestSentAt(at int64) int64 {
 	if len(s.inFlight) > 0 {
 		return min(at, s.inFlight[0].sentAt)
--- a/mixer/types.go
+++ b/mixer/types.go
@@ -5,90 +5,91 @@
 	"math"
 )
 
-// Effect says whether a lookup of a tariff may run more than once.
+// Effect says whether the forwards of a lookup may be repeated.
 type Effect int
 
 const (
 	Idempotent   Effect = iota // may run again
-	Deduplicated               // a repeat is known by its mark and dropped for a while
+	Deduplicated               // repeats are recognized and dropped for a limited time
 	AtMostOnce                 // must never run twice
 )
 
-// Outcome says how one forward ended.
+// Outcome is how a forward ended.
 type Outcome int
 
 const (
-	Succeeded       Outcome = iota // its answer is in
+	Succeeded       Outcome = iota // answered
 	Failed                         // the searcher returned an error
-	Rejected                       // turned away unseen
-	TimedOut                       // no answer in time
-	Unreachable                    // no connection was made
+	Rejected                       // the searcher rejected it without running it
+	TimedOut                       // no answer within its time
+	Unreachable                    // no connection could be made
 	ConnectionReset                // the connection broke
-	Cancelled                      // withdrawn by the mixer
-	NeverSent                      // never sent
+	Cancelled                      // cancelled by the mixer
+	NeverSent                      // dropped before it was sent
 )
 
-// NeverRan tells whether the outcome proves that the forward did no work.
+// NeverRan reports whether the outcome proves that the searcher did not run the forward.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == Unreachable || o == NeverSent }
 
-// Tariff is what the charter says of one sort of lookup. Times are nanoseconds.
+// Tariff describes one class of lookups: its deadlines, effect and revenue. Times are in nanoseconds.
 type Tariff struct {
-	Expected     int64   // full revenue within this
-	Patience     int64   // the client's wait over all its tries
-	Effect       Effect  // whether it may run again
-	RepeatFor    int64   // tagged: how long repeats are dropped
-	CompleteFrom float64 // weight of the first step that makes it whole
+	Expected     int64   // an answer within this time earns the full revenue
+	Patience     int64   // how long a client waits, over all its tries
+	Effect       Effect  // whether forwards may be repeated
+	RepeatFor    int64   // Deduplicated: how long repeats are recognized
+	CompleteFrom float64 // weight of the first step's parts that makes an answer complete
 	LeastShare   float64 // least weight of any answer
-	Partial      float64 // revenue of an answer that is not whole, times share over CompleteFrom
-	SecondStep   int     // parts of the second step, 0 for none
+	Partial      float64 // revenue of a partial answer, times its weight over CompleteFrom
+	SecondStep   int     // number of parts of the second step, 0 for none
 }
 
-// Charter is what a mixer is told at its start. Adopt says what of it may change while it serves.
+// Config is the configuration of a Mixer. UpdateConfig documents which fields may change while it serves.
 type Config struct {
 	Tariffs []Tariff
-	Zone    string // where this mixer stands
-	Mixers  int    // how many there are
+	Zone    string // of this mixer
+	Mixers  int    // number of mixers
 
-	// Where each mixer uses a subset of the searchers: the most mixers that use one, and the least that do in the mean. 0: all do.
+	// Where each mixer uses a subset of the searchers, the largest number of mixers that use one and the least mean
+	// of that number; 0 where every mixer uses every searcher.
 	Users, UsersMean int
 
 	Cells, Reach int // slice s is held by cells s to s+Reach-1, modulo Cells
-	PerCall      int // parts one call may carry
+	PerCall      int // most parts in one call
 
-	ListAsked bool  // the list comes only when asked for
-	AskWithin int64 // a mixer that has not asked for so long counts as told
+	ListAsked bool  // the membership list is sent only on request
+	AskWithin int64 // ns; time within which the mixer must request it
 
 	MaxForwards        int // for one part
 	MayCopy, MayCancel bool
-	MayAdvise          bool
-	MaxAdvice          int64 // longest wait a client heeds
+	MayAdvise          bool  // rejections may advise a wait before the next try
+	MaxAdvice          int64 // ns; longest advised wait that clients respect
 
-	ColdFrom     float64
-	ColdFor      int64
-	FallMultiple float64
-	FallFor      int64
+	ColdFrom     float64 // share of its capacity that a new searcher starts with
+	ColdFor      int64   // ns; duration of its slow start
+	FallMultiple float64 // what a cold searcher can take in FallFor, over its capacity share of a warm one's rate
+	FallFor      int64   // ns
 
-	BudgetFor   int64 // 0: no forward budget
-	BudgetFree  float64
-	BudgetShare float64
+	BudgetFor   int64   // ns; window of the retry budget, 0 for none
+	BudgetFree  float64 // retries always allowed in a window
+	BudgetShare float64 // further retries, per lookup and part taken in the window
 
-	CrossPrice float64 // of a forward that crosses zones, in units of all revenue a part
+	CrossPrice float64 // of a forward that crosses zones, over the mean revenue of a part
 
-	Allowances []float64 // by customer, lookups per second at all mixers that are within its share
-	OverWorth  float64   // of a lookup beyond them, as a share of its revenue
-	Sized      bool      // the list tells how large a searcher is
+	Allowances []float64 // by customer; lookups per second, over all mixers, within its share
+	OverWorth  float64   // worth of a lookup beyond the allowance, as a share of its revenue
+	Sized      bool      // the list gives the sizes of searchers
 }
 
-// users is by how many mixers a searcher's cold allowance is shared.
+// coldUsers returns the number of mixers that share a searcher's cold allowance.
 func (c *Config) coldUsers() float64 { return float64(cmp.Or(c.Users, c.Mixers)) }
 
-// usage is which part of what a searcher answers a mixer that uses it may hold to be one user's: 1 where all use it. Who uses it are
-// fewer than the most, so that its answers to each are more than so many could have.
+// answerShare returns the part of a searcher's answers to one mixer that counts as a single user's share: 1 where
+// all mixers use it. With subsets, a searcher has fewer users than the most, and answers more to each of them.
 func (c *Config) answerShare() float64 {
 	return float64(cmp.Or(c.UsersMean, 1)) / float64(cmp.Or(c.Users, 1))
 }
 
-// Status is what the list says of a searcher.
+// Status is the state of a searcher in the membership list.
 type Status int
 
 const (
@@ -97,80 +98,81 @@
 	Dead
 )
 
-// Entry is one line of the list.
+// Entry is one searcher's entry in the membership list.
 type Entry struct {
 	Searcher string
-	Started  int64 // 0: long ago
+	Started  int64 // start of its process, 0 for long ago
 	Cell     int
 	Zone     string
-	Size     float64 // against others, where the list tells it
+	Size     float64 // relative to others, where the list gives it
 	Status   Status
 }
 
-// Word is what other mixers are believed to say of one process of a searcher, and what of cold allowances is lent.
-// Times are of this mixer's clock.
+// PeerReport combines what other mixers report about one process of a searcher with the loans of cold allowance
+// for it. Times are of this mixer's clock.
 type PeerReport struct {
 	Searcher   string
 	Started    int64   // of the process
-	At, Until  int64   // when the newest that stands behind it was seen, and when it is no longer believed
-	Slow       float64 // its pace over the fleet's, 0: nothing is said
-	Weight     float64 // calls that stand behind that
+	At, Until  int64   // time of the newest observation behind the report, and its expiry
+	Slow       float64 // pace of the process over the fleet's, 0 if unknown
+	Weight     float64 // calls behind Slow
 	Silent     bool    // it does not answer others
-	Sound      bool    // it does
-	Suspecting int     // other mixers that suspect and test it
+	Sound      bool    // it answers others
+	Suspecting int     // number of other mixers that suspect and probe it
 
-	Lent      float64 // parts per ns of their cold allowances that others lend
+	Lent      float64 // parts per ns of cold allowance borrowed from others
 	LentUntil int64
-	AwayUntil int64 // until then this mixer's own cold allowance is lent, with what it has saved up
+	AwayUntil int64 // this mixer's own cold allowance, with its credit, is lent out until then
 }
 
-// Ask is a lookup as it is taken.
+// LookupRequest describes a new lookup.
 type LookupRequest struct {
 	ID       string
-	Tariff   int   // row of the charter
-	NotAfter int64 // when the client leaves
-	Parts    int   // parts of its first step
-	Again    bool  // the client has asked before
-	Customer int   // row of the charter's allowances from 1 on, 0: not told
+	Tariff   int   // index into Config.Tariffs
+	NotAfter int64 // deadline of the client
+	Parts    int   // number of parts of the first step
+	Again    bool  // the client retries an earlier lookup
+	Customer int   // index into Config.Allowances plus 1, 0 if unknown
 }
 
-// Piece is one part as it is handed over.
+// PartRequest describes one part of a lookup.
 type PartRequest struct {
 	ID     string
 	Slice  int
 	Weight float64
-	Effort int64 // expected work, 0: not told
+	Effort int64 // expected work, 0 if unknown
 }
 
-// Due is whoever a timer was set for.
+// TimerHandler is called when a timer that was set for it expires.
 type TimerHandler interface{ HandleTimer(now int64) }
 
-// Floor is how the mixer acts. Every call takes effect at the time of the call that led to it.
+// Environment carries out a Mixer's decisions. Its calls take effect at the time of the call to the Mixer that
+// led to them. Durations are in nanoseconds.
 type Environment interface {
-	Forward(part, searcher string, within int64)
-	Cancel(part string, forward int)
-	Answer(lookup string, whole bool)
-	Reject(lookup string, wait int64)
+	Forward(part, searcher string, within int64) // sends a part, with a timeout
+	Cancel(part string, forward int)             // cancels the part's forward of that index
+	Answer(lookup string, complete bool)
+	Reject(lookup string, wait int64) // advises the client to retry after wait
 	Fail(lookup string)
-	CloseIdle(searcher string) // its connections that are not in use
-	SetTimer(after int64, whose TimerHandler)
-	Subscribe()
+	CloseIdle(searcher string) // closes the idle connections to it
+	SetTimer(after int64, h TimerHandler)
+	Subscribe() // requests the membership list
 	Note(text string)
 }
 
-// Decay is a sum whose terms lose half their size every half-life.
+// DecayingSum is a sum whose terms decay with a half-life, in nanoseconds, that is passed to its methods.
 type DecayingSum struct {
 	sum float64
 	at  int64
 }
 
-// Add brings the sum up to date and adds x.
+// Add decays the sum to now and adds x.
 func (d *DecayingSum) Add(now int64, x float64, half int64) {
 	d.sum = d.Read(now, half) + x
 	d.at = now
 }
 
-// Read gives the sum as of now.
+// Read returns the sum as of now.
 func (d *DecayingSum) Read(now int64, half int64) float64 {
 	if d.sum == 0 || now == d.at {
 		return d.sum
@@ -178,77 +180,79 @@
 	return d.sum * decayFactor(now-d.at, half)
 }
 
-// left gives what is left of 1 after a time.
+// decayFactor returns what remains of 1 after a time.
 func decayFactor(age, half int64) float64 { return math.Exp2(-float64(age) / float64(half)) }
 
-// as gives the sum as of now, where what is left of a term as old as another sum is known.
-func (d *DecayingSum) as(now, half int64, o *DecayingSum, left float64) float64 {
-	if d.at != o.at {
+// readWith is Read with the decay factor of another sum, which applies if both have the same time.
+func (d *DecayingSum) readWith(now, half int64, other *DecayingSum, factor float64) float64 {
+	if d.at != other.at {
 		return d.Read(now, half)
 	}
 	if d.sum == 0 {
 		return 0
 	}
-	return d.sum * left
+	return d.sum * factor
 }
 
-// Ratio is one decaying sum over another.
+// DecayingRatio is the ratio of two decaying sums.
 type DecayingRatio struct{ numerator, denominator DecayingSum }
 
-// Add brings both sums up to date and adds to each.
-func (r *DecayingRatio) Add(now int64, over, under float64, half int64) {
-	o, u := r.readSums(now, half)
-	r.numerator, r.denominator = DecayingSum{o + over, now}, DecayingSum{u + under, now}
+// Add decays both sums to now and adds to each.
+func (r *DecayingRatio) Add(now int64, numerator, denominator float64, half int64) {
+	n, d := r.readSums(now, half)
+	r.numerator, r.denominator = DecayingSum{n + numerator, now}, DecayingSum{d + denominator, now}
 }
 
-// read gives both sums as of now. What is left of a term is reckoned once where both are of one time.
-func (r *DecayingRatio) readSums(now, half int64) (over, under float64) {
+// readSums returns both sums as of now, computing the decay factor once if they have the same time.
+func (r *DecayingRatio) readSums(now int64, half int64) (numerator, denominator float64) {
 	if now == r.denominator.at {
 		return r.numerator.Read(now, half), r.denominator.sum
 	}
-	fade := decayFactor(now-r.denominator.at, half)
-	return r.numerator.as(now, half, &r.denominator, fade), r.denominator.as(now, half, &r.denominator, fade)
+	factor := decayFactor(now-r.denominator.at, half)
+	return r.numerator.readWith(now, half, &r.denominator, factor),
+		r.denominator.readWith(now, half, &r.denominator, factor)
 }
 
-// Undo takes back what was added over at a time, as far as it still weighs in.
-func (r *DecayingRatio) Subtract(now, at int64, over float64, half int64) {
-	r.numerator.Add(now, -over*decayFactor(now-at, half), half)
+// Subtract removes what remains of a term that was added to the numerator at a time.
+func (r *DecayingRatio) Subtract(now, at int64, numerator float64, half int64) {
+	r.numerator.Add(now, -numerator*decayFactor(now-at, half), half)
 }
 
-// Read gives the ratio as of now, leaning on a value with a weight.
-func (r *DecayingRatio) Read(now int64, half int64, on, weight float64) float64 {
-	over, under := r.readSums(now, half)
-	over, under = over+on*weight, under+weight
-	if under == 0 {
+// Read returns the ratio as of now, combined with a prior value of a given weight.
+func (r *DecayingRatio) Read(now int64, half int64, prior, weight float64) float64 {
+	numerator, denominator := r.readSums(now, half)
+	numerator, denominator = numerator+prior*weight, denominator+weight
+	if denominator == 0 {
 		return 0
 	}
-	return over / under
+	return numerator / denominator
 }
 
-// Fade gives what is left of 1 since the newest terms were added.
+// DecaySinceUpdate returns what remains of 1 since the last Add.
 func (r *DecayingRatio) DecaySinceUpdate(now int64, half int64) float64 {
 	return decayFactor(now-r.denominator.at, half)
 }
 
-// Spread is the mean and deviation of decaying terms.
+// DecayingStats gives the mean and standard deviation of decaying terms.
 type DecayingStats struct{ count, sum, squares DecayingSum }
 
-// Add brings the sums up to date and adds x.
+// Add decays the sums to now and adds x.
 func (s *DecayingStats) Add(now int64, x float64, half int64) {
 	n, sum, squares := s.readSums(now, half)
 	s.count, s.sum, s.squares = DecayingSum{n + 1, now}, DecayingSum{sum + x, now}, DecayingSum{squares + x*x, now}
 }
 
-// read gives the sums as of now; all are of one time.
-func (s *DecayingStats) readSums(now, half int64) (n, sum, squares float64) {
+// readSums returns the sums as of now; all have the same time.
+func (s *DecayingStats) readSums(now int64, half int64) (n, sum, squares float64) {
 	if now == s.count.at {
 		return s.count.sum, s.sum.sum, s.squares.sum
 	}
-	fade := decayFactor(now-s.count.at, half)
-	return s.count.as(now, half, &s.count, fade), s.sum.as(now, half, &s.count, fade), s.squares.as(now, half, &s.count, fade)
+	factor := decayFactor(now-s.count.at, half)
+	return s.count.readWith(now, half, &s.count, factor), s.sum.readWith(now, half, &s.count, factor),
+		s.squares.readWith(now, half, &s.count, factor)
 }
 
-// Read gives how many terms weigh in as of now, and their mean and deviation.
+// Read returns the decayed number of terms as of now, and their mean and standard deviation.
 func (s *DecayingStats) Read(now int64, half int64) (n, mean, dev float64) {
 	n, sum, squares := s.readSums(now, half)
 	if n == 0 {
--- a/mixer/update.go
+++ b/mixer/update.go
@@ -2,35 +2,35 @@
 
 import "slices"
 
-// Adopt puts another version of the charter in force, for the lookups that are taken from now on. Of c it takes what may change
-// while a mixer serves: of each tariff Expected, Patience, RepeatFor, CompleteFrom, LeastShare and Partial; MaxAdvice, Allowances
-// and OverWorth. All else stays as at the start. The caller has seen to it that c has the start's rows; one with another number
-// of tariffs or allowances changes nothing. c is copied.
+// UpdateConfig puts another version of the configuration in force for lookups that start from now on. It takes over
+// only what may change while a mixer serves: of each tariff Expected, Patience, RepeatFor, CompleteFrom, LeastShare and
+// Partial; MaxAdvice, Allowances and OverWorth. The caller ensures that c has the tariffs and allowances of the start in
+// the same order; a configuration with another number of either is ignored. c is copied.
 //
-// A lookup that was taken before ends under its own version: it holds its own row of the tariffs, which is never written again,
-// and with it its time, its shares, its worth when not whole and how long its repeats are dropped. What else of the charter is
-// read after its taking:
-//   - Allowances and OverWorth, when the last part of its first step comes. No version may come between its Take and that part.
-//   - MaxAdvice, when it is turned away: it is the newest version's then. Who wants each lookup's own, as the router does, says
-//     the greatest of all versions here and cuts the advice to that of the lookup.
-//   - long, the longest expected time: it sets when suspects are tested, and how much a mixer's first few answers tell. That is
-//     of searchers and no lookup's; it follows the version.
+// A lookup that started before keeps its tariff, which is never modified, and with it its deadline, shares, partial
+// revenue and repeat time. The rest of the configuration that is read after the start of a lookup:
+//   - Allowances and OverWorth, when the last part of the first step is added. UpdateConfig must not be called between
+//     StartLookup and that AddPart.
+//   - MaxAdvice, when the lookup is rejected: the newest version applies. A caller that wants each lookup's own, as the
+//     router does, passes the largest of all versions here and limits the advice to that of the lookup.
+//   - The longest expected time, which sets the probe interval and how much weight a mixer's first few answers have.
+//     It concerns searchers and no single lookup, and follows the newest version.
 //
-// A client's next try is a lookup of its own, under the version of its own taking. Where that has another Patience than the try
-// before, the time of the first try is reckoned from the new one.
+// A client's retry is a new lookup under the version of its own start. If its Patience differs from that of the first
+// try, the time of the first try is computed from the new one.
 //
-// Nothing that was counted or learnt begins anew: the forward budget, cold allowances and what searchers bear, what forwards
-// took, suspicion and customers' counts are as they would be without a version.
+// All counters and statistics continue: the retry budget, cold allowances, warm rates, latencies, suspicion and the
+// customers' counts are as without an update.
 func (m *Mixer) UpdateConfig(_ int64, c Config) {
 	if m == nil || len(c.Tariffs) != len(m.config.Tariffs) || len(c.Allowances) != len(m.config.Allowances) {
 		return
 	}
-	rows := slices.Clone(c.Tariffs) // lookups point into the old ones
+	tariffs := slices.Clone(c.Tariffs) // lookups point into the old ones
 	m.longestExpected = float64(ms)
-	for i := range rows {
-		rows[i].Effect, rows[i].SecondStep = m.config.Tariffs[i].Effect, m.config.Tariffs[i].SecondStep
-		m.longestExpected = max(m.longestExpected, float64(rows[i].Expected))
+	for i := range tariffs {
+		tariffs[i].Effect, tariffs[i].SecondStep = m.config.Tariffs[i].Effect, m.config.Tariffs[i].SecondStep
+		m.longestExpected = max(m.longestExpected, float64(tariffs[i].Expected))
 	}
-	m.config.Tariffs, m.config.Allowances = rows, slices.Clone(c.Allowances)
+	m.config.Tariffs, m.config.Allowances = tariffs, slices.Clone(c.Allowances)
 	m.config.MaxAdvice, m.config.OverWorth = c.MaxAdvice, c.OverWorth
 }
