--- a/mixer/admission.go
+++ b/mixer/admission.go
@@ -11,11 +11,11 @@
 	m.expireBudget(now)
 	m.budgetEarned = append(m.budgetEarned, now)
 	m.customerLookups[r.Customer].Add(now, 1, loadHalfLife)
-	asked := now
+	firstTry := now
 	if r.Again { // the expected time counts from the client's first try, which NotAfter and Patience give
-		asked = min(now, r.NotAfter-t.Patience)
+		firstTry = min(now, r.NotAfter-t.Patience)
 	}
-	deadline := min(r.NotAfter, asked+t.Expected) - deadlineMargin
+	deadline := min(r.NotAfter, firstTry+t.Expected) - deadlineMargin
 	l := &Lookup{mixer: m, request: r, tariff: t, expectedParts: r.Parts, neededWeight: t.CompleteFrom,
 		deadline: deadline, epoch: -1}
 	l.parts = make([]*part, 0, min(r.Parts, maxSlabParts))
--- a/mixer/bounds.go
+++ b/mixer/bounds.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// pickKey orders the candidates of a pick: the least rank first, then the least time, then the least effort, and
-// last a tie-break that each searcher draws anew for each review.
+// pickKey orders the candidates of a pick: the least rank first, then the least time, then the
+// least effort, and last a tie-break that each searcher draws anew for each review.
 type pickKey struct{ rank, time, effort, tie float64 }
 
 // callsRange is greater than any number of calls in flight at one searcher.
 const callsRange = 1 << 32
 
-// rankOf combines three numbers that are compared in order: the class, retry (0 or 1), and calls, below callsRange.
+// rankOf combines three numbers that are compared in order: the class, retry (0 or 1), and calls,
+// below callsRange.
 func rankOf(class, retry, calls int) float64 { return float64((2*class+retry)*callsRange + calls) }
 
 var (
@@ -32,9 +33,10 @@
 // blockSize is the number of parts covered by one entry of keyBounds.blockMin.
 const blockSize = 16
 
-// keyBounds holds a lower bound of the keys of each part's holders, so that a pick examines only the parts that may
-// have the least. Bounds stay valid while keys only rise: begin is told the other inputs of the keys, and the bound of
-// a part that was picked is reset. It does not influence the choice, which is the same as when examining all parts.
+// keyBounds holds a lower bound of the keys of each part's holders, so that a pick examines only
+// the parts that may have the least. Bounds stay valid while keys only rise: begin is told the
+// other inputs of the keys, and the bound of a part that was picked is reset. It does not influence
+// the choice, which is the same as when examining all parts.
 type keyBounds struct {
 	lower, blockMin []pickKey // bound of each part, and the least bound of each block of parts
 	hedge, probes   bool
@@ -47,7 +49,8 @@
 	key   pickKey
 }
 
-// begin marks all n parts as unknown, unless it was called with the same arguments since the last reset.
+// begin marks all n parts as unknown, unless it was called with the same arguments since the last
+// reset.
 func (r *keyBounds) begin(n int, hedge, probes bool) {
 	if len(r.lower) == n && r.hedge == hedge && r.probes == probes {
 		return
--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -11,7 +11,7 @@
 	for i, want := range []int{1, 2, 3, 6} {
 		w.startLookup(0, []int{1, 1, 1, 3}[i], 0, 4000*ms, false)
 		if counts, sum := w.callCounts(); sum != want || slices.Max(counts) != (want+2)/3 {
-			t.Errorf("after lookup %d counts are %v, want %d spread evenly", i, counts, want)
+			t.Errorf("calls in flight by searcher after lookup %d: got %v, want %d spread evenly", i, counts, want)
 		}
 	}
 }
@@ -22,7 +22,7 @@
 	_, sent := w.callCounts()
 	w.run(w.now + 2000*ms)
 	if sent != 6 || !l.answeredWhole {
-		t.Errorf("asked %d of 10 parts, want 6; answered whole: %t", sent, l.answeredWhole)
+		t.Errorf("got %d of 10 parts forwarded, complete answer %t, want 6 and true", sent, l.answeredWhole)
 	}
 }
 
@@ -30,7 +30,7 @@
 	w := startSimulation(t, 3, 1, func(c *Config) { c.Cells, c.PerCall = 1, 4 })
 	w.startLookup(0, 6, 0, 4000*ms, false)
 	if s := w.mixer.searchers["box0"]; s.callsOut != 2 || s.partsOut != 6 {
-		t.Errorf("6 parts to one searcher made %d calls with %d parts, want 2 with 6", s.callsOut, s.partsOut)
+		t.Errorf("6 parts to one searcher: got %d calls with %d parts, want 2 with 6", s.callsOut, s.partsOut)
 	}
 }
 
@@ -39,7 +39,7 @@
 	l := w.startLookup(0, 3, 0, 4000*ms, false)
 	w.run(w.now + 4000*ms)
 	if len(l.steps) != 2 || len(l.steps[1]) != 3 || !l.ended || w.answers != 2 {
-		t.Errorf("steps %v, %d answers", l.steps, w.answers)
+		t.Errorf("got steps %v, ended %v, %d answers, want 2 steps of 3 parts, true, 2", l.steps, l.ended, w.answers)
 	}
 }
 
@@ -47,27 +47,28 @@
 	w := startSimulation(t, 7, 6, nil)
 	w.warmUp(5)
 	before := w.answers
-	for range 600 { // three times what six searchers bear
+	for range 600 { // three times what six searchers can serve
 		w.startLookup(0, 4, 0, 4000*ms, false)
 		w.run(w.now + 11*ms)
 	}
 	w.run(w.now + 5000*ms)
 	served := w.answers - before
 	if most := 600 / 3; served < most*3/4 {
-		t.Errorf("%d of 600 lookups served, %d could be", served, most)
+		t.Errorf("got %d of 600 lookups served, want at least %d", served, most*3/4)
 	}
 }
 
 func TestExpiredRetryRejected(t *testing.T) {
 	w := startSimulation(t, 8, 6, nil)
 	if late, in := w.startLookup(0, 2, 0, 1500*ms, true), w.startLookup(0, 2, 0, 3500*ms, true); !late.ended || in.ended {
-		t.Error("a repeat whose expected time has passed was taken, or one with time left turned away")
+		t.Errorf("retry past its expected time rejected %v, retry with time left rejected %v, want true and false", late.ended, in.ended)
 	}
 }
 
-// Sixty mixers that all ask at the same moments, some seconds apart, send a newcomer, in the mean of forty such fleets and up to any
-// moment, no more than their margin of what it has borne by then; and whatever chance and the seconds between add, in no
-// second of any fleet more than N + 2 root N + 2, N being what it bears.
+// Sixty mixers send lookups at the same moments, some seconds apart, while one searcher is cold. In
+// the mean of forty such fleets, they must send it at any time no more in total than coldMargin of
+// what it can serve by then. In any second of any fleet, chance may add to what it can serve, N, no
+// more than 2 sqrt(N) + 2.
 func TestColdAllowanceAcrossMixers(t *testing.T) {
 	worst, mean := 0.0, map[int64]float64{}
 	for fleet := range int64(40) {
@@ -81,16 +82,16 @@
 	for second := range int64(10) {
 		sum += mean[second]
 		if s := float64(second); sum > coldMargin*2*20*(0.2*s+0.8*s*s/20) {
-			t.Errorf("in the mean of 40 fleets a newcomer got %.1f parts up to %d s, it bears %.1f", sum, second, 2*20*(0.2*s+0.8*s*s/20))
+			t.Errorf("cold searcher, mean of 40 fleets: got %.1f parts up to %d s, want at most %.2f of the %.1f it can serve", sum, second, coldMargin, 2*20*(0.2*s+0.8*s*s/20))
 		}
 	}
 	if worst > 1 {
-		t.Errorf("in the worst of 40 fleets a newcomer got %.2f of the rule's bound in a second", worst)
+		t.Errorf("cold searcher, worst second of 40 fleets: got %.2f of the limit of parts, want at most 1", worst)
 	}
 }
 
-// newcomerOf plays one fleet of 60. It gives the most that its newcomer was sent within a second over the rule's bound, and for each
-// second of its age how many parts it was sent in it.
+// playColdFleet runs a fleet of 60 mixers. It returns the most parts that its cold searcher was
+// sent within a second over the limit, and the number of parts for each second of its age.
 func playColdFleet(t *testing.T, from int64) (over float64, seconds map[int64]float64) {
 	seconds = map[int64]float64{}
 	var sent []int64
@@ -100,24 +101,24 @@
 			w.startLookup(0, 2, 0, 4000*ms, false)
 			w.run(w.now + 6000*ms)
 		}
-		newcomer := Entry{Searcher: "box2", Started: w.now}
-		w.updateList(false, newcomer)
-		for range 3 { // all mixers would use it at once
+		cold := Entry{Searcher: "box2", Started: w.now}
+		w.updateList(false, cold)
+		for range 3 { // all mixers pick it at the same time
 			w.startLookup(0, 3, 0, 4000*ms, false)
 			w.run(w.now + 3000*ms)
 		}
-		sent = append(sent, w.coldSent[newcomer]...)
+		sent = append(sent, w.coldSent[cold]...)
 	}
 	slices.Sort(sent)
 	for i, at := range sent {
 		age := at - 1e15 - 30000*ms
-		bears := 2 * 20 * (0.2 + 0.8*float64(age)/float64(10000*ms))
+		canServe := 2 * 20 * (0.2 + 0.8*float64(age)/float64(10000*ms))
 		in := countAfter(sent[:i+1], at-1000*ms)
-		over = max(over, in/(bears+2*math.Sqrt(bears)+2))
+		over = max(over, in/(canServe+2*math.Sqrt(canServe)+2))
 		seconds[age/(1000*ms)]++
 	}
 	if len(sent) < 10 {
-		t.Errorf("a newcomer was sent %d parts while cold", len(sent))
+		t.Errorf("cold searcher: got %d parts, want at least 10", len(sent))
 	}
 	return over, seconds
 }
@@ -126,22 +127,22 @@
 	w := newSimulation(t, 17, plainConfig(func(c *Config) { c.Cells = 1 }))
 	w.updateList(true, Entry{Searcher: "box0", Started: w.now}, Entry{Searcher: "box1", Started: w.now})
 	if w.warmUp(20); w.answers < 5 {
-		t.Errorf("%d of 20 lookups served in 6 s by a fleet that starts", w.answers)
+		t.Errorf("cold fleet: got %d of 20 lookups served in 6 s, want at least 5", w.answers)
 	}
 }
 
-// Nothing is left out at searchers once its lookup has ended, neither by an answer nor given up: in a jam it would take the time
-// of lookups that can still be in time.
+// Forwards still in flight when a lookup ends are cancelled: under overload they would take
+// capacity from lookups that can still meet their deadline.
 func TestEndedLookupCancelsForwards(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		w := startSimulation(t, 1, 2, func(c *Config) { c.MayCancel, c.MaxForwards = allowed, 1 })
-		w.searchers["box0"].fault, w.searchers["box1"].fault = 3, 1 // one fails for good while the other is still waited for
+		w.searchers["box0"].fault, w.searchers["box1"].fault = 3, 1 // one fails finally while the other is pending
 		l := w.startLookup(0, 2, 0, 4000*ms, false)
 		if w.run(w.now + 260*ms); !l.ended {
-			t.Fatal("a lookup with a part that has no forward left is sat on")
+			t.Fatal("lookup with a part that has no forward left: got no end within 260 ms")
 		}
-		if out := len(w.mixer.searchers["box1"].inFlight); l.answeredWhole || (out == 0) != allowed {
-			t.Errorf("withdrawals allowed %v: %d forwards are out at a silent searcher", allowed, out)
+		if inFlight := len(w.mixer.searchers["box1"].inFlight); l.answeredWhole || (inFlight == 0) != allowed {
+			t.Errorf("cancellation allowed %v: got %d forwards in flight at a silent searcher, complete answer %v", allowed, inFlight, l.answeredWhole)
 		}
 	}
 }
--- a/mixer/observe.go
+++ b/mixer/observe.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Observation is what this mixer itself knows about one process of a searcher, without the reports of others.
+// Observation is what this mixer itself knows about one process of a searcher, without the reports
+// of others.
 type Observation struct {
 	Searcher     string
 	Started      int64   // of the process
@@ -17,7 +18,8 @@
 	Quiet        bool    // nothing was sent there for the window of the cold allowance
 }
 
-// Observations calls each for every live searcher, cell by cell. Loan is for a loan of the given duration in ns.
+// Observations calls each for every live searcher, cell by cell. Loan is for a loan of the given
+// duration in ns.
 func (m *Mixer) Observations(now, within int64, each func(Observation)) {
 	fleet := m.fleetPace.Read(now, loadHalfLife, 0, 0)
 	for _, cell := range m.cells {
@@ -42,7 +44,8 @@
 			}
 			if o.Cold = m.capacityShare(now, s) < 1; o.Cold {
 				o.Rate = m.coldRate(now, s)
-				_, o.Loan = m.coldRates(m.warmRate.Read(now+within, warmRateHalfLife), now, s) // with the estimate of the end, as s warms up
+				// The warm rate may decay until the loan ends; the capacity share only grows.
+				_, o.Loan = m.coldRates(m.warmRate.Read(now+within, warmRateHalfLife), now, s)
 				o.Traffic = traffic / float64(live) * math.Ln2 / float64(paceHalfLife)
 				o.Quiet = now-s.lastForward > m.config.FallFor
 				o.Want = s.coldDemand.Read(now, loadHalfLife) * math.Ln2 / float64(loadHalfLife)
@@ -52,7 +55,8 @@
 	}
 }
 
-// KnowsProcess reports whether a process of a searcher is listed, or gone with forwards still in flight there.
+// KnowsProcess reports whether a process of a searcher is listed, or gone with forwards still in
+// flight there.
 func (m *Mixer) KnowsProcess(searcher string, started int64) bool {
 	s := m.searchers[searcher]
 	return s != nil && s.started == started
@@ -89,22 +93,23 @@
 	return st, true
 }
 
-// Snapshot holds the statistics of a mixer that are valid for another one with the same cells, sizes and clock.
+// Snapshot holds the statistics of a mixer that are valid for another one with the same cells,
+// sizes and clock.
 type Snapshot struct {
 	Fleet   Pace   // of the whole fleet, latencies times searcher sizes
 	Process []Pace // of each live process that is not suspect
 }
 
-// Pace holds the decayed sums of the latency of forwards, in ns, and of the calls in flight with them. It is stored
-// under its field names.
+// Pace holds the decayed sums of the latency of forwards, in ns, and of the calls in flight with
+// them. It is stored under its field names.
 type Pace struct {
 	Searcher    string `json:",omitempty"`
 	Started     int64  // of the process
 	Took, Calls float64
 }
 
-// Snapshot returns the statistics to store. It omits suspicion and failures, and all that depends on the number of
-// mixers or on tariffs.
+// Snapshot returns the statistics to store. It omits suspicion and failures, and all that depends
+// on the number of mixers or on tariffs.
 func (m *Mixer) Snapshot(now int64) Snapshot {
 	snapshot := Snapshot{Fleet: Pace{Took: m.fleetPace.numerator.Read(now, loadHalfLife),
 		Calls: m.fleetPace.denominator.Read(now, loadHalfLife)}}
@@ -118,8 +123,8 @@
 	return snapshot
 }
 
-// Restore adopts the parts of a snapshot taken at a time whose processes still run; they decay from that time on. It
-// returns the number of these processes.
+// Restore adopts the parts of a snapshot taken at a time whose processes still run; they decay from
+// that time on. It returns the number of these processes.
 func (m *Mixer) Restore(at int64, snapshot Snapshot) (restored int) {
 	m.calls++
 	m.fleetPace = DecayingRatio{DecayingSum{snapshot.Fleet.Took, at}, DecayingSum{snapshot.Fleet.Calls, at}}
@@ -132,7 +137,8 @@
 	return restored
 }
 
-// PaceHalfLife is the half-life, in ns, of the statistics of one searcher: its pace and the forwards sent to it.
+// PaceHalfLife is the half-life, in ns, of the statistics of one searcher: its pace and the
+// forwards sent to it.
 const PaceHalfLife = paceHalfLife
 
 // Usage is the input for choosing the subset of searchers to use.
--- a/mixer/overload_test.go
+++ b/mixer/overload_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// A mixer that has met its fleet in a jam turns lookups away; with nothing answered since, it takes one to
-// see how the fleet is now, and from then on serves. What it learnt in the jam must not hold for good.
+// A mixer whose only statistics are from an overload rejects lookups. As they decay without further
+// answers, it must admit one again, see that the overload is over, and serve from then on.
 func TestRecoveryAfterOverload(t *testing.T) {
 	for seed := range int64(6) {
 		w := startSimulation(t, seed, 4, nil)
-		for _, b := range w.searchers { // as others' lookups keep them
-			b.coreFreeAt = [2]int64{w.now + 1200*ms, w.now + 1200*ms}
+		for _, s := range w.searchers { // busy with lookups of other mixers
+			s.coreFreeAt = [2]int64{w.now + 1200*ms, w.now + 1200*ms}
 		}
 		w.startLookup(0, 2, 0, 4000*ms, false)
 		w.run(w.now + 1500*ms)
 		if l := w.startLookup(0, 2, 0, 4000*ms, false); !l.ended {
-			t.Fatal("a lookup is taken in a jam: the test shows nothing")
+			t.Fatal("lookup under overload was not rejected: the test shows nothing")
 		}
 		served := 0
 		for range 40 {
@@ -23,7 +23,7 @@
 			}
 		}
 		if served < 20 {
-			t.Errorf("%d of 40 lookups served after the jam, in 12 s", served)
+			t.Errorf("after overload: got %d of 40 lookups served in 12 s, want at least 20", served)
 		}
 	}
 }
--- a/mixer/pick_test.go
+++ b/mixer/pick_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// plainPick is pick as it would be if it looked at all parts and holders each time. It draws the searchers' lots and changes nothing
-// else; want is the cold searcher that would be picked with credit.
-func referencePick(l *Lookup, now int64, copy bool) (best *part, to, want *searcher) {
+// referencePick is pickForward without bounds: it examines all parts and holders each time. It
+// draws the tie-breaks of the searchers and changes nothing else; want is the cold searcher that
+// would be picked if it had credit.
+func referencePick(l *Lookup, now int64, hedge bool) (best *part, to, want *searcher) {
 	m, left := l.mixer, float64(l.deadline-now)
 	mean, late := m.typicalLatency(now, l)
-	if copy && !m.mayHedge(now, l, mean) {
+	if hedge && !m.mayHedge(now, l, mean) {
 		return nil, nil, nil
 	}
 	var least, wanted [6]float64
@@ -20,7 +21,7 @@
 		if p.answered || !l.maySend(now, p) {
 			continue
 		}
-		if out := p.newestPending(now); out > 0 && (!copy || out+late > now) {
+		if out := p.newestPending(now); out > 0 && (!hedge || out+late > now) {
 			continue
 		}
 		bound := p.exclusiveForward()
@@ -31,7 +32,8 @@
 			if slices.ContainsFunc(p.forwards, func(f *forward) bool { return f.searcher == s }) {
 				return
 			}
-			key := [6]float64{1: float64(min(1, len(p.forwards))), 2: float64(s.callsOut), 4: float64(p.Effort), 5: s.tieBreak.draw(now, m.calls, m.rng)}
+			key := [6]float64{1: float64(min(1, len(p.forwards))), 2: float64(s.callsOut), 4: float64(p.Effort),
+				5: s.tieBreak.draw(now, m.calls, m.rng)}
 			unit := m.unitTime(now, s)
 			if len(s.inFlight) > 0 {
 				unit = max(unit, float64(now-s.inFlight[0].sentAt)/float64(s.inFlight[0].callsAtSend))
@@ -63,10 +65,11 @@
 	return best, to, want
 }
 
-// A pick that passes over parts by their bounds takes the same searcher, for a part that is as good, as one that looks at all of
-// them, and counts the same wish for a cold one, in mixers that have met all there is: lost, late and bound parts, suspects, cold searchers and silent zones.
+// pickForward, which skips parts by their bounds, must pick the same searcher as referencePick, for
+// an equivalent part, and count the same demand for a cold one, whatever the state of the mixer:
+// lost, late and exclusive forwards, suspects, cold searchers and silent zones.
 func TestPickMatchesReference(t *testing.T) {
-	picks, copies, cold, tests, again, ties := 0, 0, 0, 0, 0, uint64(0)
+	picks, hedges, cold, probes, retries, ties := 0, 0, 0, 0, 0, uint64(0)
 	for seed := range int64(400) {
 		rng := rand.New(rand.NewSource(seed))
 		c := Config{Mixers: 1 + rng.Intn(3), Zone: "z0", Cells: 1 + rng.Intn(12), PerCall: 1 + rng.Intn(3), MaxForwards: 1 + rng.Intn(4),
@@ -74,21 +77,21 @@
 			CrossPrice: float64(rng.Intn(2)) * 0.05, BudgetFor: int64(rng.Intn(2)) * 2000 * ms, BudgetFree: float64(rng.Intn(12)), BudgetShare: 0.2}
 		c.Reach = 1 + rng.Intn(min(2, c.Cells))
 		c.Tariffs = []Tariff{{Expected: 900 * ms, Patience: 2000 * ms, CompleteFrom: 1, LeastShare: 1, Effect: Effect(rng.Intn(2)), RepeatFor: 700 * ms}}
-		floor := &nullEnvironment{index: map[string]int{}}
+		env := &nullEnvironment{index: map[string]int{}}
 		now := int64(1790000000e9)
-		m := New(now, c, seed, floor)
-		var rows []Entry
+		m := New(now, c, seed, env)
+		var list []Entry
 		for i := range c.Cells * (1 + rng.Intn(5)) {
 			e := Entry{Searcher: fmt.Sprint("s", i), Cell: i % c.Cells, Zone: fmt.Sprint("z", rng.Intn(3)), Size: float64(1 + rng.Intn(3))}
 			if rng.Intn(6) == 0 {
 				e.Started = now - int64(rng.Intn(8000))*ms
 			}
-			rows = append(rows, e)
+			list = append(list, e)
 		}
-		m.UpdateList(now, rows, true)
-		of := func(i int) *searcher { return m.searchers[rows[i].Searcher] }
-		distinct := rng.Intn(3) > 0 // else nothing is known of any, and all are alike
-		for i := range rows {
+		m.UpdateList(now, list, true)
+		of := func(i int) *searcher { return m.searchers[list[i].Searcher] }
+		distinct := rng.Intn(3) > 0 // else there are no statistics, and all searchers are equal
+		for i := range list {
 			s := of(i)
 			if distinct {
 				s.pace.Add(now, float64(rng.Intn(60)*int(ms)), 1, paceHalfLife)
@@ -109,30 +112,30 @@
 		for i := range l.request.Parts {
 			l.parts = append(l.parts, l.partSlab.add(l, PartRequest{ID: fmt.Sprint(i), Slice: rng.Intn(c.Cells), Weight: 1, Effort: int64(rng.Intn(2))}))
 		}
-		for range 3 { // reviews, with all sorts of outcomes between them
+		for range 3 { // reviews, with random outcomes between them
 			m.calls++
 			m.keyBounds.reset()
-			copy := rng.Intn(3) == 0
+			hedge := rng.Intn(3) == 0
 			mean, late := m.typicalLatency(now, l)
 			for range 1 + rng.Intn(len(l.parts)+5) {
 				if rng.Intn(20) == 0 {
-					copy = true // all that is needed is out
+					hedge = true // enough parts are pending
 				}
-				wishes := map[*searcher]float64{}
-				for i := range rows {
-					wishes[of(i)] = of(i).coldDemand.Read(now, loadHalfLife)
+				demand := map[*searcher]float64{}
+				for i := range list {
+					demand[of(i)] = of(i).coldDemand.Read(now, loadHalfLife)
 				}
-				p, to, want := referencePick(l, now, copy)
-				q, at := l.pickForward(now, copy, mean, late)
+				p, to, want := referencePick(l, now, hedge)
+				q, at := l.pickForward(now, hedge, mean, late)
 				if to != at || p != q && (p == nil || q == nil || p.Effort != q.Effort || (len(p.forwards) > 0) != (len(q.forwards) > 0)) {
-					t.Fatalf("seed %d, copy %v: picked %+v at %+v, want %+v at %+v", seed, copy, q, at, p, to)
+					t.Fatalf("seed %d, hedge %v: got part %+v to searcher %+v, want part %+v to searcher %+v", seed, hedge, q, at, p, to)
 				}
 				if p = q; p != nil && !distinct {
 					ties++
 				}
-				for s, was := range wishes {
-					if more := s.coldDemand.Read(now, loadHalfLife) - was; (more > 0.5) != (s == want) {
-						t.Fatalf("seed %d: %s was wished for %v, want %v", seed, s.id, more, want)
+				for s, before := range demand {
+					if more := s.coldDemand.Read(now, loadHalfLife) - before; (more > 0.5) != (s == want) {
+						t.Fatalf("seed %d: demand for cold searcher %s: got an increase of %v, want it for %+v only", seed, s.id, more, want)
 					}
 				}
 				if want != nil {
@@ -141,14 +144,14 @@
 				if p == nil {
 					break
 				}
-				if picks++; copy {
-					copies++
+				if picks++; hedge {
+					hedges++
 				}
 				if to.suspect {
-					tests++
+					probes++
 				}
 				if len(p.forwards) > 0 {
-					again++
+					retries++
 				}
 				if f := p.exclusiveForward(); f != nil {
 					f.recalled = true
@@ -171,7 +174,8 @@
 			}
 		}
 	}
-	if picks < 10000 || copies < 300 || cold < 300 || tests < 100 || again < 500 || ties < 3000 {
-		t.Errorf("%d picks, %d of copies, %d with a cold one wished for, %d at suspects, %d repeats, %d among equals", picks, copies, cold, tests, again, ties)
+	if picks < 10000 || hedges < 300 || cold < 300 || probes < 100 || retries < 500 || ties < 3000 {
+		t.Errorf("got %d picks, %d hedges, %d with demand for a cold searcher, %d probes, %d retries, %d among equals, "+
+			"want at least 10000, 300, 300, 100, 500, 3000", picks, hedges, cold, probes, retries, ties)
 	}
 }
--- a/mixer/prediction_test.go
+++ b/mixer/prediction_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A newcomer is predicted to take what searchers take, not that over its share of capacity: it is sent no
-// more than that share, so nothing waits there. Where all holders of a slice have just been replaced lookups
-// are taken, one for each allowance.
+// A cold searcher's predicted latency must not be divided by its capacity share: it is sent no more
+// than that share, so nothing queues there. If all holders of a slice have just been replaced,
+// lookups are admitted at the cold rate.
 func TestColdSearcherPrediction(t *testing.T) {
 	for seed := range int64(6) {
 		w := startSimulation(t, seed, 4, func(c *Config) {
@@ -17,7 +17,7 @@
 			w.run(w.now + 1200*ms)
 			l := w.startLookup(0, 2, 0, 4000*ms, false)
 			if w.run(w.now + 800*ms); !l.answeredWhole {
-				t.Errorf("seed %d: a lookup is not served where only a newcomer holds its slice", seed)
+				t.Errorf("seed %d: lookup of a slice held only by a cold searcher: got no complete answer in 800 ms", seed)
 			}
 		}
 	}
--- a/mixer/rules_test.go
+++ b/mixer/rules_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// charter draws legal settings.
+// randomConfig returns a random valid configuration.
 func randomConfig(rng *rand.Rand) Config {
 	c := Config{
 		Mixers: 1 + rng.Intn(4), Cells: 3 + rng.Intn(6), PerCall: 1 + rng.Intn(8), ListAsked: rng.Intn(2) == 0,
@@ -26,7 +26,7 @@
 	return c
 }
 
-// FuzzRules drives the mixer through a random world; the world checks the rules after every step.
+// FuzzRules runs the mixer in a random simulation, which checks the rules at every step.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(60) {
 		f.Add(seed)
@@ -34,7 +34,8 @@
 	f.Fuzz(func(t *testing.T, seed int64) { randomRun(t, seed, func(*simulation, []Entry) {}) })
 }
 
-// random drives a mixer through a random world; each is called before every step. It gives the world at its end.
+// randomRun runs a mixer in a random simulation and returns that at its end. each is called at
+// every step.
 func randomRun(t *testing.T, seed int64, each func(w *simulation, all []Entry)) *simulation {
 	rng := rand.New(rand.NewSource(seed))
 	w := newSimulation(t, seed, randomConfig(rng))
@@ -81,12 +82,12 @@
 	w.run(w.now + 10000*ms)
 	for id, l := range w.lookups {
 		if !l.ended {
-			t.Errorf("lookup %s has no final answer", id)
+			t.Errorf("lookup %s: got no final answer", id)
 		}
 	}
 	for id, s := range w.mixer.searchers {
 		if s.callsOut != 0 || s.partsOut != 0 || len(s.inFlight) != 0 {
-			t.Errorf("searcher %s still counts %d calls, %d parts", id, s.callsOut, s.partsOut)
+			t.Errorf("searcher %s at the end: got %d calls, %d parts, %d forwards in flight, want 0 of each", id, s.callsOut, s.partsOut, len(s.inFlight))
 		}
 	}
 	return w
--- a/mixer/shape_test.go
+++ b/mixer/shape_test.go
@@ -2,15 +2,16 @@
 
 import "testing"
 
-// Where the list tells sizes, equals that are not known yet are ordered by them; where it does not, they tell nothing.
+// Where the list gives sizes, equal searchers without statistics are ordered by size; otherwise
+// sizes are ignored.
 func TestLargerSearcherFirst(t *testing.T) {
 	for _, sized := range []bool{true, false} {
 		w, large := newSimulation(t, 1, plainConfig(func(c *Config) { c.Cells, c.Sized = 1, sized })), 0
-		rows := entries(40, 1)
-		for i := range rows {
-			rows[i].Size = float64(1 + i%2)
+		list := entries(40, 1)
+		for i := range list {
+			list[i].Size = float64(1 + i%2)
 		}
-		w.updateList(true, rows...)
+		w.updateList(true, list...)
 		w.warmUp(2)
 		w.startLookup(0, 10, 0, 4000*ms, false)
 		counts, _ := w.callCounts()
@@ -18,14 +19,15 @@
 			large += n * (i % 2)
 		}
 		if sized && large < 10 || !sized && large > 8 {
-			t.Errorf("sizes told %v: %d of 10 parts went to the larger ones", sized, large)
+			t.Errorf("sizes given %v: got %d of 10 parts at larger searchers, want 10 if given, else at most 8", sized, large)
 		}
 	}
 }
 
-// In a jam who goes beyond its share is turned away first, at once and with a return time where that is allowed.
+// Under overload, a customer beyond its allowance is rejected first, with an advised wait where
+// that is allowed.
 func TestCustomerOverShareRejectedFirst(t *testing.T) {
-	var taken, served [2]int
+	var started, served [2]int
 	for seed := range int64(6) {
 		w := startSimulation(t, seed, 2, func(c *Config) {
 			c.Cells, c.MayAdvise, c.MaxAdvice = 1, seed%2 == 0, 500*ms
@@ -34,26 +36,26 @@
 		w.warmUp(10)
 		var all [2][]*simLookup
 		for i := range 1200 {
-			who := min(1, i%6) // the second sends five times as much, and takes the fleet beyond what it bears
-			all[who] = append(all[who], w.startLookupOf(who+1, 0, 1, 0, 4000*ms, false))
+			customer := min(1, i%6) // the second sends five times as much, and overloads the fleet
+			all[customer] = append(all[customer], w.startLookupOf(customer+1, 0, 1, 0, 4000*ms, false))
 			w.run(w.now + 17*ms)
 		}
 		w.run(w.now + 4000*ms)
-		for who := range all {
-			for _, l := range all[who] {
-				if taken[who]++; l.answeredWhole {
-					served[who]++
+		for customer := range all {
+			for _, l := range all[customer] {
+				if started[customer]++; l.answeredWhole {
+					served[customer]++
 				}
 			}
 		}
 	}
-	in, beyond := float64(served[0])/float64(taken[0]), float64(served[1])/float64(taken[1])
+	in, beyond := float64(served[0])/float64(started[0]), float64(served[1])/float64(started[1])
 	if in < 0.8 || beyond > in-0.2 {
-		t.Errorf("%.2f served within its share, %.2f beyond it", in, beyond)
+		t.Errorf("share of lookups served: got %.2f within the allowance, %.2f beyond, want at least 0.8 and at least 0.2 less", in, beyond)
 	}
 }
 
-// What is given up gets its final answer at once, whether a return time may be said or not.
+// A lookup that is given up ends at once, whether a wait may be advised or not.
 func TestRejectedLookupEndsAtOnce(t *testing.T) {
 	for _, advise := range []bool{true, false} {
 		w := startSimulation(t, 5, 1, func(c *Config) { c.Cells, c.MayAdvise, c.MaxAdvice = 1, advise, 500*ms })
@@ -62,40 +64,40 @@
 			before := len(w.mixer.searchers["box0"].inFlight)
 			l := w.startLookup(0, 1, 0, 4000*ms, false)
 			if !l.ended && len(w.mixer.searchers["box0"].inFlight) == before {
-				t.Fatalf("advice allowed %v: a lookup of which nothing is sent is held", advise)
+				t.Fatalf("advice allowed %v: lookup without a forward: got no end", advise)
 			}
 			if l.ended && (l.wait > 0) != advise {
-				t.Fatalf("advice allowed %v: bounced with a wait of %d ns", advise, l.wait)
+				t.Fatalf("advice allowed %v: rejected with an advised wait of %d ns, want one above 0: %v", advise, l.wait, advise)
 			}
 			w.run(w.now + 10*ms)
 		}
 	}
 }
 
-// What a mixer has learnt of a slow searcher holds for the one that comes after it, where the same process runs.
+// The statistics of a slow searcher apply in a restored mixer if the same process still runs.
 func TestSnapshotRestore(t *testing.T) {
 	w := startSimulation(t, 7, 2, func(c *Config) { c.Cells = 1 })
 	w.searchers["box0"].roundTrip = 600 * ms
 	w.warmUp(10)
-	k := w.mixer.Snapshot(w.now)
+	snapshot := w.mixer.Snapshot(w.now)
 	slow := [2]int{}
 	for seed := range int64(10) {
-		for kept := range slow {
+		for restored := range slow {
 			v := newSimulation(t, seed, w.config)
 			v.updateList(true, entries(2, 1)...)
-			if kept == 1 && v.mixer.Restore(v.now, k) != 2 {
-				t.Error("processes that still run are not met again")
+			if restored == 1 && v.mixer.Restore(v.now, snapshot) != 2 {
+				t.Error("running processes: got fewer than 2 restored, want 2")
 			}
 			v.startLookup(0, 1, 0, 4000*ms, false)
-			slow[kept] += v.mixer.searchers["box0"].partsOut
+			slow[restored] += v.mixer.searchers["box0"].partsOut
 		}
 	}
 	if slow[0] == 0 || slow[1] > 0 {
-		t.Errorf("of 10 first parts the slow one got %d with nothing kept, %d with what was", slow[0], slow[1])
+		t.Errorf("first 10 parts at the slow searcher: got %d without a snapshot, %d with it, want above 0 and 0", slow[0], slow[1])
 	}
 	v := newSimulation(t, 1, w.config)
 	v.updateList(true, Entry{Searcher: "box0", Started: 1}, Entry{Searcher: "box1"})
-	if met := v.mixer.Restore(v.now, k); met != 1 || v.mixer.searchers["box0"].pace.denominator.sum > 0 {
-		t.Errorf("%d processes met, %v is held of one that is not the same", met, v.mixer.searchers["box0"].pace)
+	if restored := v.mixer.Restore(v.now, snapshot); restored != 1 || v.mixer.searchers["box0"].pace.denominator.sum > 0 {
+		t.Errorf("got %d processes restored, pace %v for a new process, want 1 and none", restored, v.mixer.searchers["box0"].pace)
 	}
 }
--- a/mixer/state.go
+++ b/mixer/state.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// call is a batch of parts sent together to one searcher: when, how many, and how many of them are in flight.
+// call is a batch of parts sent together to one searcher: when, how many, and how many of them are
+// in flight.
 type call struct{ at, size, left int64 }
 
 // forward is one attempt to serve a part.
@@ -73,7 +74,8 @@
 	return c.set(now, call, float64(rng.Int63()))
 }
 
-// searcherCache saves work for a searcher: its unit time, its tie-break, and storage for the first forwards in flight.
+// searcherCache saves work for a searcher: its unit time, its tie-break, and storage for the first
+// forwards in flight.
 type searcherCache struct {
 	unitMemo, tieBreak memo
 	inFlightArray      [2]*forward
@@ -137,7 +139,8 @@
 	return times[i:]
 }
 
-// oldestSentAt returns the earlier of a given time and the time when the oldest forward in flight was sent.
+// oldestSentAt returns the earlier of a given time and the time when the oldest forward in flight
+// was sent.
 func (s *searcher) oldestSentAt(at int64) int64 {
 	if len(s.inFlight) > 0 {
 		return min(at, s.inFlight[0].sentAt)
--- a/mixer/suspect_test.go
+++ b/mixer/suspect_test.go
@@ -11,38 +11,40 @@
 	for range 20 {
 		l := w.startLookup(0, 3, 0, 4000*ms, false)
 		if w.run(w.now + 300*ms); !l.answeredWhole {
-			t.Error("a lookup was not served")
+			t.Error("lookup with one failing searcher of three: got no complete answer in 300 ms")
 		}
 	}
-	if asked := len(w.retries) - before; asked > 10 {
-		t.Errorf("%d forwards failed in 20 lookups beside two sound searchers", asked)
+	if retries := len(w.retries) - before; retries > 10 {
+		t.Errorf("20 lookups with one failing searcher of three: got %d retries, want at most 10", retries)
 	}
 }
 
-// A searcher that falls silent is left and, once it answers again, comes back: sooner where a copy may back its tests.
+// A searcher that becomes silent is avoided and, once it answers again, used again: sooner where
+// hedges back its probes.
 func TestSilentSearcherAvoided(t *testing.T) {
-	for _, copies := range []bool{true, false} {
-		w := startSimulation(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, copies, !copies })
+	for _, hedges := range []bool{true, false} {
+		w := startSimulation(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, hedges, !hedges })
 		w.warmUp(10)
 		w.searchers["box1"].fault = 1
 		late := w.countLate(3, 300*ms)
-		if copies && late > 3 || !w.mixer.searchers["box1"].suspect {
-			t.Errorf("copies %v: %d of 20 lookups waited for a silent searcher", copies, late)
+		if hedges && late > 3 || !w.mixer.searchers["box1"].suspect {
+			t.Errorf("hedges %v: got %d of 20 lookups late, silent searcher suspect %v, want at most 3 with hedges, and true", hedges, late, w.mixer.searchers["box1"].suspect)
 		}
 		w.searchers["box1"].fault = 0
 		before := w.closed
-		w.warmUp(map[bool]int{true: 60, false: 100}[copies])
+		w.warmUp(map[bool]int{true: 60, false: 100}[hedges])
 		if w.closed == before {
-			t.Errorf("copies %v: it was tested on a connection that may be silent by itself", copies)
+			t.Errorf("hedges %v: probe: got no idle connection closed, want a new connection, as the old one may itself be silent", hedges)
 		}
 		if w.mixer.searchers["box1"].suspect {
-			t.Errorf("copies %v: a searcher that answers again is still suspect", copies)
+			t.Errorf("hedges %v: searcher that answers again: got suspect, want not suspect", hedges)
 		}
 	}
 }
 
-// Where no second copies are allowed, a part that waits in vain at a silent searcher is withdrawn there and served
-// elsewhere in time; the world fails the test should two forwards of a part be out at once.
+// Where hedging is not allowed, a part that waits at a silent searcher is cancelled there and
+// served elsewhere in time. The simulation fails the test if two forwards of a part are in flight
+// at once.
 func TestStalledForwardCancelledAndResent(t *testing.T) {
 	late := 0
 	for seed := range int64(6) {
@@ -56,16 +58,16 @@
 			}
 		}
 		if !w.mixer.searchers["box1"].suspect {
-			t.Error("a silent searcher whose parts are all withdrawn is not suspect")
+			t.Errorf("seed %d: silent searcher whose forwards are all cancelled: got not suspect, want suspect", seed)
 		}
 	}
 	if late > 3 {
-		t.Errorf("%d of 120 lookups were not served beside one silent searcher of three", late)
+		t.Errorf("one silent searcher of three: got %d of 120 lookups without a complete answer, want at most 3", late)
 	}
 }
 
-// TestSuspectProbeDelay has a searcher fail for a while, on fleets of two paces: it is back within a share of the
-// expected time, however long that is.
+// A searcher that fails for a while is used again within a multiple of the expected time, for two
+// expected times.
 func TestSuspectProbeDelay(t *testing.T) {
 	for seed := range int64(12) {
 		expected := []int64{1000 * ms, 4000 * ms}[seed%2]
@@ -75,7 +77,7 @@
 		w.countLate(1, 1500*ms)
 		w.searchers["box0"].fault = 0
 		if !w.mixer.searchers["box0"].suspect {
-			t.Fatal("a searcher that always fails is not suspect")
+			t.Fatal("searcher that always fails: got not suspect, want suspect")
 		}
 		from := w.now
 		for w.mixer.searchers["box0"].suspect && w.now < from+20000*ms {
@@ -83,20 +85,20 @@
 			w.run(w.now + 50*ms)
 		}
 		if took := w.now - from; took > 5*expected {
-			t.Errorf("a searcher that is well again is missed for %d ms, expected time %d ms", took/ms, expected/ms)
+			t.Errorf("recovered searcher: got suspect for %d ms, want at most %d ms", took/ms, 5*expected/ms)
 		}
 	}
 }
 
-// TestErringSearchersStillUsed has three of four holders err half of the time, at a load that the fourth cannot bear alone: what
-// they do answer is not passed over, and once they are well none is.
+// Three of four searchers return errors half of the time, at a load that the fourth cannot serve
+// alone: the capacity they have left must be used, and once they recover, all lookups are served.
 func TestErringSearchersStillUsed(t *testing.T) {
-	var lost [2]int
+	var unserved [2]int
 	for seed := range int64(6) {
 		w := warmSimulation(t, seed, 4)
-		for phase, how := range []int{5, 0} {
-			for _, box := range []string{"box0", "box1", "box2"} {
-				w.searchers[box].fault = how
+		for phase, fault := range []int{5, 0} {
+			for _, id := range []string{"box0", "box1", "box2"} {
+				w.searchers[id].fault = fault
 			}
 			var all []*simLookup
 			for range 250 {
@@ -106,18 +108,19 @@
 			w.run(w.now + 2000*ms)
 			for _, l := range all {
 				if !l.answeredWhole {
-					lost[phase]++
+					unserved[phase]++
 				}
 			}
 		}
 	}
-	if lost[0] > 120 || lost[1] > 3 {
-		t.Errorf("of 1500 lookups %d were not served while holders err, and %d of 1500 after", lost[0], lost[1])
+	if unserved[0] > 120 || unserved[1] > 3 {
+		t.Errorf("of 1500 lookups each: got %d without a complete answer during errors and %d after, want at most 120 and 3", unserved[0], unserved[1])
 	}
 }
 
-// TestLastResortIsNotAProbe has one holder fail always and the other half of the time, so that many parts go to the first because
-// nobody else is left. That is no test: it must not use up those that find it well again.
+// One searcher always fails and the other half of the time, so that many parts go to the first as a
+// last resort. These are not probes: they must not use up the probe budget, which detects its
+// recovery.
 func TestLastResortIsNotAProbe(t *testing.T) {
 	w, over := warmSimulation(t, 6, 2), 0.0
 	w.searchers["box0"].fault, w.searchers["box1"].fault = 2, 5
@@ -127,17 +130,17 @@
 		over = max(over, w.mixer.sentProbes.Read(w.now, loadHalfLife)-max(minProbes, probeShare*w.mixer.sentForwards.Read(w.now, loadHalfLife)))
 	}
 	if over > 1 {
-		t.Errorf("%.1f tests more were counted than are allowed", over)
+		t.Errorf("probes above the budget: got %.1f, want at most 1", over)
 	}
 }
 
 func TestSlowPartIsNotSilence(t *testing.T) {
 	w := warmSimulation(t, 11, 1)
-	w.searchers["box0"].coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms} // five times what forwards take
+	w.searchers["box0"].coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms} // five times the usual latency
 	l := w.startLookup(0, 1, 0, 4000*ms, false)
 	for w.run(w.now + 10*ms); !l.ended; w.run(w.now + 10*ms) {
 		if w.mixer.searchers["box0"].suspect {
-			t.Fatal("one slow part made its searcher suspect")
+			t.Fatal("searcher with one slow part: got suspect, want not suspect")
 		}
 	}
 }
@@ -145,11 +148,11 @@
 func TestLostForwardResent(t *testing.T) {
 	w := warmSimulation(t, 10, 2)
 	w.setFaults(1)
-	w.mixer.sentHedges.Add(w.now, 1e6, loadHalfLife) // no allowance is left for what is merely late
+	w.mixer.sentHedges.Add(w.now, 1e6, loadHalfLife) // no hedge budget is left for parts that are merely late
 	l := w.startLookup(0, 1, 0, 4000*ms, false)
 	w.setFaults(0)
 	if w.run(w.now + 740*ms); !l.ended {
-		t.Error("a lost message held its lookup until its searcher was suspect")
+		t.Error("lookup with a lost forward: got no answer in 740 ms, want the part resent before its searcher is suspect")
 	}
 }
 
@@ -161,27 +164,27 @@
 	for w.mixer.searchers["box1"].suspect {
 		w.warmUp(1)
 	}
-	again := 0
+	picked := 0
 	for range 10 {
 		w.startLookup(0, 2, 0, 4000*ms, false)
-		again += w.mixer.searchers["box1"].callsOut
+		picked += w.mixer.searchers["box1"].callsOut
 		w.run(w.now + 300*ms)
 	}
-	if again > 2 {
-		t.Errorf("a searcher that timed out was the first choice %d of 10 times soon after", again)
+	if picked > 2 {
+		t.Errorf("searcher that recently timed out: got picked first %d of 10 times, want at most 2", picked)
 	}
 }
 
 func TestRemovedSearcherResends(t *testing.T) {
 	w := newSimulation(t, 9, plainConfig(func(c *Config) { c.Cells = 1 }))
-	rows := entries(2, 1)
-	w.updateList(true, rows[0])
+	list := entries(2, 1)
+	w.updateList(true, list[0])
 	w.searchers["box0"].fault = 1
 	l := w.startLookup(0, 1, 0, 4000*ms, false)
-	w.updateList(true, rows[1])
+	w.updateList(true, list[1])
 	w.run(w.now + 200*ms)
 	if !l.answeredWhole {
-		t.Error("a part out at a searcher that is gone was not sent elsewhere at once")
+		t.Error("lookup with a part at a removed searcher: got no complete answer in 200 ms, want the part resent at once")
 	}
 }
 
@@ -189,28 +192,29 @@
 	w := warmSimulation(t, 12, 3)
 	w.setFaults(4)
 	if late := w.countLate(2, 3000*ms); late > 6 {
-		t.Errorf("%d of 20 lookups waited for connections dropped unseen", late)
+		t.Errorf("connections dropped silently: got %d of 20 lookups late, want at most 6", late)
 	}
 }
 
-// TestLateAnswerKeepsConnections has every eighth part take long, on sound searchers: that says nothing of their connections.
+// Every eighth part takes long on healthy searchers, which must not count as a loss on their
+// connections.
 func TestLateAnswerKeepsConnections(t *testing.T) {
 	w := warmSimulation(t, 17, 3)
 	for i := range 160 {
 		if i%8 == 0 {
-			for _, b := range w.searchers {
-				b.coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms}
+			for _, s := range w.searchers {
+				s.coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms}
 			}
 		}
 		w.startLookup(0, 1, 0, 4000*ms, false)
 		w.run(w.now + 800*ms)
 	}
 	if w.closed > 8 {
-		t.Errorf("idle connections were closed %d times, though none was dropped", w.closed)
+		t.Errorf("no connection dropped: got %d closings of idle connections, want at most 8", w.closed)
 	}
 }
 
-// The link to a zone is cut: from the fifth lookup on hardly a part is sent there.
+// The link to a zone is cut: from the fifth lookup on, hardly a part is sent there.
 func TestSilentZoneAvoided(t *testing.T) {
 	sent := 0
 	for seed := range int64(10) {
@@ -228,52 +232,54 @@
 		}
 	}
 	if sent > 32 {
-		t.Errorf("%d of 160 parts sent to a zone that was silent", sent)
+		t.Errorf("got %d of 160 parts at a silent zone, want at most 32", sent)
 	}
 }
 
-// A zone that answers, but much later than others, is left as a silent one is, and used again once it is in time.
+// A zone that answers much later than others is avoided like a silent one, and used again once it
+// answers in time.
 func TestLateZoneAvoided(t *testing.T) {
-	late, back := 0, 0
+	late, recovered := 0, 0
 	for seed := range int64(10) {
 		w, there := twoZones(seed, t)
-		far := func(d int64) {
+		setRoundTrip := func(d int64) {
 			for _, id := range there {
 				w.searchers[id].roundTrip = d
 			}
 		}
-		far(1900 * ms)
+		setRoundTrip(1900 * ms)
 		for i := range 30 {
 			l := w.startLookup(0, 6, w.rng.Intn(20), 4000*ms, false)
 			if w.run(w.now + 500*ms); !l.ended && i >= 6 {
 				late++
 			}
 		}
-		far(0)
+		setRoundTrip(0)
 		for range 40 {
 			w.startLookup(0, 6, w.rng.Intn(20), 4000*ms, false)
 			w.run(w.now + 500*ms)
 		}
 		if !w.mixer.zones["there"].silent() {
-			back++
+			recovered++
 		}
 	}
-	if late > 6 || back < 9 {
-		t.Errorf("%d of 240 lookups waited for a zone that was late; %d of 10 were back in 20 s", late, back)
+	if late > 6 || recovered < 9 {
+		t.Errorf("late zone: got %d of 240 lookups late, %d of 10 zones in use 20 s after recovery, want at most 6 and at least 9", late, recovered)
 	}
 }
 
-// zones gives a world of two zones whose mixer knows what forwards take, and the boxes of the second.
+// twoZones returns a simulation of two zones whose mixer has latency statistics, and the searchers
+// of the second.
 func twoZones(seed int64, t *testing.T) (w *simulation, there []string) {
 	w = newSimulation(t, seed, plainConfig(func(c *Config) { c.Cells = 20 }))
-	rows := entries(40, 20)
-	for i := range rows {
-		if rows[i].Zone = "here"; i >= 20 {
-			rows[i].Zone = "there"
-			there = append(there, rows[i].Searcher)
+	list := entries(40, 20)
+	for i := range list {
+		if list[i].Zone = "here"; i >= 20 {
+			list[i].Zone = "there"
+			there = append(there, list[i].Searcher)
 		}
 	}
-	w.updateList(true, rows...)
+	w.updateList(true, list...)
 	for range 40 {
 		w.startLookup(0, 2, w.rng.Intn(20), 4000*ms, false)
 		w.run(w.now + 300*ms)
@@ -289,6 +295,6 @@
 	w.warmUp(40)
 	before := w.answers
 	if w.warmUp(10); w.answers < before+9 {
-		t.Errorf("%d of 10 lookups served 12 s after all searchers came back", w.answers-before)
+		t.Errorf("12 s after all searchers recovered: got %d of 10 lookups served, want at least 9", w.answers-before)
 	}
 }
--- a/mixer/types.go
+++ b/mixer/types.go
@@ -43,14 +43,15 @@
 	SecondStep   int     // number of parts of the second step, 0 for none
 }
 
-// Config is the configuration of a Mixer. UpdateConfig documents which fields may change while it serves.
+// Config is the configuration of a Mixer. UpdateConfig documents which fields may change while it
+// serves.
 type Config struct {
 	Tariffs []Tariff
 	Zone    string // of this mixer
 	Mixers  int    // number of mixers
 
-	// Where each mixer uses a subset of the searchers, the largest number of mixers that use one and the least mean
-	// of that number; 0 where every mixer uses every searcher.
+	// Where each mixer uses a subset of the searchers, the largest number of mixers that use one
+	// and the least mean of that number; 0 where every mixer uses every searcher.
 	Users, UsersMean int
 
 	Cells, Reach int // slice s is held by cells s to s+Reach-1, modulo Cells
@@ -83,8 +84,9 @@
 // coldUsers returns the number of mixers that share a searcher's cold allowance.
 func (c *Config) coldUsers() float64 { return float64(cmp.Or(c.Users, c.Mixers)) }
 
-// answerShare returns the part of a searcher's answers to one mixer that counts as a single user's share: 1 where
-// all mixers use it. With subsets, a searcher has fewer users than the most, and answers more to each of them.
+// answerShare returns the part of a searcher's answers to one mixer that counts as a single user's
+// share: 1 where all mixers use it. With subsets, a searcher has fewer users than the most, and
+// answers more to each of them.
 func (c *Config) answerShare() float64 {
 	return float64(cmp.Or(c.UsersMean, 1)) / float64(cmp.Or(c.Users, 1))
 }
@@ -108,8 +110,8 @@
 	Status   Status
 }
 
-// PeerReport combines what other mixers report about one process of a searcher with the loans of cold allowance
-// for it. Times are of this mixer's clock.
+// PeerReport combines what other mixers report about one process of a searcher with the loans of
+// cold allowance for it. Times are of this mixer's clock.
 type PeerReport struct {
 	Searcher   string
 	Started    int64   // of the process
@@ -146,8 +148,8 @@
 // TimerHandler is called when a timer that was set for it expires.
 type TimerHandler interface{ HandleTimer(now int64) }
 
-// Environment carries out a Mixer's decisions. Its calls take effect at the time of the call to the Mixer that
-// led to them. Durations are in nanoseconds.
+// Environment carries out a Mixer's decisions. Its calls take effect at the time of the call to the
+// Mixer that led to them. Durations are in nanoseconds.
 type Environment interface {
 	Forward(part, searcher string, within int64) // sends a part, with a timeout
 	Cancel(part string, forward int)             // cancels the part's forward of that index
@@ -160,7 +162,8 @@
 	Note(text string)
 }
 
-// DecayingSum is a sum whose terms decay with a half-life, in nanoseconds, that is passed to its methods.
+// DecayingSum is a sum whose terms decay with a half-life, in nanoseconds, that is passed to its
+// methods.
 type DecayingSum struct {
 	sum float64
 	at  int64
@@ -204,7 +207,7 @@
 }
 
 // readSums returns both sums as of now, computing the decay factor once if they have the same time.
-func (r *DecayingRatio) readSums(now int64, half int64) (numerator, denominator float64) {
+func (r *DecayingRatio) readSums(now, half int64) (numerator, denominator float64) {
 	if now == r.denominator.at {
 		return r.numerator.Read(now, half), r.denominator.sum
 	}
@@ -243,7 +246,7 @@
 }
 
 // readSums returns the sums as of now; all have the same time.
-func (s *DecayingStats) readSums(now int64, half int64) (n, sum, squares float64) {
+func (s *DecayingStats) readSums(now, half int64) (n, sum, squares float64) {
 	if now == s.count.at {
 		return s.count.sum, s.sum.sum, s.squares.sum
 	}
--- a/mixer/update_test.go
+++ b/mixer/update_test.go
@@ -7,109 +7,112 @@
 	"testing"
 )
 
-// scribe is a floor that writes down each call, and hands it on.
+// recorder is an Environment that records each call and passes it on to a simulation.
 type recorder struct {
 	*simulation
 	calls []string
 }
 
-func (s *recorder) record(call string, about ...any) {
-	s.calls = append(s.calls, fmt.Sprint(s.now, " ", call, " ", about))
+func (r *recorder) record(call string, arguments ...any) {
+	r.calls = append(r.calls, fmt.Sprint(r.now, " ", call, " ", arguments))
 }
 
-func (s *recorder) Forward(part, searcher string, within int64) {
-	s.record("forward", part, searcher, within)
-	s.simulation.Forward(part, searcher, within)
+func (r *recorder) Forward(part, searcher string, within int64) {
+	r.record("forward", part, searcher, within)
+	r.simulation.Forward(part, searcher, within)
 }
 
-func (s *recorder) Cancel(part string, forward int) {
-	s.record("cancel", part, forward)
-	s.simulation.Cancel(part, forward)
+func (r *recorder) Cancel(part string, forward int) {
+	r.record("cancel", part, forward)
+	r.simulation.Cancel(part, forward)
 }
 
-func (s *recorder) Answer(id string, whole bool) {
-	s.record("answer", id, whole)
-	s.simulation.Answer(id, whole)
+func (r *recorder) Answer(id string, complete bool) {
+	r.record("answer", id, complete)
+	r.simulation.Answer(id, complete)
 }
 
-func (s *recorder) Reject(id string, wait int64) {
-	s.record("bounce", id, wait)
-	s.simulation.Reject(id, wait)
+func (r *recorder) Reject(id string, wait int64) {
+	r.record("bounce", id, wait)
+	r.simulation.Reject(id, wait)
 }
 
-func (s *recorder) Fail(id string) {
-	s.record("fail", id)
-	s.simulation.Fail(id)
+func (r *recorder) Fail(id string) {
+	r.record("fail", id)
+	r.simulation.Fail(id)
 }
 
-func (s *recorder) CloseIdle(searcher string) {
-	s.record("close", searcher)
-	s.simulation.CloseIdle(searcher)
+func (r *recorder) CloseIdle(searcher string) {
+	r.record("close", searcher)
+	r.simulation.CloseIdle(searcher)
 }
 
-func (s *recorder) SetTimer(after int64, whose TimerHandler) {
-	s.record("timer", after)
-	s.simulation.SetTimer(after, whose)
+func (r *recorder) SetTimer(after int64, h TimerHandler) {
+	r.record("timer", after)
+	r.simulation.SetTimer(after, h)
 }
 
-func (s *recorder) Subscribe() {
-	s.record("subscribe")
-	s.simulation.Subscribe()
+func (r *recorder) Subscribe() {
+	r.record("subscribe")
+	r.simulation.Subscribe()
 }
 
-// state gives what a mixer has counted and learnt, the charter aside.
+// learntState returns the counters and statistics of a mixer, without its configuration.
 func learntState(m *Mixer) string {
 	var all []any
 	for _, cell := range m.cells {
 		for _, s := range cell {
-			all = append(all, s.id, s.callsOut, s.partsOut, s.pace, s.recentPace, s.lastAnswer, s.lastForward, s.unansweredWait, s.suspect, s.probeInterval, s.nextProbe, s.coldCredit,
-				s.coldCreditAt, len(s.inFlight), s.report, s.coldDemand, s.sentForwards, *s.zone)
+			all = append(all, s.id, s.callsOut, s.partsOut, s.pace, s.recentPace, s.lastAnswer, s.lastForward,
+				s.unansweredWait, s.suspect, s.probeInterval, s.nextProbe, s.coldCredit, s.coldCreditAt, len(s.inFlight),
+				s.report, s.coldDemand, s.sentForwards, *s.zone)
 		}
 	}
-	return fmt.Sprint(all, m.latencies, m.fleetPace, m.sentForwards, m.sentHedges, m.sentProbes, m.idleConnLoss, m.newConnLoss, m.budgetEarned, m.budgetSpent, m.warmAnswers, m.warmRate, m.lastAnswer,
-		m.subscribing, m.listFailures, m.customerLookups, m.coldHeldUntil)
+	return fmt.Sprint(all, m.latencies, m.fleetPace, m.sentForwards, m.sentHedges, m.sentProbes, m.idleConnLoss,
+		m.newConnLoss, m.budgetEarned, m.budgetSpent, m.warmAnswers, m.warmRate, m.lastAnswer, m.subscribing,
+		m.listFailures, m.customerLookups, m.coldHeldUntil)
 }
 
-// A mixer that is told its own charter again and again, at any moment, makes the same calls as one that is not, to the last timer.
+// A mixer that is given its own configuration again at any time makes the same calls as one that is
+// not, timers included.
 func TestUpdateConfigUnchanged(t *testing.T) {
-	calls, adopted := 0, 0
+	calls, updates := 0, 0
 	for seed := range int64(8) {
 		var runs [2][]string
-		for again := range runs {
-			s, rng := (*recorder)(nil), rand.New(rand.NewSource(seed))
+		for run := range runs {
+			r, rng := (*recorder)(nil), rand.New(rand.NewSource(seed))
 			randomRun(t, seed, func(w *simulation, _ []Entry) {
-				if s == nil {
-					s = &recorder{simulation: w}
-					w.mixer.env = s
+				if r == nil {
+					r = &recorder{simulation: w}
+					w.mixer.env = r
 				}
-				if again == 0 {
+				if run == 0 {
 					return
 				}
 				for range rng.Intn(3) {
 					before := learntState(w.mixer)
 					if w.mixer.UpdateConfig(w.now, w.config); learntState(w.mixer) != before {
-						t.Fatalf("seed %d: a version changes\n%s\nto\n%s", seed, before, learntState(w.mixer))
+						t.Fatalf("seed %d: state after an update: got\n%s\nwant\n%s", seed, learntState(w.mixer), before)
 					}
-					adopted++
+					updates++
 				}
 				w.after(rng.Int63n(50*ms), func() { w.mixer.UpdateConfig(w.now, w.config) }) // between any two calls
 			})
-			runs[again] = s.calls
+			runs[run] = r.calls
 		}
 		if !slices.Equal(runs[0], runs[1]) {
 			for i := range min(len(runs[0]), len(runs[1])) {
 				if runs[0][i] != runs[1][i] {
-					t.Fatalf("seed %d: call %d of %d is %s, without versions %s", seed, i, len(runs[0]), runs[1][i], runs[0][i])
+					t.Fatalf("seed %d: call %d of %d with updates: got %s, want %s", seed, i, len(runs[0]), runs[1][i], runs[0][i])
 				}
 			}
-			t.Fatalf("seed %d: %d calls, without versions %d", seed, len(runs[1]), len(runs[0]))
+			t.Fatalf("seed %d: got %d calls with updates, want %d", seed, len(runs[1]), len(runs[0]))
 		}
 		calls += len(runs[0])
 	}
-	t.Logf("%d calls the same, through %d versions", calls, adopted)
+	t.Logf("%d equal calls, with %d updates", calls, updates)
 }
 
-// other gives a charter with all that may change in flight drawn anew.
+// changedConfig returns c with random values in all fields that may change while a mixer serves.
 func changedConfig(rng *rand.Rand, c Config) Config {
 	drawn := randomConfig(rng)
 	c.Tariffs, c.Allowances = slices.Clone(c.Tariffs), slices.Clone(c.Allowances)
@@ -127,10 +130,11 @@
 	return c
 }
 
-// Through versions drawn at any moment each lookup keeps its own row to its end, and the world finds all rules kept: shares and
-// repeats by the lookup's own row, advice by the newest version.
+// With random updates at any time, each lookup keeps its tariff until its end, and the simulation
+// checks the rules: shares and repeats by the lookup's own tariff, the advised wait by the newest
+// version.
 func TestLookupKeepsItsTariff(t *testing.T) {
-	versions := 0
+	updates := 0
 	for seed := range int64(24) {
 		rng := rand.New(rand.NewSource(seed))
 		randomRun(t, seed, func(w *simulation, _ []Entry) {
@@ -138,42 +142,44 @@
 				before := learntState(w.mixer)
 				w.config = changedConfig(rng, w.config)
 				if w.mixer.UpdateConfig(w.now, w.config); learntState(w.mixer) != before {
-					t.Fatalf("seed %d: a version changes\n%s\nto\n%s", seed, before, learntState(w.mixer))
+					t.Fatalf("seed %d: state after an update: got\n%s\nwant\n%s", seed, learntState(w.mixer), before)
 				}
-				versions++
+				updates++
 			}
 			for id, l := range w.lookups {
-				end := min(l.notAfter, w.now+l.tariff.Expected) - deadlineMargin // a repeat was asked for earlier
+				end := min(l.notAfter, w.now+l.tariff.Expected) - deadlineMargin // earlier for a retry
 				if *l.handle.tariff != l.tariff || l.handle.deadline > end || !l.ended && w.now > max(l.handle.deadline, 0)+w.secondStepDelay+2*deadlineMargin && l.handle.stepComplete {
-					t.Fatalf("seed %d: lookup %s of %+v is held to %+v, until %d at %d", seed, id, l.tariff, *l.handle.tariff, l.handle.deadline, w.now)
+					t.Fatalf("seed %d: lookup %s at %d ns: got tariff %+v, deadline %d ns, ended %v, want tariff %+v, deadline at most %d ns",
+						seed, id, w.now, *l.handle.tariff, l.handle.deadline, l.ended, l.tariff, end)
 				}
 			}
 		})
 	}
-	t.Logf("%d versions", versions)
+	t.Logf("%d updates", updates)
 }
 
-// One that was taken before is neither ended earlier nor answered with less; the next is.
+// A lookup that started before an update neither ends earlier nor is answered with fewer parts; a
+// later one does.
 func TestLookupsAroundConfigUpdate(t *testing.T) {
 	w := startSimulation(t, 1, 6, nil)
 	w.warmUp(10)
-	w.searchers["box1"].fault, w.searchers["box3"].fault, w.searchers["box5"].fault = 1, 1, 1 // all that hold the second slice
+	w.searchers["box1"].fault, w.searchers["box3"].fault, w.searchers["box5"].fault = 1, 1, 1 // all holders of the second slice
 	old := w.startLookup(0, 2, 0, 4000*ms, false)
 	began := w.now
 	c := w.config
 	c.Tariffs = []Tariff{{Expected: 1000 * ms, Patience: 4000 * ms, CompleteFrom: 0.5, LeastShare: 0.5}}
 	w.mixer.UpdateConfig(w.now, c)
-	c.Tariffs[0].CompleteFrom = 1 // what the caller does with it later is nothing here
+	c.Tariffs[0].CompleteFrom = 1 // the mixer has its own copy
 	w.config.Tariffs = []Tariff{{Expected: 1000 * ms, Patience: 4000 * ms, CompleteFrom: 0.5, LeastShare: 0.5}}
 	next := w.startLookup(0, 2, 0, 4000*ms, false)
 	if w.run(w.now + 900*ms); !next.answeredWhole || old.ended {
-		t.Errorf("taken after a version that asks for half: answered whole %v; taken before: ended %v", next.answeredWhole, old.ended)
+		t.Errorf("lookup after the update: got complete answer %v, want true; lookup before it: got ended %v, want false", next.answeredWhole, old.ended)
 	}
 	if w.run(began + 1900*ms); old.ended {
-		t.Error("one taken before is ended by the newer, shorter time")
+		t.Error("lookup before the update, at 1900 ms: got ended by the new expected time of 1000 ms, want 2000 ms")
 	}
 	if w.run(began + 2000*ms); !old.ended || old.answeredWhole {
-		t.Errorf("one taken before has ended %v, answered whole %v, under a version that asks for all", old.ended, old.answeredWhole)
+		t.Errorf("lookup before the update, at 2000 ms: got ended %v, complete answer %v, want true and false", old.ended, old.answeredWhole)
 	}
 	short := w.startLookup(0, 1, 1, 4000*ms, false)
 	began = w.now
@@ -181,14 +187,15 @@
 	w.mixer.UpdateConfig(w.now, w.config)
 	long := w.startLookup(0, 1, 1, 4000*ms, false)
 	if w.run(began + 1000*ms); !short.ended && !long.ended {
-		t.Error("one taken under the shorter time is waited for beyond it")
+		t.Error("lookup with an expected time of 1000 ms: got no end by then")
 	}
 	if w.mixer.longestExpected != float64(3000*ms) {
-		t.Errorf("the longest expected time is held to be %v ms", w.mixer.longestExpected/float64(ms))
+		t.Errorf("longest expected time: got %v ms, want 3000 ms", w.mixer.longestExpected/float64(ms))
 	}
 }
 
-// What no version may change stays as at the start, and a charter of other rows changes nothing.
+// Fields that must not change keep their values, and a configuration with another number of tariffs
+// or allowances is ignored.
 func TestUpdateConfigFields(t *testing.T) {
 	w := startSimulation(t, 1, 2, func(c *Config) { c.Allowances = []float64{3} })
 	began := w.mixer.config
@@ -200,12 +207,12 @@
 	want.Tariffs = []Tariff{{Expected: 5, Patience: 6, RepeatFor: 7, CompleteFrom: 0.8, LeastShare: 0.3, Partial: 0.2}}
 	want.MaxAdvice, want.Allowances, want.OverWorth = 8, []float64{4}, 0.1
 	if fmt.Sprintf("%+v", w.mixer.config) != fmt.Sprintf("%+v", want) {
-		t.Errorf("%+v, want %+v", w.mixer.config, want)
+		t.Errorf("updated configuration: got %+v, want %+v", w.mixer.config, want)
 	}
-	for _, odd := range []Config{{}, {Tariffs: c.Tariffs}, {Tariffs: c.Tariffs, Allowances: []float64{1, 2}},
+	for _, invalid := range []Config{{}, {Tariffs: c.Tariffs}, {Tariffs: c.Tariffs, Allowances: []float64{1, 2}},
 		{Tariffs: append(c.Tariffs, c.Tariffs...), Allowances: c.Allowances}} {
-		if w.mixer.UpdateConfig(w.now, odd); fmt.Sprintf("%+v", w.mixer.config) != fmt.Sprintf("%+v", want) {
-			t.Errorf("%+v is taken", odd)
+		if w.mixer.UpdateConfig(w.now, invalid); fmt.Sprintf("%+v", w.mixer.config) != fmt.Sprintf("%+v", want) {
+			t.Errorf("update with %+v: got %+v, want %+v", invalid, w.mixer.config, want)
 		}
 	}
 	(*Mixer)(nil).UpdateConfig(w.now, c)
--- a/mixer/world_test.go
+++ b/mixer/world_test.go
@@ -7,43 +7,46 @@
 	"testing"
 )
 
-// world plays the searchers and clients around one mixer in simulated time. It is the mixer's floor, and
-// checks the rules and the legality of every action as it comes.
+// simulation runs the searchers and clients around one mixer in simulated time. It is the mixer's
+// Environment, and checks each action of the mixer against the rules.
 type simulation struct {
 	t                    testing.TB
 	rng                  *rand.Rand
-	now, secondStepDelay int64 // lag passes before a second step's parts come
+	now, secondStepDelay int64 // ns; delay from a first step's answer to the second step's parts
 	queue                []event
 	config               Config
 	mixer                *Mixer
-	listed               map[string]Entry // the list as the mixer was last told
+	listed               map[string]Entry // the list as last sent to the mixer
 	searchers            map[string]*simSearcher
 	lookups              map[string]*simLookup
 	parts                map[string]*simPart
-	retries, taken       []int64           // when further ones were made, when lookups and parts came
-	coldSent             map[Entry][]int64 // when parts were sent to a process told to be cold
+	retries, taken       []int64           // times of retries, and of new lookups and parts
+	coldSent             map[Entry][]int64 // times of parts sent to a cold process
 	answers, closed      int
 	refusing             bool
 }
 
-// box is one searcher as it really is.
+// simSearcher is one simulated searcher.
 type simSearcher struct {
-	coreFreeAt [2]int64 // when each core is done
-	fault      int      // 0 sound, 1 silent, 2 fails at once, 3 unreachable, 4 drops connections that lie idle,
-	// 5 errs half of the time
-	lastUsed  int64 // when its connection was last in use, 0 where none is open
-	roundTrip int64 // what the way there and back takes
+	coreFreeAt [2]int64 // when each core finishes its work
+	fault      int      // 0 healthy, 1 silent, 2 fails at once, 3 unreachable, 4 drops idle connections,
+	// 5 returns an error half of the time
+	lastUsed  int64 // last use of its connection, 0 if none is open
+	roundTrip int64 // ns; network delay
 }
 
+// simLookup is one lookup as its client sees it.
 type simLookup struct {
 	handle               *Lookup
 	tariff               Tariff
 	notAfter             int64
 	steps                [][]string
 	ended, answeredWhole bool
-	wait                 int64 // advised by its bounce
+	wait                 int64 // ns; advised by its rejection
 }
 
+// simPart is one part with its forwards: when each was sent, whether it is done and whether it may
+// have run.
 type simPart struct {
 	lookup       *simLookup
 	index, slice int
@@ -53,19 +56,20 @@
 	answered     bool
 }
 
+// event is a function to call at a time.
 type event struct {
 	at int64
 	do func()
 }
 
-// after books what happens later; what is due at one time keeps its order.
+// after schedules a function; those of one time run in the order of scheduling.
 func (w *simulation) after(d int64, do func()) {
 	at := w.now + max(d, 1)
 	i, _ := slices.BinarySearchFunc(w.queue, at+1, func(e event, at int64) int { return int(e.at - at) })
 	w.queue = slices.Insert(w.queue, i, event{at, do})
 }
 
-// run plays all events until a time.
+// run processes all events until a time.
 func (w *simulation) run(until int64) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := w.queue[0]
@@ -78,41 +82,45 @@
 
 func newSimulation(t testing.TB, seed int64, c Config) *simulation {
 	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e15, config: c, listed: map[string]Entry{},
-		searchers: map[string]*simSearcher{}, lookups: map[string]*simLookup{}, parts: map[string]*simPart{}, coldSent: map[Entry][]int64{}, secondStepDelay: 5 * ms}
+		searchers: map[string]*simSearcher{}, lookups: map[string]*simLookup{}, parts: map[string]*simPart{},
+		coldSent: map[Entry][]int64{}, secondStepDelay: 5 * ms}
 	w.mixer = New(w.now, c, seed, w)
 	return w
 }
 
-func (w *simulation) updateList(full bool, rows ...Entry) {
+func (w *simulation) updateList(full bool, list ...Entry) {
 	if full {
 		clear(w.listed)
 	}
-	for _, e := range rows {
+	for _, e := range list {
 		w.listed[e.Searcher] = e
 		if w.searchers[e.Searcher] == nil {
 			w.searchers[e.Searcher] = &simSearcher{}
 		}
 	}
-	w.mixer.UpdateList(w.now, rows, full)
+	w.mixer.UpdateList(w.now, list, full)
 }
 
-// take hands over a lookup with parts of equal weight on slices in a row.
+// startLookup starts a lookup with parts of equal weight on consecutive slices, for each customer
+// in turn.
 func (w *simulation) startLookup(tariff, parts, slice int, patience int64, again bool) *simLookup {
-	who := len(w.lookups) % (1 + len(w.config.Allowances)) // by turns, the first time one who is not told
-	return w.startLookupOf(who, tariff, parts, slice, patience, again)
+	customer := len(w.lookups) % (1 + len(w.config.Allowances)) // the first is unknown
+	return w.startLookupOf(customer, tariff, parts, slice, patience, again)
 }
 
-// takeFrom is take with the customer told, by its row.
-func (w *simulation) startLookupOf(who, tariff, parts, slice int, patience int64, again bool) *simLookup {
+// startLookupOf is startLookup for a given customer.
+func (w *simulation) startLookupOf(customer, tariff, parts, slice int, patience int64, again bool) *simLookup {
 	id := fmt.Sprint("l", len(w.lookups))
 	l := &simLookup{tariff: w.config.Tariffs[tariff], notAfter: w.now + patience}
 	w.lookups[id] = l
 	w.taken = append(w.taken, w.now)
-	l.handle = w.mixer.StartLookup(w.now, LookupRequest{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts, Again: again, Customer: who})
+	l.handle = w.mixer.StartLookup(w.now, LookupRequest{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts,
+		Again: again, Customer: customer})
 	w.addParts(l, id, parts, slice)
 	return l
 }
 
+// addParts adds the parts of the lookup's next step.
 func (w *simulation) addParts(l *simLookup, id string, parts, slice int) {
 	step := len(l.steps)
 	l.steps = append(l.steps, nil)
@@ -128,31 +136,31 @@
 func (w *simulation) Forward(part, searcher string, within int64) {
 	p, e := w.parts[part], w.listed[searcher]
 	if p == nil || p.lookup.ended || p.answered {
-		w.t.Fatalf("forward of part %s, which is not open", part)
+		w.t.Fatalf("forward of part %s, which is answered, ended or unknown", part)
 	}
 	if _, ok := w.listed[searcher]; !ok || e.Status != Live {
-		w.t.Fatalf("forward of %s to %s, which is not listed live", part, searcher)
+		w.t.Fatalf("forward of part %s to %s, which is not listed as live", part, searcher)
 	}
 	if d := (e.Cell - p.slice + w.config.Cells) % w.config.Cells; d >= w.config.Reach {
-		w.t.Fatalf("forward of %s to %s, which does not hold slice %d", part, searcher, p.slice)
+		w.t.Fatalf("forward of part %s to %s, which does not hold slice %d", part, searcher, p.slice)
 	}
 	if len(p.sent) >= w.config.MaxForwards {
-		w.t.Fatalf("forward %d of %s, most are %d", len(p.sent)+1, part, w.config.MaxForwards)
+		w.t.Fatalf("%d forwards of part %s, want at most %d", len(p.sent)+1, part, w.config.MaxForwards)
 	}
 	for i := range p.sent {
 		if !p.done[i] && !w.config.MayCopy {
-			w.t.Fatalf("copy of %s, none are allowed", part)
+			w.t.Fatalf("hedge of part %s, want none", part)
 		}
 		late := p.lookup.tariff.Effect == AtMostOnce || p.lookup.tariff.Effect == Deduplicated && w.now > p.sent[i]+p.lookup.tariff.RepeatFor
 		if late && (!p.done[i] || p.ran[i]) {
-			w.t.Fatalf("part %s of effect %d sent again", part, p.lookup.tariff.Effect)
+			w.t.Fatalf("part %s with effect %d resent, want no repeat", part, p.lookup.tariff.Effect)
 		}
 	}
 	if len(p.sent) > 0 {
 		w.retries = append(w.retries, w.now)
 		spent, taken := countAfter(w.retries, w.now-w.config.BudgetFor-1), countAfter(w.taken, w.now-w.config.BudgetFor)
 		if most := w.config.BudgetFree + w.config.BudgetShare*taken; w.config.BudgetFor > 0 && spent > most {
-			w.t.Fatalf("%g further forwards in the budget's window, most are %g", spent, most)
+			w.t.Fatalf("%g retries in the budget's window, want at most %g", spent, most)
 		}
 	}
 	w.checkColdLimit(searcher, e)
@@ -161,7 +169,7 @@
 	o, took := w.serve(w.searchers[searcher], within)
 	w.after(took, func() {
 		if p.done[i] {
-			return // withdrawn
+			return // cancelled
 		}
 		p.done[i], p.ran[i] = true, !o.NeverRan()
 		p.answered = p.answered || o == Succeeded && !p.lookup.ended
@@ -169,6 +177,7 @@
 	})
 }
 
+// serve returns how a forward to a searcher will end, and after how long.
 func (w *simulation) serve(b *simSearcher, within int64) (Outcome, int64) {
 	switch b.fault {
 	case 1:
@@ -194,13 +203,14 @@
 	return TimedOut, within
 }
 
-// since counts the times after one; they come in order.
+// countAfter returns how many of the sorted times are after a given one.
 func countAfter(times []int64, after int64) float64 {
 	i, _ := slices.BinarySearch(times, after+1)
 	return float64(len(times) - i)
 }
 
-// coldCheck checks rule 4: the boxes bear 20 parts a second when warm, and no other mixer takes any of it.
+// checkColdLimit checks rule 4, the limit of parts to a cold searcher: warm ones can serve 20 parts
+// a second, and no other mixer uses any of that.
 func (w *simulation) checkColdLimit(searcher string, e Entry) {
 	age := w.now - e.Started
 	if e.Started == 0 || age >= w.config.ColdFor {
@@ -209,25 +219,26 @@
 	w.coldSent[e] = append(w.coldSent[e], w.now)
 	in := countAfter(w.coldSent[e], w.now-w.config.FallFor)
 	frac := w.config.ColdFrom + (1-w.config.ColdFrom)*float64(age)/float64(w.config.ColdFor)
-	bears := w.config.FallMultiple * frac * 20 * float64(w.config.FallFor) / 1e9
-	if in > 1+bears {
-		w.t.Fatalf("cold searcher %s sent %g parts within %d ns, it bears %g", searcher, in, w.config.FallFor, bears)
+	most := w.config.FallMultiple * frac * 20 * float64(w.config.FallFor) / 1e9
+	if in > 1+most {
+		w.t.Fatalf("cold searcher %s was sent %g parts within %d ns, want at most %g", searcher, in, w.config.FallFor, 1+most)
 	}
 }
 
-func (w *simulation) endLookup(id, how string) *simLookup {
+// endLookup marks a lookup as ended by an action, which must come within the client's deadline.
+func (w *simulation) endLookup(id, action string) *simLookup {
 	l := w.lookups[id]
 	if l == nil || l.ended {
-		w.t.Fatalf("%s of lookup %s, which is not open", how, id)
+		w.t.Fatalf("%s of lookup %s, which has ended or is unknown", action, id)
 	}
 	if w.now > l.notAfter {
-		w.t.Fatalf("%s of lookup %s after its time", how, id)
+		w.t.Fatalf("%s of lookup %s at %d ns, want at most %d ns", action, id, w.now, l.notAfter)
 	}
 	l.ended = true
 	return l
 }
 
-func (w *simulation) Answer(id string, whole bool) {
+func (w *simulation) Answer(id string, complete bool) {
 	l := w.endLookup(id, "answer")
 	in, n := 0.0, 0
 	for _, part := range l.steps[len(l.steps)-1] {
@@ -238,12 +249,12 @@
 	all := n == len(l.steps[len(l.steps)-1])
 	first, partly := len(l.steps) == 1, l.tariff.LeastShare < l.tariff.CompleteFrom
 	if in < l.tariff.LeastShare-1e-4 && (first || partly) || !first && !all && !partly {
-		w.t.Fatalf("answer of %s from %g of its parts", id, in)
+		w.t.Fatalf("answer of lookup %s from a weight of %g, want at least %g", id, in, l.tariff.LeastShare)
 	}
-	if whole && (first && in < l.tariff.CompleteFrom-1e-4 || !first && !(all && l.answeredWhole)) {
-		w.t.Fatalf("answer of %s marked whole with %g of its parts", id, in)
+	if complete && (first && in < l.tariff.CompleteFrom-1e-4 || !first && !(all && l.answeredWhole)) {
+		w.t.Fatalf("answer of lookup %s marked complete with a weight of %g, want at least %g", id, in, l.tariff.CompleteFrom)
 	}
-	l.answeredWhole = whole
+	l.answeredWhole = complete
 	w.answers++
 	if first && l.tariff.SecondStep > 0 {
 		l.ended = false
@@ -256,17 +267,17 @@
 }
 
 func (w *simulation) Reject(id string, wait int64) {
-	l := w.endLookup(id, "bounce")
+	l := w.endLookup(id, "rejection")
 	for _, part := range slices.Concat(l.steps...) {
 		p := w.parts[part]
 		for i := range p.sent {
 			if l.tariff.Effect == AtMostOnce && (!p.done[i] || p.ran[i]) {
-				w.t.Fatalf("bounce of once-only lookup %s, part %s may have run", id, part)
+				w.t.Fatalf("rejection of at-most-once lookup %s, but its part %s may have run", id, part)
 			}
 		}
 	}
 	if l.wait = wait; wait < 0 || wait > w.config.MaxAdvice {
-		w.t.Fatalf("bounce of %s advises %d ns", id, wait)
+		w.t.Fatalf("rejection of lookup %s advises a wait of %d ns, want 0 to %d ns", id, wait, w.config.MaxAdvice)
 	}
 }
 
@@ -275,7 +286,7 @@
 func (w *simulation) Cancel(part string, forward int) {
 	p := w.parts[part]
 	if !w.config.MayCancel || p.done[forward] {
-		w.t.Fatalf("forward %d of %s withdrawn, allowed %v, out %v", forward, part, w.config.MayCancel, !p.done[forward])
+		w.t.Fatalf("forward %d of part %s cancelled: allowed %v, in flight %v, want both true", forward, part, w.config.MayCancel, !p.done[forward])
 	}
 	p.done[forward] = true // it may have run
 	took := w.now - p.sent[forward]
@@ -289,11 +300,11 @@
 	w.closed++
 }
 
-func (w *simulation) SetTimer(after int64, whose TimerHandler) {
+func (w *simulation) SetTimer(after int64, h TimerHandler) {
 	if after <= 0 {
-		w.t.Fatalf("timer after %d ns", after)
+		w.t.Fatalf("timer set for %d ns, want a positive time", after)
 	}
-	w.after(after, func() { whose.HandleTimer(w.now) })
+	w.after(after, func() { h.HandleTimer(w.now) })
 }
 
 func (w *simulation) Subscribe() {
@@ -304,7 +315,7 @@
 
 func (w *simulation) Note(string) {}
 
-// plain gives settings without surprises: two cells, three searchers each, one tariff.
+// plainConfig returns a simple configuration, two cells and one tariff, after applying change.
 func plainConfig(change func(*Config)) Config {
 	c := Config{Mixers: 1, Cells: 2, Reach: 1, PerCall: 1, MaxForwards: 3, MayCopy: true, ColdFrom: 0.2,
 		ColdFor: 10000 * ms, FallMultiple: 2, FallFor: 1000 * ms, Tariffs: []Tariff{{Expected: 2000 * ms,
@@ -315,43 +326,45 @@
 	return c
 }
 
-// breakAll makes all boxes fail one way.
-func (w *simulation) setFaults(how int) {
-	for _, b := range w.searchers {
-		b.fault = how
+// setFaults gives all searchers the same fault.
+func (w *simulation) setFaults(fault int) {
+	for _, s := range w.searchers {
+		s.fault = fault
 	}
 }
 
-func entries(n, cells int) (rows []Entry) {
+// entries returns the list entries of n searchers, which belong to the cells in turn.
+func entries(n, cells int) (list []Entry) {
 	for i := range n {
-		rows = append(rows, Entry{Searcher: fmt.Sprint("box", i), Cell: i % cells})
+		list = append(list, Entry{Searcher: fmt.Sprint("box", i), Cell: i % cells})
 	}
-	return rows
+	return list
 }
 
-// start gives a world of n sound boxes with plain settings.
+// startSimulation returns a simulation of n healthy searchers with plainConfig.
 func startSimulation(t testing.TB, seed int64, n int, change func(*Config)) *simulation {
 	w := newSimulation(t, seed, plainConfig(change))
 	w.updateList(true, entries(n, w.config.Cells)...)
 	return w
 }
 
-func (w *simulation) callCounts() (c []int, sum int) {
+// callCounts returns the calls in flight at each searcher, and their sum.
+func (w *simulation) callCounts() (counts []int, sum int) {
 	for i := range len(w.searchers) {
-		c = append(c, w.mixer.searchers[fmt.Sprint("box", i)].callsOut)
-		sum += c[i]
+		counts = append(counts, w.mixer.searchers[fmt.Sprint("box", i)].callsOut)
+		sum += counts[i]
 	}
-	return c, sum
+	return counts, sum
 }
 
-// warmed gives a world of one cell whose mixer knows what forwards to its boxes take.
+// warmSimulation returns a simulation of one cell whose mixer has latency statistics.
 func warmSimulation(t *testing.T, seed int64, n int) *simulation {
 	w := startSimulation(t, seed, n, func(c *Config) { c.Cells = 1 })
 	w.warmUp(10)
 	return w
 }
 
-// warmUp serves lookups one by one, so that the mixer knows what forwards take.
+// warmUp serves lookups one by one, which gives the mixer latency statistics.
 func (w *simulation) warmUp(n int) {
 	for range n {
 		w.startLookup(0, 2, 0, 4000*ms, false)
@@ -359,7 +372,7 @@
 	}
 }
 
-// late takes 20 lookups one by one and counts those without an end after 400 ms.
+// countLate starts 20 lookups one by one and returns how many have not ended after 400 ms.
 func (w *simulation) countLate(parts int, pause int64) (n int) {
 	for range 20 {
 		l := w.startLookup(0, parts, 0, 4000*ms, false)
