--- a/internal/leases/lease.go
+++ b/internal/leases/lease.go
@@ -1,6 +1,8 @@
-// Package leases decides who holds a duty and when its holder may act. Ownership is agreed on in the control state, under a fencing token. Here is
-// what agents and controllers make of it, by their own steady clocks: who should hold a duty (Owner), how long a confirmation lasts and how
-// long a successor waits (Lease), and what the head of the chain remembers of confirmations (Register). It has no I/O and no clock.
+// Package leases computes who may hold an exclusive task and when its holder may act. The holder of
+// each lease, with its fencing token, is agreed on in the replicated control state. This package covers
+// what agents and controllers derive from it by their own monotonic clocks: which member should hold a
+// lease (PreferredHolder), how long a renewal is valid and how long a successor waits (Lease), and the
+// renewals that the head of the chain remembers (RenewalTracker). It has no I/O and no clock.
 package leases
 
 import (
@@ -10,78 +12,85 @@
 	"nettlefold/internal/rendezvous"
 )
 
-// Owner tells which of the members should hold a duty. Whoever holds it keeps it for as long as it is a member, as each change of hands
-// stops the duty for a while; ranking decides only where nobody does. holder is empty where nobody ever held it.
-func PreferredHolder(key, holder string, members []string) string {
+// PreferredHolder returns the member that should hold the lease. The current holder keeps it for as long
+// as it is a member, because each handover suspends the task for a while; rendezvous hashing decides only
+// if there is no such holder. holder is empty if nobody has ever held the lease.
+func PreferredHolder(lease, holder string, members []string) string {
 	if holder != "" && slices.Contains(members, holder) {
 		return holder
 	}
-	return rendezvous.Owner(key, members)
+	return rendezvous.Owner(lease, members)
 }
 
-// Terms are the times of a lease.
+// Timing has the durations of a lease.
 type Timing struct {
-	// Act is how long the holder acts after it asked for a confirmation that it got.
+	// HoldFor is how long a renewal is valid, counted from when the holder requested it.
 	HoldFor time.Duration
-	// Flight is how long something that was sent under the lease may be on its way.
+	// MaxTransit is the longest time that an action taken under the lease is in transit.
 	MaxTransit time.Duration
-	// Apart is for how long acts of two holders have to stay apart beyond that. It is 0 where whoever is acted on refuses lower tokens.
+	// MinSeparation is the time that has to pass between the arrival of the last action of one holder and
+	// that of the first action of the next one. It is 0 if the receiver rejects lower fencing tokens.
 	MinSeparation time.Duration
 }
 
-// Takeover is how long a successor waits after the former holder asked for its last confirmation: the former holder acts for Act at most, what
-// it sent then is on its way for Flight at most, and Apart has to pass after that.
+// TakeoverDelay returns how long a successor waits, counted from when its predecessor requested its last
+// renewal: the predecessor acts for at most HoldFor, its last action is in transit for at most
+// MaxTransit, and MinSeparation has to pass after that.
 func (t Timing) TakeoverDelay() time.Duration { return t.HoldFor + t.MaxTransit + t.MinSeparation }
 
-// Confirmation is a reply of the control state to the holder of a duty.
+// Renewal is a confirmation by the control state that a holder has the lease.
 type Renewal struct {
-	// Asked and Now are when it was asked for and when it arrived, by the holder's clock.
+	// RequestedAt and ReceivedAt are the times of the request and of its reply, by the holder's clock.
 	RequestedAt, ReceivedAt time.Duration
-	// Fence is the token under which the duty is held.
+	// FencingToken is the token under which the lease is held.
 	FencingToken uint64
-	// Inherited tells whether somebody else may have held the duty before.
+	// HadPredecessor reports whether somebody else may have held the lease before.
 	HadPredecessor bool
-	// Quiet is how long before the reply the former holder had asked for its last confirmation, at the least; 0 if that is not known.
+	// PredecessorIdle is a lower bound on the time between the predecessor's last renewal request and
+	// the reply. It is 0 if unknown.
 	PredecessorIdle time.Duration
 }
 
-// Lease is one holder's.
+// Lease is a lease as seen by one holder.
 type Lease struct {
 	timing       Timing
 	fencingToken uint64
 	held         bool
-	validFrom    time.Duration // when it may act first
-	expiresAt    time.Duration // when it may act no more without another confirmation
+	validFrom    time.Duration
+	expiresAt    time.Duration // unless it is renewed
 }
 
-// New makes a lease that is not held yet. fence is the token under which the duty was last seen.
-func New(terms Timing, fence uint64) *Lease { return &Lease{timing: terms, fencingToken: fence} }
+// New returns a lease that is not held yet. fencingToken is the last known token of the lease.
+func New(timing Timing, fencingToken uint64) *Lease {
+	return &Lease{timing: timing, fencingToken: fencingToken}
+}
 
-// Fence is the token: once held, the one to act under.
+// FencingToken returns the token to act under once the lease is held, and the last known one before.
 func (l *Lease) FencingToken() uint64 { return l.fencingToken }
 
-// Confirmed takes a confirmation. One under another token than the first is none of this lease.
-func (l *Lease) Renew(c Renewal) bool {
-	if l.held && c.FencingToken != l.fencingToken {
+// Renew applies a renewal and reports whether it was one of this lease. A renewal under another token
+// than the first one is ignored.
+func (l *Lease) Renew(r Renewal) bool {
+	if l.held && r.FencingToken != l.fencingToken {
 		return false
 	}
 	if !l.held {
-		l.held, l.fencingToken, l.validFrom = true, c.FencingToken, c.ReceivedAt
-		if c.HadPredecessor {
-			l.validFrom = max(c.ReceivedAt, c.ReceivedAt-c.PredecessorIdle+l.timing.TakeoverDelay())
+		l.held, l.fencingToken, l.validFrom = true, r.FencingToken, r.ReceivedAt
+		if r.HadPredecessor {
+			l.validFrom = max(r.ReceivedAt, r.ReceivedAt-r.PredecessorIdle+l.timing.TakeoverDelay())
 		}
 	}
-	l.expiresAt = max(l.expiresAt, c.RequestedAt+l.timing.HoldFor)
+	l.expiresAt = max(l.expiresAt, r.RequestedAt+l.timing.HoldFor)
 	return true
 }
 
-// MayAct tells whether something may be done under the lease now.
+// Valid reports whether the holder may act under the lease now.
 func (l *Lease) Valid(now time.Duration) bool {
 	return l.held && now >= l.validFrom && now < l.expiresAt
 }
 
-// From is when it may act first.
+// ValidFrom returns the earliest time at which the holder may act.
 func (l *Lease) ValidFrom() time.Duration { return l.validFrom }
 
-// Over tells whether the last confirmation has run out.
+// Expired reports whether the last renewal has run out.
 func (l *Lease) Expired(now time.Duration) bool { return now >= l.expiresAt }
--- a/internal/leases/lease_test.go
+++ b/internal/leases/lease_test.go
@@ -14,176 +14,187 @@
 	"nettlefold/internal/simtest"
 )
 
-// Holders, a control state that gives the duty to whoever asks at the head in force, and a network that holds confirmations and acts up. Orders
-// of a few steps are tried. Where engines check no tokens, no two acts of different holders arrive within Apart of each other; where they do, no
-// act arrives after one under a higher token.
+// The model has lease holders, a control state in which the head in force grants the lease to whoever
+// requests it, and a network that delays renewals and actions. The tests try many interleavings of a few
+// steps. Where the receiver of actions doesn't check fencing tokens, actions of different holders must
+// arrive at least MinSeparation apart; where it does, no action may arrive after one under a higher token.
 
 const (
-	tick    = time.Second
-	lastAt  = 12 * tick
-	never   = -lastAt
-	holders = 3
-	heads   = 2
+	tick      = time.Second
+	endOfTime = 12 * tick
+	never     = -endOfTime
+	holders   = 3
+	heads     = 2
 )
 
-type act struct {
-	holder int
-	fence  uint64
-	at     time.Duration
+// action is sent by a holder under its lease.
+type action struct {
+	holder       int
+	fencingToken uint64
+	sentAt       time.Duration
 }
 
-type confirmation struct {
-	holder int
-	asked  time.Duration
-	fence  uint64
-	quiet  time.Duration
+// renewalReply is a reply of the control state that is still in transit.
+type renewalReply struct {
+	holder          int
+	requestedAt     time.Duration
+	fencingToken    uint64
+	predecessorIdle time.Duration
 }
 
+// world is a state of the model.
 type world struct {
-	terms    Timing
-	now      time.Duration
-	fence    uint64 // of the control state
-	owner    int
-	epoch    uint64
-	head     int
-	register [heads]RenewalTracker
-	leases   [holders]Lease
-	replies  []confirmation
-	flights  []act                  // sent, not arrived
-	latest   [holders]time.Duration // when the newest act of each holder arrived, never if none did
-	highest  uint64                 // token of the acts that arrived
-	broken   error
-	among    int // holders that take part
-	acts     int
-	takeover int
-	views    int // changes of the head that may come yet
+	timing        Timing
+	now           time.Duration
+	fencingToken  uint64 // of the control state
+	holder        int    // in the control state, -1 if there is none
+	epoch         uint64
+	head          int
+	trackers      [heads]RenewalTracker
+	leases        [holders]Lease
+	replies       []renewalReply
+	actions       []action               // in transit
+	lastArrivals  [holders]time.Duration // of each holder's actions, never if none has arrived
+	highestToken  uint64                 // of the actions that have arrived
+	violation     error
+	activeHolders int
+	actionsLeft   int
+	takeoversLeft int
+	headsLeft     int // changes of the head that are still possible
 
-	hasty     bool // planted: a successor does not wait
-	sleepy    bool // planted: a confirmation counts from when it arrives
-	forgetful bool // planted: a head goes on with what it remembers of an older epoch
-	late      bool // planted: a successor counts from its own claim's way back, not from when the head took it
+	// Faults that the tests inject.
+	noTakeoverDelay   bool // a successor doesn't wait
+	countFromReceipt  bool // a renewal is valid from when its reply arrives
+	staleTracker      bool // a head keeps the renewals of an older epoch
+	idleWithRoundTrip bool // a successor adds its own round trip to the predecessor's idle time
 }
 
-// newWorld is one of so many holders, in which the head may change so many times.
-func newWorld(among, views int, fenced bool) *world {
+// newWorld returns a world with the given number of holders and possible changes of the head. fenced
+// states that the receiver of actions checks fencing tokens.
+func newWorld(activeHolders, headChanges int, fenced bool) *world {
 	w := &world{
-		terms: Timing{HoldFor: tick, MinSeparation: 2 * tick, MaxTransit: tick},
-		owner: -1, epoch: 1, among: among, acts: 3, takeover: among, views: views,
+		timing: Timing{HoldFor: tick, MinSeparation: 2 * tick, MaxTransit: tick},
+		holder: -1, epoch: 1, activeHolders: activeHolders, actionsLeft: 3, takeoversLeft: activeHolders, headsLeft: headChanges,
 	}
 	if fenced {
-		w.terms.MinSeparation = 0
+		w.timing.MinSeparation = 0
 	}
 	for h := range holders {
-		w.leases[h], w.latest[h] = *New(w.terms, 0), never
+		w.leases[h], w.lastArrivals[h] = *New(w.timing, 0), never
 	}
-	w.register[0].SetEpoch(0, 1)
+	w.trackers[0].SetEpoch(0, 1)
 	return w
 }
 
 func (w *world) clone() *world {
 	c := *w
 	c.replies = slices.Clone(w.replies)
-	c.flights = slices.Clone(w.flights)
-	for i := range c.register {
-		c.register[i].renewals = maps.Clone(w.register[i].renewals)
+	c.actions = slices.Clone(w.actions)
+	for i := range c.trackers {
+		c.trackers[i].renewals = maps.Clone(w.trackers[i].renewals)
 	}
 	return &c
 }
 
+// step is an event that may come next.
 type step struct {
 	name string
 	do   func(w *world)
 }
 
 func (w *world) steps() (steps []step) {
-	if w.now < lastAt && !w.overdue() {
-		steps = append(steps, step{"a tick", func(w *world) { w.now += tick }})
+	if w.now < endOfTime && !w.deliveryDue() {
+		steps = append(steps, step{"tick", func(w *world) { w.now += tick }})
 	}
-	if w.views > 0 {
-		steps = append(steps, step{"another head", (*world).changeHead})
+	if w.headsLeft > 0 {
+		steps = append(steps, step{"change head", (*world).changeHead})
 	}
-	for h := range w.among {
-		if w.owner == h || w.takeover > 0 {
-			steps = append(steps, step{fmt.Sprint("asks ", h), func(w *world) { w.ask(h) }})
+	for h := range w.activeHolders {
+		if w.holder == h || w.takeoversLeft > 0 {
+			steps = append(steps, step{fmt.Sprint("request renewal by ", h), func(w *world) { w.requestRenewal(h) }})
 		}
-		if w.acts > 0 && w.leases[h].Valid(w.now) {
-			steps = append(steps, step{fmt.Sprint("acts ", h), func(w *world) { w.send(h) }})
+		if w.actionsLeft > 0 && w.leases[h].Valid(w.now) {
+			steps = append(steps, step{fmt.Sprint("send action of ", h), func(w *world) { w.sendAction(h) }})
 		}
 	}
 	for i, r := range w.replies {
-		steps = append(steps, step{fmt.Sprint("confirmed ", r.holder), func(w *world) { w.confirm(i) }})
+		steps = append(steps, step{fmt.Sprint("deliver renewal to ", r.holder), func(w *world) { w.deliverRenewal(i) }})
 	}
-	for i, f := range w.flights {
-		steps = append(steps, step{fmt.Sprint("arrives of ", f.holder), func(w *world) {
-			w.flights = append(w.flights[:i:i], w.flights[i+1:]...)
-			w.arrive(f)
+	for i, a := range w.actions {
+		steps = append(steps, step{fmt.Sprint("deliver action of ", a.holder), func(w *world) {
+			w.actions = append(w.actions[:i:i], w.actions[i+1:]...)
+			w.deliverAction(a)
 		}})
 	}
 	return steps
 }
 
 func (w *world) changeHead() {
-	w.views--
+	w.headsLeft--
 	w.epoch++
 	w.head = (w.head + 1) % heads
-	if w.forgetful && w.register[w.head].renewals != nil {
-		w.register[w.head].epoch = w.epoch
+	if w.staleTracker && w.trackers[w.head].renewals != nil {
+		w.trackers[w.head].epoch = w.epoch
 	}
-	w.register[w.head].SetEpoch(w.now, w.epoch)
+	w.trackers[w.head].SetEpoch(w.now, w.epoch)
 }
 
-func (w *world) send(h int) {
-	w.acts--
-	w.flights = append(w.flights, act{h, w.leases[h].FencingToken(), w.now})
+func (w *world) sendAction(h int) {
+	w.actionsLeft--
+	w.actions = append(w.actions, action{h, w.leases[h].FencingToken(), w.now})
 }
 
-// arrive books an act's arrival. Of the other holders' only the newest matters: earlier ones are further apart.
-func (w *world) arrive(a act) {
-	for other, at := range w.latest {
-		if apart := w.now - at; other != a.holder && w.broken == nil && apart < w.terms.MinSeparation {
-			w.broken = fmt.Errorf("acts of two holders arrive %v apart", apart)
+// deliverAction checks and records the arrival of an action. Only the last arrival of each other holder
+// matters, because earlier ones are further apart.
+func (w *world) deliverAction(a action) {
+	for other, at := range w.lastArrivals {
+		if separation := w.now - at; other != a.holder && w.violation == nil && separation < w.timing.MinSeparation {
+			w.violation = fmt.Errorf("actions of holders %d and %d arrived %v apart, want at least %v", other, a.holder, separation, w.timing.MinSeparation)
 		}
 	}
-	if a.fence < w.highest && w.broken == nil {
-		w.broken = fmt.Errorf("an act under token %d arrives after one under %d", a.fence, w.highest)
+	if a.fencingToken < w.highestToken && w.violation == nil {
+		w.violation = fmt.Errorf("action with fencing token %d arrived after one with token %d", a.fencingToken, w.highestToken)
 	}
-	w.latest[a.holder] = w.now
-	w.highest = max(w.highest, a.fence)
+	w.lastArrivals[a.holder] = w.now
+	w.highestToken = max(w.highestToken, a.fencingToken)
 }
 
-// overdue tells whether something sent has to arrive before time goes on.
-func (w *world) overdue() bool {
-	for _, f := range w.flights {
-		if w.now-f.at >= w.terms.MaxTransit {
+// deliveryDue reports whether an action has to arrive before time advances.
+func (w *world) deliveryDue() bool {
+	for _, a := range w.actions {
+		if w.now-a.sentAt >= w.timing.MaxTransit {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) ask(h int) {
-	if w.owner != h {
-		w.owner = h
-		w.fence++
-		w.takeover--
+func (w *world) requestRenewal(h int) {
+	if w.holder != h {
+		w.holder = h
+		w.fencingToken++
+		w.takeoversLeft--
 	}
-	quiet := w.register[w.head].RecordRenewal(w.now, w.epoch, "orders", fmt.Sprint(h))
+	idle := w.trackers[w.head].RecordRenewal(w.now, w.epoch, "orders", fmt.Sprint(h))
 	if len(w.replies) < 2 {
-		w.replies = append(w.replies, confirmation{h, w.now, w.fence, quiet})
+		w.replies = append(w.replies, renewalReply{h, w.now, w.fencingToken, idle})
 	}
 }
 
-func (w *world) confirm(i int) {
-	r := w.replies[i]
+func (w *world) deliverRenewal(i int) {
+	reply := w.replies[i]
 	w.replies = append(w.replies[:i:i], w.replies[i+1:]...)
-	c := Renewal{RequestedAt: r.asked, ReceivedAt: w.now, FencingToken: r.fence, HadPredecessor: r.fence > 1 && !w.hasty, PredecessorIdle: r.quiet}
-	if w.sleepy {
-		c.RequestedAt = w.now
+	r := Renewal{
+		RequestedAt: reply.requestedAt, ReceivedAt: w.now, FencingToken: reply.fencingToken,
+		HadPredecessor: reply.fencingToken > 1 && !w.noTakeoverDelay, PredecessorIdle: reply.predecessorIdle,
 	}
-	if w.late {
-		c.PredecessorIdle += w.now - r.asked + 2*tick
+	if w.countFromReceipt {
+		r.RequestedAt = w.now
 	}
-	w.leases[r.holder].Renew(c)
+	if w.idleWithRoundTrip {
+		r.PredecessorIdle += w.now - reply.requestedAt + 2*tick
+	}
+	w.leases[reply.holder].Renew(r)
 }
 
 func (w *world) Choices() int           { return len(w.steps()) }
@@ -195,24 +206,27 @@
 	return next
 }
 
-// Fingerprint leaves out in which order messages were sent: any of them may arrive next.
+// Fingerprint ignores the order in which messages were sent, because any of them may arrive next.
 func (w *world) Fingerprint() string {
 	sorted := w.clone()
-	slices.SortFunc(sorted.replies, func(a, b confirmation) int {
-		return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.asked, b.asked), cmp.Compare(a.fence, b.fence), cmp.Compare(a.quiet, b.quiet))
+	slices.SortFunc(sorted.replies, func(a, b renewalReply) int {
+		return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.requestedAt, b.requestedAt), cmp.Compare(a.fencingToken, b.fencingToken), cmp.Compare(a.predecessorIdle, b.predecessorIdle))
+	})
+	slices.SortFunc(sorted.actions, func(a, b action) int {
+		return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.sentAt, b.sentAt))
 	})
-	slices.SortFunc(sorted.flights, func(a, b act) int { return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.at, b.at)) })
 	return fmt.Sprint(*sorted)
 }
 
-func (w *world) Check() error { return w.broken }
+func (w *world) Check() error { return w.violation }
 
-// mostStates bounds the search in CI; go test ./internal/leases -run OrdersOf -timeout 0 -states 3000000 has that of two holders whole.
-const mostStates = 60000
+// maxStates bounds the search in CI. For an exhaustive search with two holders, run
+// go test ./internal/leases -run Interleavings -timeout 0 -states 3000000.
+const maxStates = 60000
 
-var statesFlag = flag.Int("states", mostStates, "states that a search through orders may see")
+var statesFlag = flag.Int("states", maxStates, "maximum number of states that a search visits")
 
-func TestOrdersOfTwoHolders(t *testing.T) {
+func TestInterleavingsOfTwoHolders(t *testing.T) {
 	for _, fenced := range []bool{false, true} {
 		result := simtest.Search(newWorld(2, 0, fenced), *statesFlag)
 		require.NoError(t, result.Broken, result.String())
@@ -222,8 +236,9 @@
 	}
 }
 
-// TestOrdersOfThreeHoldersAndTwoHeads: the duty changes hands more than once, and whoever remembers the confirmations is replaced.
-func TestOrdersOfThreeHoldersAndTwoHeads(t *testing.T) {
+// TestInterleavingsOfThreeHoldersAndTwoHeads covers repeated handovers, and changes of the head that
+// tracks the renewals.
+func TestInterleavingsOfThreeHoldersAndTwoHeads(t *testing.T) {
 	for _, fenced := range []bool{false, true} {
 		result := simtest.Search(newWorld(3, 2, fenced), *statesFlag)
 		require.NoError(t, result.Broken, result.String())
@@ -233,30 +248,33 @@
 	}
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
-	plants := map[string]func(w *world){
-		"hasty":     func(w *world) { w.hasty = true },
-		"sleepy":    func(w *world) { w.sleepy = true },
-		"forgetful": func(w *world) { w.forgetful = true },
-		"late":      func(w *world) { w.late = true },
+// TestInjectedFaultsAreDetected checks that the model finds each of the injected faults.
+func TestInjectedFaultsAreDetected(t *testing.T) {
+	faults := map[string]func(w *world){
+		"no takeover delay":    func(w *world) { w.noTakeoverDelay = true },
+		"count from receipt":   func(w *world) { w.countFromReceipt = true },
+		"stale tracker":        func(w *world) { w.staleTracker = true },
+		"idle with round trip": func(w *world) { w.idleWithRoundTrip = true },
 	}
-	for name, plant := range plants {
+	for name, inject := range faults {
 		for _, fenced := range []bool{false, true} {
 			w := newWorld(3, 2, fenced)
-			plant(w)
-			require.Error(t, simtest.Walk(w, 60000, 80, 6).Broken, "%s, fenced %v", name, fenced)
+			inject(w)
+			require.Error(t, simtest.Walk(w, 60000, 80, 6).Broken, "fault %q not detected, fenced %v", name, fenced)
 		}
 	}
 }
 
-// TestASuccessorWaitsForWhatHasNotPassed: no longer than the rules ask, counted from the former holder's last confirmation.
-func TestASuccessorWaitsForWhatHasNotPassed(t *testing.T) {
+// TestTakeoverDelay checks that a successor waits no longer than the rules require, counted from the
+// predecessor's last renewal.
+func TestTakeoverDelay(t *testing.T) {
 	unfenced := Timing{HoldFor: 900 * time.Millisecond, MaxTransit: 800 * time.Millisecond, MinSeparation: 3 * time.Second}
 	fenced := Timing{HoldFor: 900 * time.Millisecond, MaxTransit: 800 * time.Millisecond}
 	for _, c := range []struct {
-		terms       Timing
-		inherited   bool
-		quiet, from time.Duration
+		timing          Timing
+		hadPredecessor  bool
+		predecessorIdle time.Duration
+		validFrom       time.Duration
 	}{
 		{unfenced, true, 0, 14700 * time.Millisecond},
 		{unfenced, true, 1500 * time.Millisecond, 13200 * time.Millisecond},
@@ -265,19 +283,23 @@
 		{fenced, true, 1500 * time.Millisecond, 10200 * time.Millisecond},
 		{unfenced, false, 0, 10 * time.Second},
 	} {
-		l := New(c.terms, 6)
-		require.True(t, l.Renew(Renewal{RequestedAt: 9900 * time.Millisecond, ReceivedAt: 10 * time.Second, FencingToken: 7, HadPredecessor: c.inherited, PredecessorIdle: c.quiet}))
-		require.Equal(t, c.from, l.ValidFrom())
+		l := New(c.timing, 6)
+		require.True(t, l.Renew(Renewal{
+			RequestedAt: 9900 * time.Millisecond, ReceivedAt: 10 * time.Second, FencingToken: 7,
+			HadPredecessor: c.hadPredecessor, PredecessorIdle: c.predecessorIdle,
+		}))
+		require.Equal(t, c.validFrom, l.ValidFrom(), "timing %+v, predecessor %v, idle %v", c.timing, c.hadPredecessor, c.predecessorIdle)
 	}
 }
 
-// TestTheRegisterKnowsNothingOfOtherEpochs: what another head confirmed before is taken for as late as it can have been.
-func TestTheRegisterKnowsNothingOfOtherEpochs(t *testing.T) {
+// TestRenewalTracker checks that renewals of other epochs are not used: whatever another head confirmed
+// is taken to be as late as possible.
+func TestRenewalTracker(t *testing.T) {
 	r := new(RenewalTracker)
 	r.SetEpoch(10, 3)
 	require.EqualValues(t, 5, r.RecordRenewal(15, 3, "orders", "a"))
-	require.EqualValues(t, 9, r.RecordRenewal(19, 3, "orders", "a"), "the same holder again: nobody else asked in this epoch")
+	require.EqualValues(t, 9, r.RecordRenewal(19, 3, "orders", "a"), "same holder again, no other request in this epoch")
 	require.EqualValues(t, 2, r.RecordRenewal(21, 3, "orders", "b"))
-	require.EqualValues(t, 6, r.RecordRenewal(25, 3, "orders", "b"), "a claim that is repeated, as its reply was lost")
-	require.EqualValues(t, 0, r.RecordRenewal(30, 4, "orders", "c"), "another epoch that was not heard of before")
+	require.EqualValues(t, 6, r.RecordRenewal(25, 3, "orders", "b"), "request repeated because its reply was lost")
+	require.EqualValues(t, 0, r.RecordRenewal(30, 4, "orders", "c"), "epoch not seen before")
 }
--- a/internal/leases/renewals.go
+++ b/internal/leases/renewals.go
@@ -2,42 +2,44 @@
 
 import "time"
 
-// Register is what the head of a chain remembers of the confirmations that holders asked for, so that a successor need not wait anew for
-// what has passed already. It is in memory and of one epoch: no other head confirms in an epoch, and before the head first looked at the
-// epoch anything may have been confirmed elsewhere.
+// RenewalTracker has the lease renewals that the head of a chain accepted, so that a successor doesn't
+// wait again for time that has already passed. It is kept in memory and covers one epoch: no other head
+// confirms leases in an epoch, but before this head first saw the epoch another one may have confirmed
+// any lease.
 type RenewalTracker struct {
 	epoch       uint64
 	epochSeenAt time.Duration
-	renewals    map[string]renewalRecord
+	renewals    map[string]renewalRecord // by lease
 }
 
-// holding is who asked last for a duty, when, and when whoever held it before did.
+// renewalRecord has the last renewals of a lease by its current holder and by the previous one.
 type renewalRecord struct {
 	holder               string
 	renewedAt            time.Duration
-	predecessorRenewedAt time.Duration
+	predecessorRenewedAt time.Duration // an upper bound
 }
 
-// InEpoch takes the epoch that is in force at a time. Of another one nothing is known from before that time.
-func (r *RenewalTracker) SetEpoch(now time.Duration, epoch uint64) {
-	if r.renewals != nil && epoch == r.epoch {
+// SetEpoch sets the epoch in force at the given time. A change of epoch discards all renewals: whatever
+// another head confirmed is taken to be as late as that time.
+func (t *RenewalTracker) SetEpoch(now time.Duration, epoch uint64) {
+	if t.renewals != nil && epoch == t.epoch {
 		return
 	}
-	r.epoch, r.epochSeenAt, r.renewals = epoch, now, map[string]renewalRecord{}
+	t.epoch, t.epochSeenAt, t.renewals = epoch, now, map[string]renewalRecord{}
 }
 
-// Asked notes that a holder's claim to a duty was accepted at a time, in an epoch, and gives how long ago the former holder's last one was
-// at the least. Claims that are refused are not to be noted.
-func (r *RenewalTracker) RecordRenewal(now time.Duration, epoch uint64, duty, holder string) (quiet time.Duration) {
-	r.SetEpoch(now, epoch)
-	h, known := r.renewals[duty]
+// RecordRenewal records that a holder's request for a lease was accepted, and returns a lower bound on
+// the time since the previous holder's last one. Rejected requests must not be recorded.
+func (t *RenewalTracker) RecordRenewal(now time.Duration, epoch uint64, lease, holder string) (predecessorIdle time.Duration) {
+	t.SetEpoch(now, epoch)
+	r, known := t.renewals[lease]
 	switch {
 	case !known:
-		h = renewalRecord{holder: holder, predecessorRenewedAt: r.epochSeenAt}
-	case h.holder != holder:
-		h = renewalRecord{holder: holder, predecessorRenewedAt: h.renewedAt}
+		r = renewalRecord{holder: holder, predecessorRenewedAt: t.epochSeenAt}
+	case r.holder != holder:
+		r = renewalRecord{holder: holder, predecessorRenewedAt: r.renewedAt}
 	}
-	h.renewedAt = now
-	r.renewals[duty] = h
-	return now - h.predecessorRenewedAt
+	r.renewedAt = now
+	t.renewals[lease] = r
+	return now - r.predecessorRenewedAt
 }
