--- a/internal/rendezvous/owners.go
+++ b/internal/rendezvous/owners.go
@@ -1,42 +1,44 @@
 package rendezvous
 
-// Owners keeps who owns each of many keys while candidates come and go. It gives what Owner does; a candidate that comes costs one weight a
-// key, one that goes the weights of the keys that it owned, where Owner costs a weight for each candidate and key every time.
+// OwnerCache caches the owners of many keys while candidates join and leave. It returns the same owners as
+// Owner, which computes the weights of all candidates on each call. A candidate that joins costs one weight
+// per key; one that leaves costs the weights of all candidates for the keys that it owned. It isn't safe for
+// concurrent use.
 type OwnerCache struct {
 	candidates []string
-	present    map[string]bool
+	present    map[string]bool   // the candidates as a set
 	owners     map[string]ranked // by key
 }
 
-// NewOwners makes a table without candidates.
+// NewOwnerCache returns a cache without candidates.
 func NewOwnerCache() *OwnerCache {
 	return &OwnerCache{present: map[string]bool{}, owners: map[string]ranked{}}
 }
 
-// SetCandidates takes who there is now.
+// SetCandidates replaces the candidates. It keeps the slice.
 func (o *OwnerCache) SetCandidates(candidates []string) {
-	now := make(map[string]bool, len(candidates))
-	var came []string
+	present := make(map[string]bool, len(candidates))
+	var joined []string
 	for _, c := range candidates {
-		if !o.present[c] && !now[c] {
-			came = append(came, c)
+		if !o.present[c] && !present[c] {
+			joined = append(joined, c)
 		}
-		now[c] = true
+		present[c] = true
 	}
-	gone := false
+	left := false
 	for c := range o.present {
-		gone = gone || !now[c]
+		left = left || !present[c]
 	}
-	o.candidates, o.present = candidates, now
-	if gone {
+	o.candidates, o.present = candidates, present
+	if left {
 		for key, owner := range o.owners {
-			if !now[owner.candidate] {
-				delete(o.owners, key) // found anew when it is asked for
+			if !present[owner.candidate] {
+				delete(o.owners, key) // computed again by Owner
 			}
 		}
 	}
 	for key, owner := range o.owners {
-		for _, c := range came {
+		for _, c := range joined {
 			if r := (ranked{c, Weight(key, c)}); r.outranks(owner) {
 				owner = r
 			}
@@ -45,7 +47,7 @@
 	}
 }
 
-// Owner is the candidate with the highest weight, "" where there is none.
+// Owner returns the candidate with the highest weight, "" if there are no candidates.
 func (o *OwnerCache) Owner(key string) string {
 	if owner, known := o.owners[key]; known {
 		return owner.candidate
@@ -63,7 +65,7 @@
 	return best.candidate
 }
 
-// Keep forgets the keys that are asked for no more.
+// Retain drops all keys for which wanted returns false.
 func (o *OwnerCache) Retain(wanted func(key string) bool) {
 	for key := range o.owners {
 		if !wanted(key) {
@@ -72,5 +74,5 @@
 	}
 }
 
-// Len is how many keys are kept.
+// Len returns the number of cached keys.
 func (o *OwnerCache) Len() int { return len(o.owners) }
--- a/internal/rendezvous/owners_test.go
+++ b/internal/rendezvous/owners_test.go
@@ -8,31 +8,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOwnersAreThoseOfOwner: through comings and goings of candidates and keys, one, many, all at once, and of none at all.
-func TestOwnersAreThoseOfOwner(t *testing.T) {
+// TestOwnerCache compares the cache with Owner while random candidates, sometimes all of them, join and
+// leave and keys are dropped.
+func TestOwnerCache(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		all, owners := candidates(40), NewOwnerCache()
+		all, cache := candidates(40), NewOwnerCache()
 		for range 60 {
-			var now []string
+			var present []string
 			share := random.Float64()
 			for _, c := range all {
 				if random.Float64() < share {
-					now = append(now, c)
+					present = append(present, c)
 				}
 			}
 			if random.IntN(10) == 0 {
-				now = nil
+				present = nil
 			}
-			random.Shuffle(len(now), func(i, j int) { now[i], now[j] = now[j], now[i] })
-			owners.SetCandidates(now)
+			random.Shuffle(len(present), func(i, j int) { present[i], present[j] = present[j], present[i] })
+			cache.SetCandidates(present)
 			for range 100 {
 				key := fmt.Sprint(random.IntN(200))
-				require.Equal(t, Owner(key, now), owners.Owner(key))
+				require.Equal(t, Owner(key, present), cache.Owner(key), "seed %d key %s", seed, key)
 			}
 			if random.IntN(5) == 0 {
-				owners.Retain(func(key string) bool { return len(key) < 3 })
-				require.LessOrEqual(t, owners.Len(), 100)
+				cache.Retain(func(key string) bool { return len(key) < 3 })
+				require.LessOrEqual(t, cache.Len(), 100)
 			}
 		}
 	}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous ranks candidates for a key by highest random weight: every process that knows the same candidates picks the
-// same ones, and a candidate that comes or goes moves only the keys it wins or held.
+// Package rendezvous assigns keys to candidates by rendezvous hashing (highest random weight). All processes
+// that know the same candidates choose the same ones. A candidate that joins or leaves moves only the keys
+// that it owns.
 package rendezvous
 
 import (
@@ -8,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight is the candidate's weight for a key.
+// Weight returns the weight of a candidate for a key.
 func Weight(key, candidate string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -18,28 +19,31 @@
 	return d.Sum64()
 }
 
-// Owner is the candidate with the highest weight, "" where there is none.
+// Owner returns the candidate with the highest weight, "" if there are no candidates. Of two candidates
+// with the same weight the one with the lower name wins.
 func Owner(key string, candidates []string) string {
-	best, most := "", uint64(0)
+	best, bestWeight := "", uint64(0)
 	for _, c := range candidates {
-		if w := Weight(key, c); best == "" || w > most || w == most && c < best {
-			best, most = c, w
+		if w := Weight(key, c); best == "" || w > bestWeight || w == bestWeight && c < best {
+			best, bestWeight = c, w
 		}
 	}
 	return best
 }
 
-// ranked is a candidate and its weight.
+// ranked is a candidate with its weight for a key.
 type ranked struct {
 	candidate string
 	weight    uint64
 }
 
-func (r ranked) outranks(o ranked) bool {
-	return r.weight > o.weight || r.weight == o.weight && r.candidate < o.candidate
+// outranks reports whether r comes before other.
+func (r ranked) outranks(other ranked) bool {
+	return r.weight > other.weight || r.weight == other.weight && r.candidate < other.candidate
 }
 
-// Top gives the n candidates of the highest weights, highest first.
+// Top returns the n candidates with the highest weights, highest first. It returns all of them if there
+// are fewer.
 func Top(key string, candidates []string, n int) []string {
 	n = min(n, len(candidates))
 	if n <= 0 {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// candidates returns n candidates, named c0, c1 and so on.
 func candidates(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprint("c", i))
@@ -15,7 +16,7 @@
 	return all
 }
 
-func TestTopIsRankedByWeight(t *testing.T) {
+func TestTop(t *testing.T) {
 	all := candidates(50)
 	want := slices.Clone(all)
 	slices.SortFunc(want, func(a, b string) int {
@@ -25,27 +26,27 @@
 		return 1
 	})
 	for n := range 52 {
-		require.Equal(t, want[:min(n, 50)], append([]string{}, Top("k", all, n)...))
+		require.Equal(t, want[:min(n, 50)], append([]string{}, Top("k", all, n)...), "top %d of 50 candidates", n)
 	}
 	require.Equal(t, want[0], Owner("k", all))
 	require.Equal(t, "", Owner("k", nil))
 }
 
-func TestAllPickTheSameWhateverTheOrder(t *testing.T) {
+func TestTopIgnoresOrderOfCandidates(t *testing.T) {
 	all := candidates(20)
-	back := slices.Clone(all)
-	slices.Reverse(back)
-	require.Equal(t, Top("k", all, 5), Top("k", back, 5))
+	reversed := slices.Clone(all)
+	slices.Reverse(reversed)
+	require.Equal(t, Top("k", all, 5), Top("k", reversed, 5))
 }
 
-// TestOneThatGoesMovesOnlyItsKeys holds the hash to what it is used for.
-func TestOneThatGoesMovesOnlyItsKeys(t *testing.T) {
+// TestOwnerAfterRemoval checks that the removal of a candidate moves only the keys that it owned.
+func TestOwnerAfterRemoval(t *testing.T) {
 	all := candidates(12)
-	without := slices.Delete(slices.Clone(all), 3, 4)
+	remaining := slices.Delete(slices.Clone(all), 3, 4)
 	for k := range 500 {
 		key := fmt.Sprint(k)
 		if owner := Owner(key, all); owner != "c3" {
-			require.Equal(t, owner, Owner(key, without))
+			require.Equal(t, owner, Owner(key, remaining), "key %s", key)
 		}
 	}
 }
--- a/internal/superseded/superseded.go
+++ b/internal/superseded/superseded.go
@@ -1,6 +1,8 @@
-// Package superseded knows, for the versions of one model's weights, since when each has been superseded at the earliest. A request may
-// begin on a version for a limited time after the first newer one was acknowledged; a third one that is named gives the first no more
-// time. It has no clock: times are by the steady clock of whoever keeps them, and go from one machine to another as ages.
+// Package superseded tracks, for the weight versions of one model, the earliest time at which each of them
+// may have been superseded. A request may start on a version for a limited time after the first newer
+// version was acknowledged; announcing a third one doesn't extend the time of the first. The package has
+// no clock: times are by the monotonic clock of the process that keeps them, and are sent to other
+// machines as ages.
 package superseded
 
 import (
@@ -9,78 +11,83 @@
 	"time"
 )
 
-// Always is the time of what was superseded before anybody here can tell.
+// DistantPast is the time of what happened before anything known here.
 const DistantPast = time.Duration(math.MinInt64 / 2)
 
-// mostNamed bounds the versions that are told apart. Older ones are taken for superseded as early as the oldest of those that are left out.
+// maxVersions bounds the versions that are tracked separately. Older versions are taken to be superseded
+// as early as the oldest one that was dropped.
 const maxVersions = 16
 
-// Named is a version, and the time before which neither it nor a newer one was named: what is older may be superseded since then.
+// Announcement is a version and a lower bound on when it was announced: neither it nor a newer version was
+// announced before NotBefore, so older versions may have been superseded since then.
 type Announcement struct {
 	Version   int64
 	NotBefore time.Duration
 }
 
-// Times is the versions of a model that were named, both version and time rising. A time is a bound: the version may have been named
-// later. So of two bounds for the same the later one says more.
+// History has the announced versions of a model, in ascending order of both version and time. The times
+// are lower bounds, so of two bounds for the same version the later one is more precise.
 type History []Announcement
 
-// Of gives since when a version has been superseded at the earliest, and whether it has been at all.
-func (t History) Since(version int64) (since time.Duration, superseded bool) {
-	for _, n := range t {
-		if n.Version > version {
-			return n.NotBefore, true
+// Since returns the earliest time at which a version may have been superseded, and whether it was
+// superseded at all.
+func (h History) Since(version int64) (since time.Duration, superseded bool) {
+	for _, a := range h {
+		if a.Version > version {
+			return a.NotBefore, true
 		}
 	}
 	return 0, false
 }
 
-// Newest is the newest version that was named, 0 if none was.
-func (t History) Newest() int64 {
-	if len(t) == 0 {
+// Newest returns the newest announced version, 0 if there is none.
+func (h History) Newest() int64 {
+	if len(h) == 0 {
 		return 0
 	}
-	return t[len(t)-1].Version
+	return h[len(h)-1].Version
 }
 
-// With adds a version that was not named before a time. One that is no newer than the newest changes nothing.
-func (t History) With(version int64, since time.Duration) History {
-	if version <= t.Newest() {
-		return t
+// With returns the history with a version that was not announced before the given time. A version that
+// isn't above the newest one changes nothing.
+func (h History) With(version int64, notBefore time.Duration) History {
+	if version <= h.Newest() {
+		return h
 	}
-	if len(t) > 0 {
-		since = max(since, t[len(t)-1].NotBefore) // versions are named in their order
+	if len(h) > 0 {
+		notBefore = max(notBefore, h[len(h)-1].NotBefore) // versions are announced in ascending order
 	}
-	return append(slices.Clone(t), Announcement{version, since}).truncated()
+	return append(slices.Clone(h), Announcement{version, notBefore}).truncated()
 }
 
-// bounded leaves the oldest versions out when there are too many: the oldest one kept takes the time of the first that is left out, which
-// bounds it too.
-func (t History) truncated() History {
-	over := len(t) - maxVersions
-	if over <= 0 {
-		return t
+// truncated drops the oldest versions above maxVersions. The oldest remaining version takes the time of
+// the oldest dropped one, which is a lower bound for it too.
+func (h History) truncated() History {
+	excess := len(h) - maxVersions
+	if excess <= 0 {
+		return h
 	}
-	kept := slices.Clone(t[over:])
-	kept[0].NotBefore = t[0].NotBefore
+	kept := slices.Clone(h[excess:])
+	kept[0].NotBefore = h[0].NotBefore
 	return kept
 }
 
-// Heard adds what somebody else tells, by ages that were written no earlier than at a time, of a version that is wanted now.
-func (t History) MergeAges(wanted int64, written time.Duration, ages []Age) History {
-	return t.Merge(FromAges(written, ages).With(wanted, DistantPast))
+// MergeAges merges ages received from another process, which were written no earlier than writtenAt, while
+// the given version was wanted.
+func (h History) MergeAges(wanted int64, writtenAt time.Duration, ages []Age) History {
+	return h.Merge(FromAges(writtenAt, ages).With(wanted, DistantPast))
 }
 
-// Merge gives what two tellers know together: for each version the later of their bounds.
-func (t History) Merge(o History) History {
+// Merge combines two histories: each version gets the later of its two bounds.
+func (h History) Merge(other History) History {
 	var versions []int64
-	for _, n := range slices.Concat(t, o) {
-		versions = append(versions, n.Version)
+	for _, a := range slices.Concat(h, other) {
+		versions = append(versions, a.Version)
 	}
 	slices.Sort(versions)
 	merged := History{}
 	for _, version := range slices.Compact(versions) {
-		merged = append(merged, Announcement{version, max(t.notBefore(version), o.notBefore(version))})
+		merged = append(merged, Announcement{version, max(h.notBefore(version), other.notBefore(version))})
 	}
 	for i := 1; i < len(merged); i++ {
 		merged[i].NotBefore = max(merged[i].NotBefore, merged[i-1].NotBefore)
@@ -88,47 +95,49 @@
 	return merged.truncated()
 }
 
-// before is the time before which no version from the given one on was named, as far as is known here.
-func (t History) notBefore(version int64) time.Duration {
-	for _, n := range t {
-		if n.Version >= version {
-			return n.NotBefore
+// notBefore returns the time before which neither the given version nor a newer one was announced, as far
+// as this history has it.
+func (h History) notBefore(version int64) time.Duration {
+	for _, a := range h {
+		if a.Version >= version {
+			return a.NotBefore
 		}
 	}
 	return DistantPast
 }
 
-// Age is how long ago a version was named at the most, in milliseconds, for whoever has another clock.
+// Age is an upper bound on the time since a version was announced, for processes with another clock.
 type Age struct {
 	Version      int64 `cbor:"1,keyasint"`
-	Milliseconds int64 `cbor:"2,keyasint"` // UnknownAge if it was named before the teller began
+	Milliseconds int64 `cbor:"2,keyasint" json:"MS"` // UnknownAgeMS if there is no bound
 }
 
-// UnknownAge is that of a version which was named before its teller began.
+// UnknownAgeMS is the age of a version that was announced before its sender started.
 const UnknownAgeMS = int64(1) << 40
 
-// Ages tells the times to others, as they are now.
-func (t History) Ages(now time.Duration) []Age {
-	ages := make([]Age, len(t))
-	for i, n := range t {
-		ages[i] = Age{n.Version, UnknownAgeMS}
-		if n.NotBefore != DistantPast {
-			ages[i].Milliseconds = (now - n.NotBefore).Milliseconds()
+// Ages returns the ages of all versions at the given time.
+func (h History) Ages(now time.Duration) []Age {
+	ages := make([]Age, len(h))
+	for i, a := range h {
+		ages[i] = Age{a.Version, UnknownAgeMS}
+		if a.NotBefore != DistantPast {
+			ages[i].Milliseconds = (now - a.NotBefore).Milliseconds()
 		}
 	}
 	return ages
 }
 
-// FromAges reads ages that were told no earlier than asked, by the receiver's clock: the time for which they were under way makes
-// nothing younger.
-func FromAges(asked time.Duration, ages []Age) History {
-	times := History{}
+// FromAges returns the history for ages that were written no earlier than writtenAt, by the receiver's
+// clock. The time that the ages were in transit therefore never makes a version younger than it is.
+func FromAges(writtenAt time.Duration, ages []Age) History {
+	history := History{}
 	for _, a := range ages {
-		since := DistantPast
+		notBefore := DistantPast
 		if a.Milliseconds < UnknownAgeMS {
-			since = asked - time.Duration(a.Milliseconds+1)*time.Millisecond // what was cut off below a millisecond too
+			// One more millisecond covers the fraction that Ages cuts off.
+			notBefore = writtenAt - time.Duration(a.Milliseconds+1)*time.Millisecond
 		}
-		times = times.With(a.Version, since)
+		history = history.With(a.Version, notBefore)
 	}
-	return times
+	return history
 }
--- a/internal/superseded/superseded_test.go
+++ b/internal/superseded/superseded_test.go
@@ -8,72 +8,73 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachVersionCountsFromTheFirstNewerOne(t *testing.T) {
-	times := History{}.With(2, 10*time.Second).With(3, 17*time.Second).With(3, 30*time.Second).With(1, 40*time.Second)
+func TestSince(t *testing.T) {
+	history := History{}.With(2, 10*time.Second).With(3, 17*time.Second).With(3, 30*time.Second).With(1, 40*time.Second)
 	for version, want := range map[int64]time.Duration{0: 10 * time.Second, 1: 10 * time.Second, 2: 17 * time.Second} {
-		since, superseded := times.Since(version)
+		since, superseded := history.Since(version)
 		require.True(t, superseded)
-		require.Equal(t, want, since, version)
+		require.Equal(t, want, since, "version %d", version)
 	}
-	_, superseded := times.Since(3)
+	_, superseded := history.Since(3)
 	require.False(t, superseded)
-	require.Equal(t, int64(3), times.Newest())
+	require.Equal(t, int64(3), history.Newest())
 	_, superseded = History{}.Since(1)
 	require.False(t, superseded)
 }
 
-func TestManyVersionsAreBounded(t *testing.T) {
-	times := History{}
+func TestMaxVersions(t *testing.T) {
+	history := History{}
 	for version := int64(2); version < 100; version++ {
-		times = times.With(version, time.Duration(version)*time.Second)
+		history = history.With(version, time.Duration(version)*time.Second)
 	}
-	require.Len(t, times, maxVersions)
-	since, _ := times.Since(1)
-	require.Equal(t, 2*time.Second, since, "the oldest keep the earliest time")
-	since, _ = times.Since(98)
+	require.Len(t, history, maxVersions)
+	since, _ := history.Since(1)
+	require.Equal(t, 2*time.Second, since, "time of the dropped versions")
+	since, _ = history.Since(98)
 	require.Equal(t, 99*time.Second, since)
 }
 
-func TestAgesOnTheirWay(t *testing.T) {
-	times := History{}.With(2, DistantPast).With(3, 5*time.Second)
-	told := FromAges(100*time.Second, times.Ages(7*time.Second))
-	since, superseded := told.Since(1)
+func TestAgesRoundTrip(t *testing.T) {
+	history := History{}.With(2, DistantPast).With(3, 5*time.Second)
+	received := FromAges(100*time.Second, history.Ages(7*time.Second))
+	since, superseded := received.Since(1)
 	require.True(t, superseded)
 	require.Equal(t, DistantPast, since)
-	since, _ = told.Since(2)
+	since, _ = received.Since(2)
 	require.InDelta(t, float64(98*time.Second), float64(since), float64(2*time.Millisecond))
 	require.LessOrEqual(t, since, 98*time.Second)
 	require.Equal(t, DistantPast, History{}.With(4, DistantPast).Merge(nil)[0].NotBefore)
 }
 
-// TestBoundsNeverComeLate merges what random tellers know, each of whom saw some of the versions and dates those by when it last knew of
-// none newer: no bound is later than the naming itself, and none is earlier than what any of them knew.
-func TestBoundsNeverComeLate(t *testing.T) {
+// TestMerge merges the histories of random observers, each of which saw some of the versions and dates them
+// by its previous observation. A merged bound must be no later than the announcement and no earlier than
+// the bound of any observer.
+func TestMerge(t *testing.T) {
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		var truth History // when each version was named
+		var truth History // when each version was announced
 		at := time.Duration(0)
 		for version := int64(2); version < 2+int64(1+random.IntN(6)); version++ {
 			at += time.Duration(random.IntN(5000)) * time.Millisecond
 			truth = append(truth, Announcement{version, at})
 		}
 		merged := History{}
-		var tellers []History
+		var observed []History
 		for range 1 + random.IntN(4) {
-			teller := observe(random, truth, at)
-			tellers = append(tellers, teller)
-			merged = merged.Merge(teller)
+			history := observe(random, truth, at)
+			observed = append(observed, history)
+			merged = merged.Merge(history)
 		}
 		for version := int64(1); version < truth.Newest(); version++ {
-			named, _ := truth.Since(version)
+			announced, _ := truth.Since(version)
 			since, superseded := merged.Since(version)
 			if superseded {
-				require.LessOrEqual(t, since, named, "seed %d version %d: %v of %v", seed, version, merged, truth)
+				require.LessOrEqual(t, since, announced, "seed %d version %d: merged %v, announced %v", seed, version, merged, truth)
 			}
-			for _, teller := range tellers {
-				known, told := teller.Since(version)
-				require.False(t, told && !superseded)
-				if told {
+			for _, history := range observed {
+				known, supersededHere := history.Since(version)
+				require.False(t, supersededHere && !superseded, "seed %d version %d", seed, version)
+				if supersededHere {
 					require.GreaterOrEqual(t, since, known, "seed %d version %d", seed, version)
 				}
 			}
@@ -81,9 +82,10 @@
 	}
 }
 
-// observe is what somebody knows who looked at the newest version at some moments, and maybe began late.
+// observe returns the history of an observer that reads the newest version at random times, and may start
+// late.
 func observe(random *rand.Rand, truth History, end time.Duration) History {
-	seen, last := History{}, DistantPast
+	history, last := History{}, DistantPast
 	for now := time.Duration(random.IntN(int(end) + 1)); now <= end+time.Second; now += time.Duration(1 + random.IntN(int(3*time.Second))) {
 		newest := int64(0)
 		for _, n := range truth {
@@ -91,8 +93,8 @@
 				newest = n.Version
 			}
 		}
-		seen = seen.With(newest, last)
+		history = history.With(newest, last)
 		last = now
 	}
-	return seen
+	return history
 }
