--- a/internal/replicated/state.go
+++ b/internal/replicated/state.go
@@ -1,5 +1,7 @@
-// Package replicated is the state that the core machines keep: the operator's configuration, evacuated zones, model versions and
-// the owners of duties. It changes only by operations in their agreed order, alike on every replica. It has no I/O and no clock.
+// Package replicated implements the state machine that the core controllers replicate: the operator's
+// configuration, evacuated zones, versions of model weights and lease holders. The state changes only by
+// operations, which all replicas apply in the same committed order with the same result. It has no I/O and
+// no clock.
 package replicated
 
 import (
@@ -13,7 +15,7 @@
 	"nettlefold/internal/config"
 )
 
-// Kinds of an operation.
+// Kinds of operations.
 const (
 	KindConfig   = "config"
 	KindEvacuate = "evacuate"
@@ -22,94 +24,98 @@
 	KindLease    = "duty"
 )
 
-// rememberedOrders is how many configurations are known as taken after newer ones: far more than are sent again.
+// maxAcceptedConfigs bounds the configurations that are recognized as accepted after newer ones were. Far
+// fewer are ever sent again.
 const maxAcceptedConfigs = 1024
 
-// Operation is one change.
+// Operation is a change of the state. Which fields are set depends on its kind.
 type Operation struct {
 	Kind         string `cbor:"1,keyasint"`
-	Body         []byte `cbor:"2,keyasint,omitempty"` // configuration, as it was sent
-	BaseVersion  int64  `cbor:"3,keyasint,omitempty"` // the version it builds on
+	Body         []byte `cbor:"2,keyasint,omitempty"` // the configuration as received
+	BaseVersion  int64  `cbor:"3,keyasint,omitempty"` // the version that the configuration is based on
 	Zone         string `cbor:"4,keyasint,omitempty"`
 	Model        string `cbor:"5,keyasint,omitempty"`
-	Version      int64  `cbor:"6,keyasint,omitempty"`
+	Version      int64  `cbor:"6,keyasint,omitempty"` // of the model's weights
 	LeaseName    string `cbor:"7,keyasint,omitempty"`
 	Holder       string `cbor:"8,keyasint,omitempty"`
-	FencingToken uint64 `cbor:"9,keyasint,omitempty"` // the fence that the duty was seen under
-	// Based is the ZoneSeq that was the newest when an evacuation, or its end, was received from the operator: one that was held up on its
-	// way must not undo a newer order.
+	FencingToken uint64 `cbor:"9,keyasint,omitempty"` // the last known token of the lease
+	// BaseZoneSeq is the zone's newest operation when the evacuation, or its end, was received from the
+	// operator, so that a delayed operation can't undo a newer one.
 	BaseZoneSeq uint64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Digest tells configurations apart: their text and what they build on.
+// ConfigDigest identifies a configuration by its text and the version that it is based on.
 type ConfigDigest [16]byte
 
-// Duty is who may act for a key, and the fencing token under which.
+// LeaseRecord is the holder of a lease and the fencing token under which it acts.
 type LeaseRecord struct {
 	Holder       string `cbor:"1,keyasint"`
-	FencingToken uint64 `cbor:"2,keyasint"`
+	FencingToken uint64 `cbor:"2,keyasint" json:"Fence"`
 }
 
-// Model is the version of a model's weights that is wanted.
+// ModelVersion is the version of a model's weights that is wanted.
 type ModelVersion struct {
 	Version int64  `cbor:"1,keyasint"`
-	Seq     uint64 `cbor:"2,keyasint"` // of the operation that named it
+	Seq     uint64 `cbor:"2,keyasint"` // of the operation that set it
 }
 
-// State is what the operations so far make.
+// State is the result of all operations so far.
 type State struct {
 	Seq             uint64                  `cbor:"1,keyasint"` // of the newest operation
 	ConfigSeq       uint64                  `cbor:"2,keyasint"` // of the newest configuration
 	Config          []byte                  `cbor:"3,keyasint"`
-	ConfigVersion   int64                   `cbor:"4,keyasint"` // the configuration's
+	ConfigVersion   int64                   `cbor:"4,keyasint"`
 	AcceptedConfigs []ConfigDigest          `cbor:"5,keyasint"` // oldest first
-	Evacuated       map[string]uint64       `cbor:"6,keyasint"` // zone to the operation's number
+	Evacuated       map[string]uint64       `cbor:"6,keyasint"` // by zone, the operation that evacuated it
 	Models          map[string]ModelVersion `cbor:"7,keyasint"`
 	Leases          map[string]LeaseRecord  `cbor:"8,keyasint"`
-	Restored        map[string]uint64       `cbor:"9,keyasint"` // zones that were evacuated, and the operation that took it back
-	// ZoneOrders is the newest order for each zone, also if it changed nothing.
+	Restored        map[string]uint64       `cbor:"9,keyasint"` // by zone, the operation that ended its evacuation
+	// ZoneSeqs has, by zone, its newest evacuation or restoration, including those that changed nothing.
 	ZoneSeqs map[string]uint64 `cbor:"10,keyasint"`
 }
 
-// New is the state before the first operation.
+// New returns the state before the first operation.
 func New() *State {
-	return &State{Evacuated: map[string]uint64{}, Models: map[string]ModelVersion{}, Leases: map[string]LeaseRecord{}, Restored: map[string]uint64{}, ZoneSeqs: map[string]uint64{}}
+	return &State{
+		Evacuated: map[string]uint64{}, Models: map[string]ModelVersion{}, Leases: map[string]LeaseRecord{},
+		Restored: map[string]uint64{}, ZoneSeqs: map[string]uint64{},
+	}
 }
 
-// Decode reads a state that Encode wrote.
+// Decode decodes a state that Encode encoded.
 func Decode(encoded []byte) (*State, error) {
 	s := New()
 	if err := cbor.Unmarshal(encoded, s); err != nil {
-		return nil, fmt.Errorf("replicated state: %w", err)
+		return nil, fmt.Errorf("replicated: decode state: %w", err)
 	}
 	return s, nil
 }
 
-// Size is about how many bytes the state's encoding has.
+// Size returns the approximate size of the encoded state in bytes.
 func (s *State) Size() int {
-	const perEntry = 64
-	return len(s.Config) + len(s.AcceptedConfigs)*len(ConfigDigest{}) + perEntry*(len(s.Evacuated)+len(s.Restored)+len(s.Models)+len(s.Leases))
+	const bytesPerEntry = 64
+	return len(s.Config) + len(s.AcceptedConfigs)*len(ConfigDigest{}) + bytesPerEntry*(len(s.Evacuated)+len(s.Restored)+len(s.Models)+len(s.Leases))
 }
 
-// Encode writes the state.
+// Encode encodes the state.
 func (s *State) Encode() []byte { return mustEncode(s) }
 
-// Encode writes the operation.
+// Encode encodes the operation.
 func (o *Operation) Encode() []byte { return mustEncode(o) }
 
 func mustEncode(v any) []byte {
 	encoded, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // no type here has a value that cannot be written
+		panic(err) // impossible: all values of the types here can be encoded
 	}
 	return encoded
 }
 
-// DecodeOperation reads an operation.
+// DecodeOperation decodes an operation that Encode encoded.
 func DecodeOperation(encoded []byte) (*Operation, error) {
 	o := new(Operation)
 	if err := cbor.Unmarshal(encoded, o); err != nil {
-		return nil, fmt.Errorf("operation: %w", err)
+		return nil, fmt.Errorf("replicated: decode operation: %w", err)
 	}
 	return o, nil
 }
@@ -120,20 +126,21 @@
 	return d
 }
 
-// Verdict is what becomes of an operation that is offered.
+// Verdict is the result of checking a proposed operation.
 type Verdict int
 
 // The verdicts.
 const (
-	Accept         Verdict = iota // it changes the state
-	AlreadyApplied                // it holds, or was taken before
-	Conflict                      // it builds on another version
-	Outdated                      // it was overtaken on its way; whoever still wants it must ask for it anew
-	Invalid                       // it can never be taken
+	Accept         Verdict = iota // the operation is to be applied
+	AlreadyApplied                // it is in effect, or was applied before
+	Conflict                      // it is based on another version or fencing token
+	Outdated                      // a newer operation was committed first; the caller may request it again
+	Invalid                       // it can never be applied
 )
 
-// Check tells what becomes of an operation on top of this state. An order that was taken is known again before anything else is
-// held against it: it may be repeated by a caller who never heard of its acknowledgement.
+// Check returns the verdict on an operation on top of this state. An operation that was applied before is
+// recognized before any other check, because a caller that missed the acknowledgement may repeat it. The
+// error is the reason if the verdict is neither Accept nor AlreadyApplied.
 func (s *State) Check(o *Operation) (Verdict, error) {
 	switch o.Kind {
 	case KindConfig:
@@ -145,47 +152,50 @@
 	case KindVersion:
 		return alreadyAppliedIf(s.Models[o.Model].Version >= o.Version), nil
 	case KindLease:
-		held := s.Leases[o.LeaseName]
-		if held.Holder == o.Holder {
+		lease := s.Leases[o.LeaseName]
+		if lease.Holder == o.Holder {
 			return AlreadyApplied, nil
 		}
-		if held.FencingToken != o.FencingToken {
-			return Conflict, fmt.Errorf("duty %s is held by %s under fence %d", o.LeaseName, held.Holder, held.FencingToken)
+		if lease.FencingToken != o.FencingToken {
+			return Conflict, fmt.Errorf("lease %s: held by %s with fencing token %d", o.LeaseName, lease.Holder, lease.FencingToken)
 		}
 		return Accept, nil
 	}
-	return Invalid, fmt.Errorf("operation of unknown kind %q", o.Kind)
+	return Invalid, fmt.Errorf("operation: unknown kind %q", o.Kind)
 }
 
-// FenceOf is the token under which the holder of a duty has it, once an operation that was held against this state is taken as number seq.
+// FencingTokenAfter returns the fencing token of the holder of a lease after a lease operation that was
+// checked against this state is applied as operation seq.
 func (s *State) FencingTokenAfter(o *Operation, seq uint64) uint64 {
-	if held := s.Leases[o.LeaseName]; held.Holder == o.Holder {
-		return held.FencingToken
+	if lease := s.Leases[o.LeaseName]; lease.Holder == o.Holder {
+		return lease.FencingToken
 	}
 	return seq
 }
 
-func alreadyAppliedIf(holds bool) Verdict {
-	if holds {
+func alreadyAppliedIf(inEffect bool) Verdict {
+	if inEffect {
 		return AlreadyApplied
 	}
 	return Accept
 }
 
-// ZoneSeq is the number of the newest order for a zone, to evacuate it or to take that back, 0 if there was none.
+// ZoneSeq returns the sequence number of the newest operation that evacuated or restored a zone, 0 if there
+// is none.
 func (s *State) ZoneSeq(zone string) uint64 { return s.ZoneSeqs[zone] }
 
-// checkZone takes an order that is based on the newest one, also where it changes nothing: once it is acknowledged no older opposite order
-// may be taken any more. One that was overtaken is acknowledged where it holds all the same.
-func (s *State) checkZone(o *Operation, holds bool) (Verdict, error) {
+// checkZone accepts an operation that is based on the zone's newest one, even if it changes nothing: once it
+// is acknowledged, no older opposite operation may be accepted. An operation that is based on an older one
+// is acknowledged if it is in effect anyway.
+func (s *State) checkZone(o *Operation, inEffect bool) (Verdict, error) {
 	newest := s.ZoneSeq(o.Zone)
 	switch {
 	case o.BaseZoneSeq == newest:
 		return Accept, nil
-	case holds:
+	case inEffect:
 		return AlreadyApplied, nil
 	}
-	return Outdated, fmt.Errorf("zone %s: operation %d came before this order, which was received after operation %d", o.Zone, newest, o.BaseZoneSeq)
+	return Outdated, fmt.Errorf("zone %s: operation %d was committed first; this one is based on operation %d", o.Zone, newest, o.BaseZoneSeq)
 }
 
 func (s *State) checkConfig(o *Operation) (Verdict, error) {
@@ -197,27 +207,27 @@
 		return Invalid, err
 	}
 	if o.BaseVersion != s.ConfigVersion {
-		return Conflict, fmt.Errorf("the current version is %d, this change builds on %d", s.ConfigVersion, o.BaseVersion)
+		return Conflict, fmt.Errorf("configuration: based on version %d, but the current version is %d", o.BaseVersion, s.ConfigVersion)
 	}
 	if doc.Version <= s.ConfigVersion {
-		return Invalid, &config.InvalidError{Path: "/version", What: fmt.Sprintf("%d is not above the current %d", doc.Version, s.ConfigVersion)}
+		return Invalid, &config.InvalidError{Path: "/version", What: fmt.Sprintf("version %d is not above the current version %d", doc.Version, s.ConfigVersion)}
 	}
 	return Accept, nil
 }
 
-// Apply makes the change of an operation that was checked and agreed on, as number seq.
+// Apply applies a committed operation with sequence number seq. Check must have accepted it.
 func (s *State) Apply(seq uint64, o *Operation) {
 	s.Seq = seq
 	switch o.Kind {
 	case KindConfig:
 		doc, err := config.Parse(o.Body)
 		if err != nil {
-			return // it was not accepted by Check: no replica takes it
+			return // Check rejects it, so no replica applies it
 		}
 		s.Config, s.ConfigVersion, s.ConfigSeq = o.Body, doc.Version, seq
 		s.AcceptedConfigs = append(s.AcceptedConfigs, o.configDigest())
-		if over := len(s.AcceptedConfigs) - maxAcceptedConfigs; over > 0 {
-			s.AcceptedConfigs = slices.Delete(s.AcceptedConfigs, 0, over)
+		if excess := len(s.AcceptedConfigs) - maxAcceptedConfigs; excess > 0 {
+			s.AcceptedConfigs = slices.Delete(s.AcceptedConfigs, 0, excess)
 		}
 	case KindEvacuate:
 		s.ZoneSeqs[o.Zone] = seq
@@ -238,7 +248,7 @@
 	}
 }
 
-// Clone copies the state; texts that are never changed are shared.
+// Clone returns a copy of the state. The copies share byte slices, which are never modified.
 func (s *State) Clone() *State {
 	c := *s
 	c.AcceptedConfigs = slices.Clone(s.AcceptedConfigs)
