--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -61,7 +61,7 @@
 	applied     uint64
 	proxyAt     time.Time
 
-	list     []dispatch.Listed // nil if it is not known
+	list     []dispatch.BackendInfo // nil if it is not known
 	lists    lists
 	listFeed listFeed
 	phases   map[string]phaseNews
@@ -104,7 +104,7 @@
 		settings: settings,
 		log:      log,
 		network:  network,
-		pool:     rpc.NewPoolOn(network),
+		pool:     rpc.NewPoolWithNetwork(network),
 		web:      web,
 		self:     distribute.Agent{ID: life, Addr: settings.InternalAddr(settings.IP), Zone: settings.Zone},
 		start:    time.Now(),
@@ -227,7 +227,7 @@
 		}
 		var whole *kvindex.Batch
 		err := a.ask(ctx, func() {
-			whole = a.index.Whole(request.Backend)
+			whole = a.index.Snapshot(request.Backend)
 			a.wholes.served++
 		})
 		if err == nil && whole == nil {
@@ -343,9 +343,9 @@
 		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
-		whole := a.index.Whole(id)
+		whole := a.index.Snapshot(id)
 		if whole == nil {
-			whole = &kvindex.Batch{Backend: id, Whole: true}
+			whole = &kvindex.Batch{Backend: id, Snapshot: true}
 		}
 		changes += len(whole.Changes)
 		reply.Batches = append(reply.Batches, whole)
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -12,12 +12,12 @@
 // ReadList is the platform's list as it was read: the whole list, or the changes to the list whose digest is Base, or nothing but its digest
 // where it did not change. Receivers share it and do not change it.
 type ListUpdate struct {
-	Digest     uint64            `cbor:"1,keyasint"` // digest of the list
-	Full       bool              `cbor:"3,keyasint,omitempty"`
-	Backends   []dispatch.Listed `cbor:"2,keyasint,omitempty"` // all of them, if Whole
-	BaseDigest uint64            `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
-	Changed    []dispatch.Listed `cbor:"5,keyasint,omitempty"`
-	Removed    []string          `cbor:"6,keyasint,omitempty"` // identities
+	Digest     uint64                 `cbor:"1,keyasint"` // digest of the list
+	Full       bool                   `cbor:"3,keyasint,omitempty"`
+	Backends   []dispatch.BackendInfo `cbor:"2,keyasint,omitempty"` // all of them, if Whole
+	BaseDigest uint64                 `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
+	Changed    []dispatch.BackendInfo `cbor:"5,keyasint,omitempty"`
+	Removed    []string               `cbor:"6,keyasint,omitempty"` // identities
 	// Number orders readings: each reader adds one to the highest that it knows.
 	Revision uint64 `cbor:"8,keyasint"`
 	AgeMS    int64  `cbor:"7,keyasint,omitempty"` // between the beginning of the reading and the sending of this message
@@ -35,7 +35,7 @@
 var canonicalCBOR, _ = cbor.CoreDetEncOptions().EncMode()
 
 // ListSum digests a list. The order of its entries does not matter, so the digest can be kept up to date by its changes.
-func ListDigest(list []dispatch.Listed) uint64 {
+func ListDigest(list []dispatch.BackendInfo) uint64 {
 	sum := uint64(emptyListDigest)
 	for i := range list {
 		sum ^= entryDigest(&list[i])
@@ -43,7 +43,7 @@
 	return sum
 }
 
-func entryDigest(entry *dispatch.Listed) uint64 {
+func entryDigest(entry *dispatch.BackendInfo) uint64 {
 	encoded, err := canonicalCBOR.Marshal(entry)
 	if err != nil {
 		return 0
@@ -52,14 +52,14 @@
 }
 
 // WholeList makes news of a whole list.
-func NewFullListUpdate(list []dispatch.Listed) *ListUpdate {
+func NewFullListUpdate(list []dispatch.BackendInfo) *ListUpdate {
 	return &ListUpdate{Digest: ListDigest(list), Full: true, Backends: list}
 }
 
 // ListChanges makes news of what leads from one list, whose digest is given, to another.
-func NewListDelta(from []dispatch.Listed, fromSum uint64, to []dispatch.Listed) *ListUpdate {
+func NewListDelta(from []dispatch.BackendInfo, fromSum uint64, to []dispatch.BackendInfo) *ListUpdate {
 	changes := &ListUpdate{Digest: fromSum, BaseDigest: fromSum}
-	before := make(map[string]*dispatch.Listed, len(from))
+	before := make(map[string]*dispatch.BackendInfo, len(from))
 	for i := range from {
 		before[from[i].ID] = &from[i]
 	}
@@ -70,7 +70,7 @@
 		switch {
 		case old == nil:
 			changes.Digest ^= entryDigest(entry)
-		case old.Same(entry):
+		case old.Equal(entry):
 			continue
 		default:
 			changes.Digest ^= entryDigest(old) ^ entryDigest(entry)
@@ -91,7 +91,7 @@
 func (r *ListUpdate) hasChanges() bool { return len(r.Changed) > 0 || len(r.Removed) > 0 }
 
 // Apply gives the list that follows from the one whose digest is given. It fails where the news is of changes to another list.
-func (r *ListUpdate) Apply(list []dispatch.Listed, sum uint64) (next []dispatch.Listed, ok bool) {
+func (r *ListUpdate) Apply(list []dispatch.BackendInfo, sum uint64) (next []dispatch.BackendInfo, ok bool) {
 	switch {
 	case r.Full:
 		return r.Backends, true
@@ -100,11 +100,11 @@
 	case r.BaseDigest != sum || r.BaseDigest == 0:
 		return nil, false
 	}
-	replaced := make(map[string]*dispatch.Listed, len(r.Changed))
+	replaced := make(map[string]*dispatch.BackendInfo, len(r.Changed))
 	for i := range r.Changed {
 		replaced[r.Changed[i].ID] = &r.Changed[i]
 	}
-	next = make([]dispatch.Listed, 0, len(list)+len(r.Changed))
+	next = make([]dispatch.BackendInfo, 0, len(list)+len(r.Changed))
 	for i := range list {
 		id := list[i].ID
 		if entry := replaced[id]; entry != nil {
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -47,7 +47,7 @@
 func (p *Proxy) forward(q *request) {
 	ctx, cancel := context.WithDeadline(q.Context(), q.limit)
 	defer cancel()
-	p.do(func() { p.table.Arrived(p.now(), q.service) })
+	p.do(func() { p.table.RecordRequest(p.now(), q.service) })
 	var tried []string
 	sent, mayHaveRun := 0, false
 	for {
@@ -56,9 +56,9 @@
 			p.giveUp(q, mayHaveRun, "no backend may take the request now")
 			return
 		}
-		if choice.Later > 0 {
+		if choice.RetryAfterMS > 0 {
 			p.counters.deferred.Add(1)
-			refuse(q.writer, http.StatusServiceUnavailable, choice.Later/1000, "too many requests wait")
+			refuse(q.writer, http.StatusServiceUnavailable, choice.RetryAfterMS/1000, "too many requests wait")
 			return
 		}
 		tried = append(tried, choice.ID)
@@ -83,7 +83,7 @@
 			p.giveUp(q, mayHaveRun, "its time is up")
 			return
 		}
-		if mayHaveRun && !q.route.MayRepeat() || sent >= max(1, q.route.MaxAttempts) || len(tried) > maxTried || !p.mayRepeat(q, sent) {
+		if mayHaveRun && !q.route.Repeatable() || sent >= max(1, q.route.MaxAttempts) || len(tried) > maxTried || !p.mayRepeat(q, sent) {
 			p.giveUp(q, mayHaveRun, "it was not served")
 			return
 		}
@@ -101,8 +101,8 @@
 // decision is what choosing a backend needs to know of a request that was sent to some already.
 func (q *request) decision(tried []string) *dispatch.Request {
 	return &dispatch.Request{
-		Target: q.route.TargetMS, Rank: q.rank, Left: float64(time.Until(q.deadline).Milliseconds()), Again: q.again || len(tried) > 0,
-		Service: q.service, Model: q.model, Parts: q.parts, Prompt: q.prompt, Bytes: len(q.body), Wall: q.wall(), Tried: tried,
+		TargetMS: q.route.TargetLatencyMS, Rank: q.rank, RemainingMS: float64(time.Until(q.deadline).Milliseconds()), PreviouslyRefused: q.again || len(tried) > 0,
+		Service: q.service, Model: q.model, Parts: q.parts, PromptTokens: q.prompt, BodyBytes: len(q.body), IsolatedTenant: q.wall(), TriedBackends: tried,
 	}
 }
 
@@ -111,7 +111,7 @@
 	if sent == 0 {
 		return true
 	}
-	p.do(func() { may = p.table.TakeRepeat(p.now(), q.service) })
+	p.do(func() { may = p.table.TakeRetry(p.now(), q.service) })
 	return may
 }
 
@@ -125,11 +125,11 @@
 		header.Set(headerSalt, c.Salt)
 		header.Set(headerPriority, strconv.Itoa(c.Priority))
 	}
-	if c.Fetch != "" {
-		header.Set(headerFetch, c.Fetch)
+	if c.FetchAddr != "" {
+		header.Set(headerFetch, c.FetchAddr)
 	}
-	if c.Save != "" {
-		header.Set(headerSave, c.Save)
+	if c.SaveAddr != "" {
+		header.Set(headerSave, c.SaveAddr)
 	}
 	if lastEvent != "" {
 		header.Set(headerLastEvent, lastEvent)
@@ -137,7 +137,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	a := &attempt{
 		choice: c, ctx: ctx, cancel: cancel, request: q, tried: tried, sent: sent,
-		mayMove: q.route.MayRepeat() && sent < max(1, q.route.MaxAttempts),
+		mayMove: q.route.Repeatable() && sent < max(1, q.route.MaxAttempts),
 	}
 	a.heard.Store(int64(p.now()))
 	p.do(func() { // in one step with the versions in force, or one that is named meanwhile would not limit it
@@ -152,7 +152,7 @@
 	})
 	if a.err == nil && unsealed(a.response) {
 		a.response.Body.Close()
-		a.err = &upstream.Error{Stage: upstream.Sent, Step: "read", Peer: c.Addr, Err: errUnsealed}
+		a.err = &upstream.Error{Stage: upstream.Sent, Op: "read", Addr: c.Addr, Err: errUnsealed}
 	}
 	a.readFirst()
 	return a
@@ -168,12 +168,12 @@
 	n, err := a.response.Body.Read(buffer)
 	if n == 0 && err != nil && err != io.EOF {
 		a.response.Body.Close()
-		a.err = &upstream.Error{Stage: upstream.Sent, Step: "read", Peer: a.choice.Addr, Err: err}
+		a.err = &upstream.Error{Stage: upstream.Sent, Op: "read", Addr: a.choice.Addr, Err: err}
 		return
 	}
 	if !a.begin() {
 		a.response.Body.Close()
-		a.err = &upstream.Error{Stage: upstream.Sent, Step: "read", Peer: a.choice.Addr, Err: errTakenBack}
+		a.err = &upstream.Error{Stage: upstream.Sent, Op: "read", Addr: a.choice.Addr, Err: errTakenBack}
 		return
 	}
 	a.first, a.firstErr = buffer[:n], err
@@ -214,10 +214,10 @@
 func (p *Proxy) book(a *attempt, ctx context.Context) {
 	outcome := dispatch.Failed
 	switch {
-	case ctx.Err() != nil || errors.Is(a.err, upstream.ErrFull):
+	case ctx.Err() != nil || errors.Is(a.err, upstream.ErrPoolExhausted):
 		outcome = dispatch.Cancelled
 	case a.err == nil && a.response.StatusCode == http.StatusMisdirectedRequest:
-		outcome = dispatch.Misplaced
+		outcome = dispatch.WrongInstance
 	case a.err == nil:
 		outcome = dispatch.Refused
 	default:
@@ -228,7 +228,7 @@
 
 // retryAfter is when a client that was refused should come again: soon enough to be served in time yet.
 func (q *request) retryAfter() float64 {
-	return min(retryLater, retryShare*q.route.TargetMS/1000)
+	return min(retryLater, retryShare*q.route.TargetLatencyMS/1000)
 }
 
 // giveUp answers at once for a request that is not served: with a promise and a time to come again if it has not run.
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -17,17 +17,17 @@
 	take := func(list *feed.List) (have uint64, size int) {
 		r.proxy.do(func() {
 			r.proxy.take(r.proxy.now(), &feed.Reply{AgentID: "a1", List: list})
-			have, size = r.proxy.have.ListRevision, r.proxy.table.Size()
+			have, size = r.proxy.have.ListRevision, r.proxy.table.BackendCount()
 		})
 		return have, size
 	}
-	have, size := take(&feed.List{Revision: 5, BaseRevision: 1, Backends: []dispatch.Listed{{ID: "i-new"}}})
+	have, size := take(&feed.List{Revision: 5, BaseRevision: 1, Backends: []dispatch.BackendInfo{{ID: "i-new"}}})
 	require.Equal(t, uint64(5), have)
 	require.Equal(t, 2, size)
 	have, size = take(&feed.List{Revision: 9, BaseRevision: 7, Removed: []string{"i-new"}})
 	require.Zero(t, have)
 	require.Equal(t, 2, size)
-	have, size = take(&feed.List{Revision: 9, Backends: []dispatch.Listed{{ID: "i-0"}}})
+	have, size = take(&feed.List{Revision: 9, Backends: []dispatch.BackendInfo{{ID: "i-0"}}})
 	require.Equal(t, uint64(9), have)
 	require.Equal(t, 1, size)
 }
--- a/internal/replicated/state.go
+++ b/internal/replicated/state.go
@@ -210,7 +210,7 @@
 		return Conflict, fmt.Errorf("configuration: based on version %d, but the current version is %d", o.BaseVersion, s.ConfigVersion)
 	}
 	if doc.Version <= s.ConfigVersion {
-		return Invalid, &config.InvalidError{Path: "/version", What: fmt.Sprintf("version %d is not above the current version %d", doc.Version, s.ConfigVersion)}
+		return Invalid, &config.InvalidError{Path: "/version", Reason: fmt.Sprintf("version %d is not above the current version %d", doc.Version, s.ConfigVersion)}
 	}
 	return Accept, nil
 }
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -28,9 +28,9 @@
 // open makes a server on a listener, as wrapped, which does not accept yet. All ends with the test.
 func open(t *testing.T, effect mixer.Effect, wrap func(net.Listener) net.Listener, far ...*toy.Searcher) *serving {
 	t.Helper()
-	limits := charter.Limits{KeepAlive: time.Hour, Connect: time.Second, Write: time.Second, Streams: 9, Sockets: 99, Frame: 999,
-		Slices: 1, Body: 999, Header: 999, Read: time.Minute, Prompt: time.Minute, Once: time.Minute, Kept: time.Minute, ID: 64,
-		Patience: 5 * time.Second, Arrivals: 400 * time.Millisecond, KillAfter: time.Minute, Drain: 5 * time.Second}
+	limits := charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: time.Second, WriteTimeout: time.Second, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999,
+		Shards: 1, MaxBodyBytes: 999, MaxHeaderBytes: 999, ReadTimeout: time.Minute, SlowRequestAfter: time.Minute, SingleRequestIdle: time.Minute, ReusedIdle: time.Minute, MaxIDBytes: 64,
+		MaxDeadline: 5 * time.Second, ConnectAfterTerm: 400 * time.Millisecond, KillAfterTerm: time.Minute, CloseTimeout: 5 * time.Second}
 	searchers := NewSearchers(limits, quiet)
 	t.Cleanup(searchers.Close)
 	var names []string
@@ -117,7 +117,7 @@
 // request, and behind a byte of a next request. Nothing is sent on for it, first or again.
 func TestClientThatHasGone(t *testing.T) {
 	t.Run("before it is accepted", func(t *testing.T) {
-		s := open(t, mixer.Repeatable, behindGates, &toy.Searcher{}) // so net/http does not look in time
+		s := open(t, mixer.Idempotent, behindGates, &toy.Searcher{}) // so net/http does not look in time
 		nc := s.dial(t)
 		nc.Write(request("gone"))
 		nc.Close()
@@ -142,7 +142,7 @@
 	t.Run("behind a byte of a next request", func(t *testing.T) {
 		parts := make(chan toy.Part, 9)
 		take := func(p toy.Part) { parts <- p }
-		s := open(t, mixer.Repeatable, plain, &toy.Searcher{Handle: take}, &toy.Searcher{Handle: take})
+		s := open(t, mixer.Idempotent, plain, &toy.Searcher{Handle: take}, &toy.Searcher{Handle: take})
 		s.start(t)
 		nc := s.dial(t)
 		nc.Write(request("gone"))
@@ -203,7 +203,7 @@
 	for name, idle := range map[string]bool{"an idle connection": true, "one that ends with its answer": false} {
 		t.Run(name, func(t *testing.T) {
 			parts := make(chan toy.Part, 9)
-			s := open(t, mixer.Repeatable, behindGates, &toy.Searcher{Handle: func(p toy.Part) { parts <- p }})
+			s := open(t, mixer.Idempotent, behindGates, &toy.Searcher{Handle: func(p toy.Part) { parts <- p }})
 			s.start(t)
 			nc := s.dial(t)
 			r := bufio.NewReader(nc)
