--- a/internal/replicated/state_test.go
+++ b/internal/replicated/state_test.go
@@ -95,8 +95,8 @@
 // One that changes nothing is accepted too, so that no older opposite operation can follow its
 // acknowledgement; one that was overtaken but is in effect is acknowledged.
 func TestZoneOperations(t *testing.T) {
-	order := func(kind string, based uint64) *Operation {
-		return &Operation{Kind: kind, Zone: "z", BaseZoneSeq: based}
+	operation := func(kind string, baseSeq uint64) *Operation {
+		return &Operation{Kind: kind, Zone: "z", BaseZoneSeq: baseSeq}
 	}
 	s := New()
 	for i, step := range []struct {
