--- a/internal/distribute/members.go
+++ b/internal/distribute/members.go
@@ -7,27 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberSet is the live agents, by ID.
+// MemberSet has the live agents, sorted by ID.
 type MemberSet struct {
 	Digest uint64  `cbor:"1,keyasint"`
 	Agents []Agent `cbor:"2,keyasint"`
 }
 
-// MemberDelta is what makes one set of members of another.
+// MemberDelta is the difference between two member sets.
 type MemberDelta struct {
-	Base    uint64   `cbor:"1,keyasint"` // digest of the set that it applies to
-	Digest  uint64   `cbor:"2,keyasint"` // of the set that it makes
+	Base    uint64   `cbor:"1,keyasint"` // digest of the set that the delta applies to
+	Digest  uint64   `cbor:"2,keyasint"` // digest of the resulting set
 	Added   []Agent  `cbor:"3,keyasint,omitempty"`
 	Removed []string `cbor:"4,keyasint,omitempty"` // IDs
 }
 
-// NewMemberSet makes a set of agents in any order. It keeps the slice.
+// NewMemberSet returns a set of agents. It sorts and keeps the slice.
 func NewMemberSet(agents []Agent) *MemberSet {
 	slices.SortFunc(agents, func(a, b Agent) int { return cmp.Compare(a.ID, b.ID) })
 	return &MemberSet{Digest: membersDigest(agents), Agents: agents}
 }
 
-// digestOf tells sets of agents apart by their IDs, which are in order.
+// membersDigest returns the digest of the IDs of agents, which must be sorted.
 func membersDigest(agents []Agent) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -38,43 +38,45 @@
 	return digest.Sum64()
 }
 
-// Delta gives what makes another set of this one.
+// DeltaTo returns the delta that leads from this set to next. An agent that differs under the same ID counts
+// as added.
 func (s *MemberSet) DeltaTo(next *MemberSet) *MemberDelta {
 	delta := &MemberDelta{Base: s.Digest, Digest: next.Digest}
-	old, now := s.Agents, next.Agents
-	for len(old) > 0 || len(now) > 0 {
+	old, updated := s.Agents, next.Agents
+	for len(old) > 0 || len(updated) > 0 {
 		switch {
-		case len(now) == 0 || len(old) > 0 && old[0].ID < now[0].ID:
+		case len(updated) == 0 || len(old) > 0 && old[0].ID < updated[0].ID:
 			delta.Removed = append(delta.Removed, old[0].ID)
 			old = old[1:]
-		case len(old) == 0 || now[0].ID < old[0].ID:
-			delta.Added = append(delta.Added, now[0])
-			now = now[1:]
+		case len(old) == 0 || updated[0].ID < old[0].ID:
+			delta.Added = append(delta.Added, updated[0])
+			updated = updated[1:]
 		default:
-			if old[0] != now[0] {
-				delta.Added = append(delta.Added, now[0]) // it replaces the other
+			if old[0] != updated[0] {
+				delta.Added = append(delta.Added, updated[0]) // Apply replaces the old entry
 			}
-			old, now = old[1:], now[1:]
+			old, updated = old[1:], updated[1:]
 		}
 	}
 	return delta
 }
 
-// Apply makes the set that a delta leads to; nil if the delta is of another set.
+// Apply returns the set that results from a delta. It returns nil if the delta belongs to another set or the
+// result doesn't match its digest.
 func (s *MemberSet) Apply(delta *MemberDelta) *MemberSet {
 	if delta.Base != s.Digest {
 		return nil
 	}
-	left := make(map[string]bool, len(delta.Removed)+len(delta.Added))
+	dropped := make(map[string]bool, len(delta.Removed)+len(delta.Added))
 	for _, id := range delta.Removed {
-		left[id] = true
+		dropped[id] = true
 	}
 	for i := range delta.Added {
-		left[delta.Added[i].ID] = true
+		dropped[delta.Added[i].ID] = true
 	}
 	agents := make([]Agent, 0, len(s.Agents)+len(delta.Added))
 	for _, a := range s.Agents {
-		if !left[a.ID] {
+		if !dropped[a.ID] {
 			agents = append(agents, a)
 		}
 	}
--- a/internal/distribute/members_test.go
+++ b/internal/distribute/members_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func someAgents(random *rand.Rand) []Agent {
+// randomAgents returns agents with random IDs, in random order.
+func randomAgents(random *rand.Rand) []Agent {
 	var agents []Agent
 	for i := range 40 {
 		if random.IntN(2) == 0 {
@@ -19,17 +20,18 @@
 	return agents
 }
 
-// TestDeltasOfMembers: a delta makes of the one set just the other, and of no third.
-func TestDeltasOfMembers(t *testing.T) {
+// TestMemberDelta checks that a delta leads from its base set to the next one, and applies neither to other
+// sets nor when it is damaged.
+func TestMemberDelta(t *testing.T) {
 	for seed := uint64(1); seed <= 500; seed++ {
 		random := rand.New(rand.NewPCG(seed, seed))
-		old, next, third := NewMemberSet(someAgents(random)), NewMemberSet(someAgents(random)), NewMemberSet(someAgents(random))
-		require.Equal(t, next, old.Apply(old.DeltaTo(next)))
-		if third.Digest != old.Digest {
-			require.Nil(t, third.Apply(old.DeltaTo(next)))
+		old, next, other := NewMemberSet(randomAgents(random)), NewMemberSet(randomAgents(random)), NewMemberSet(randomAgents(random))
+		require.Equal(t, next, old.Apply(old.DeltaTo(next)), "seed %d", seed)
+		if other.Digest != old.Digest {
+			require.Nil(t, other.Apply(old.DeltaTo(next)), "seed %d: applied to another set", seed)
 		}
 		damaged := old.DeltaTo(next)
 		damaged.Added = append(damaged.Added, Agent{ID: "g/1"})
-		require.Nil(t, old.Apply(damaged))
+		require.Nil(t, old.Apply(damaged), "seed %d: damaged delta", seed)
 	}
 }
--- a/internal/distribute/messages.go
+++ b/internal/distribute/messages.go
@@ -1,5 +1,6 @@
-// Package distribute has what controllers, agents and proxies tell each other: versioned snapshots of what is in force, and the
-// acknowledgements of them. A caller says what it has with each call, and is answered when there is something newer.
+// Package distribute defines the messages between controllers and from agents to controllers: versioned
+// snapshots of the committed state, acknowledgements of them, and operations. A caller sends the versions
+// that it has with each call, and gets a reply as soon as there is something newer.
 package distribute
 
 import (
@@ -17,46 +18,48 @@
 	KindRead   = "read"   // controller to the tail: ReadRequest, ReadReply
 )
 
-// Agent is one life of a mixer's agent.
+// Agent is one incarnation of a mixer's agent: a restarted agent has another ID.
 type Agent struct {
-	ID   string `cbor:"1,keyasint"` // the machine's name and the life's number
-	Addr string `cbor:"2,keyasint"` // of its messages to others
+	ID   string `cbor:"1,keyasint"` // machine name and incarnation number
+	Addr string `cbor:"2,keyasint"` // for calls between agents
 	Zone string `cbor:"3,keyasint"`
 }
 
-// AgentTable is the agents that have a session with a controller.
+// AgentTable has the agents that have a session with a controller.
 type AgentTable struct {
 	Controller string  `cbor:"1,keyasint"`
 	Agents     []Agent `cbor:"2,keyasint"`
 }
 
-// WatchRequest says who asks and what it has, which acknowledges it.
+// WatchRequest is a long poll for updates. The versions that the agent has acknowledge their receipt.
 type WatchRequest struct {
 	Agent         Agent    `cbor:"1,keyasint"`
-	AppliedSeq    uint64   `cbor:"2,keyasint"` // applied by the proxy beside it
+	AppliedSeq    uint64   `cbor:"2,keyasint"` // snapshot applied by the agent's proxy
 	ConfigSeq     uint64   `cbor:"3,keyasint"`
-	MembersDigest uint64   `cbor:"4,keyasint"`           // digest of the members it knows
-	Suspects      []string `cbor:"5,keyasint,omitempty"` // agents that it watches and does not reach
-	ReceivedSeq   uint64   `cbor:"6,keyasint"`           // the newest snapshot in hand, applied or not
-	Epoch         uint64   `cbor:"7,keyasint"`           // of the controllers that it knows
+	MembersDigest uint64   `cbor:"4,keyasint"`           // of the member set that the agent has
+	Suspects      []string `cbor:"5,keyasint,omitempty"` // agents that don't answer its probes
+	ReceivedSeq   uint64   `cbor:"6,keyasint"`           // newest snapshot received, whether applied or not
+	Epoch         uint64   `cbor:"7,keyasint"`           // of the controllers that the agent knows
 }
 
-// WatchReply brings what is newer.
+// WatchReply has the updates that the agent lacks.
 type WatchReply struct {
-	HasQuorum   bool       `cbor:"1,keyasint"` // the controller is in touch with the core's majority
+	HasQuorum   bool       `cbor:"1,keyasint"` // the controller is in contact with a majority of the core
 	Snapshot    *Snapshot  `cbor:"2,keyasint,omitempty"`
 	Epoch       uint64     `cbor:"6,keyasint"`           // of the core's view
-	Controllers []string   `cbor:"3,keyasint,omitempty"` // if the receiver knows those of another epoch
+	Controllers []string   `cbor:"3,keyasint,omitempty"` // if the agent knows those of another epoch
 	Members     *MemberSet `cbor:"4,keyasint,omitempty"`
-	// Change is sent in place of Members to a receiver whose set is known here.
+	// MembersDelta replaces Members if the controller has the delta from the agent's member set.
 	MembersDelta *MemberDelta `cbor:"10,keyasint,omitempty"`
-	// Ages has, for each model, how long ago its versions were named, as the reply was written.
+	// VersionAges has, for each model, the ages of its announced versions when the reply was written.
 	VersionAges map[string][]superseded.Age `cbor:"8,keyasint,omitempty"`
-	// HeldMS is for how long the call was held at least before the reply was written, in milliseconds: by it the ages are dated.
+	// LongPollMS is a lower bound on the time between the receipt of the request and the writing of the
+	// reply, in milliseconds. The receiver uses it to convert the ages to times.
 	LongPollMS int64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Snapshot is the committed state as the data plane needs it. Config is absent where the receiver has that of ConfigSeq.
+// Snapshot is the part of the committed state that the data plane needs. Config is empty if the receiver has
+// the configuration of ConfigSeq.
 type Snapshot struct {
 	Seq       uint64                             `cbor:"1,keyasint"`
 	ConfigSeq uint64                             `cbor:"2,keyasint"`
@@ -67,53 +70,54 @@
 	Leases    map[string]replicated.LeaseRecord  `cbor:"7,keyasint,omitempty"`
 }
 
-// SnapshotOf makes the snapshot for a receiver that has the configuration of configSeq.
+// NewSnapshot returns the snapshot for a receiver that has the configuration of configSeq.
 func NewSnapshot(s *replicated.State, configSeq uint64) *Snapshot {
-	out := &Snapshot{
+	snapshot := &Snapshot{
 		Seq: s.Seq, ConfigSeq: s.ConfigSeq,
 		Evacuated: s.Evacuated, Restored: s.Restored, Models: s.Models, Leases: s.Leases,
 	}
 	if s.ConfigSeq != configSeq {
-		out.Config = s.Config
+		snapshot.Config = s.Config
 	}
-	return out
+	return snapshot
 }
 
 // Outcomes of a submitted operation.
 const (
-	OutcomeCommitted = 0 // committed, now or before
+	OutcomeCommitted = 0 // committed, by this request or an earlier one
 	OutcomeConflict  = 1
 	OutcomeInvalid   = 2
-	OutcomeUnknown   = 3 // it may have been taken or not
-	OutcomeOutdated  = 4 // it was not taken: a newer order came before it
+	OutcomeUnknown   = 3 // it may or may not be committed
+	OutcomeOutdated  = 4 // not committed: a newer operation came first
 )
 
-// SubmitRequest hands an operation to the head.
+// SubmitRequest submits an operation to the head of the chain.
 type SubmitRequest struct {
 	Operation replicated.Operation `cbor:"1,keyasint"`
-	Forwarded bool                 `cbor:"2,keyasint"` // by a controller: it is not to be forwarded again
+	Forwarded bool                 `cbor:"2,keyasint"` // by a controller; it must not be forwarded again
 }
 
-// SubmitReply is what became of it.
+// SubmitReply is the outcome of a submitted operation.
 type SubmitReply struct {
 	Outcome      int    `cbor:"1,keyasint"`
 	Seq          uint64 `cbor:"2,keyasint"`
 	Reason       string `cbor:"3,keyasint"`
-	FencingToken uint64 `cbor:"4,keyasint,omitempty"` // of a duty that was taken over
-	// QuietMS is how long ago the duty's former holder asked for its last confirmation, at the least; 0 if that is not known.
+	FencingToken uint64 `cbor:"4,keyasint,omitempty"` // of the lease, if the operation acquires one
+	// PredecessorIdleMS is a lower bound on the time since the previous holder of the lease requested its
+	// last renewal, in milliseconds. It is 0 if unknown.
 	PredecessorIdleMS int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ReadRequest asks the tail for the newest state, or for one zone's part of it alone.
+// ReadRequest reads the newest state from the tail of the chain, or only the part for Zone if it is set.
 type ReadRequest struct {
 	Zone string `cbor:"1,keyasint,omitempty"`
 }
 
-// ReadReply is the newest configuration, and the duties.
+// ReadReply has the newest configuration and the leases.
 type ReadReply struct {
 	Seq    uint64                            `cbor:"1,keyasint"`
 	Config []byte                            `cbor:"2,keyasint"`
 	Leases map[string]replicated.LeaseRecord `cbor:"3,keyasint,omitempty"`
-	// ZoneSeq is the number of the newest order for the zone that was asked for.
+	// ZoneSeq is the sequence number of the newest operation on the requested zone.
 	ZoneSeq uint64 `cbor:"4,keyasint,omitempty"`
 }
