--- a/internal/feed/index.go
+++ b/internal/feed/index.go
@@ -6,8 +6,9 @@
 	"nettlefold/internal/kvindex"
 )
 
-// TakeIndex applies what a reply tells of the prompts that backends keep, and notes in the next request how far it got and of which backends
-// the whole is wanted. The request's earlier copies keep their own.
+// ApplyIndex applies the prefix cache batches of a reply to the index, and sets in the next request the
+// number of applied batches and the backends that need a full snapshot. Copies of the request that were made
+// earlier keep their own list of backends.
 func (r *Request) ApplyIndex(index *kvindex.Index, reply *Reply) {
 	if reply.Reset {
 		for _, id := range index.Backends() {
@@ -18,18 +19,18 @@
 	r.BatchCount = reply.BatchCount
 	for _, b := range reply.Batches {
 		applied := index.Apply(b)
-		wanted := slices.Index(r.ResyncBackends, b.Backend)
+		pending := slices.Index(r.ResyncBackends, b.Backend)
 		switch {
-		case applied && b.Snapshot && wanted >= 0:
-			r.ResyncBackends = slices.Delete(slices.Clone(r.ResyncBackends), wanted, wanted+1)
-		case !applied && wanted < 0:
+		case applied && b.Snapshot && pending >= 0:
+			r.ResyncBackends = slices.Delete(slices.Clone(r.ResyncBackends), pending, pending+1)
+		case !applied && pending < 0:
 			r.ResyncBackends = append(slices.Clone(r.ResyncBackends), b.Backend)
 		}
 	}
 }
 
-// ForgetBackend drops what is known of a backend that is gone.
-func (r *Request) ForgetBackend(index *kvindex.Index, id string) {
+// RemoveBackend removes a backend that no longer exists from the index and from the backends to resync.
+func (r *Request) RemoveBackend(index *kvindex.Index, id string) {
 	index.Remove(id)
-	r.ResyncBackends = slices.DeleteFunc(slices.Clone(r.ResyncBackends), func(wanted string) bool { return wanted == id })
+	r.ResyncBackends = slices.DeleteFunc(slices.Clone(r.ResyncBackends), func(backend string) bool { return backend == id })
 }
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -9,38 +9,40 @@
 	"nettlefold/internal/dispatch"
 )
 
-// ReadList is the platform's list as it was read: the whole list, or the changes to the list whose digest is Base, or nothing but its digest
-// where it did not change. Receivers share it and do not change it.
+// ListUpdate is the result of reading the platform's list of backends: the full list, the changes since the
+// list with digest BaseDigest, or only the digest if nothing changed. Receivers share it and must not modify
+// it.
 type ListUpdate struct {
-	Digest     uint64                 `cbor:"1,keyasint"` // digest of the list
+	Digest     uint64                 `cbor:"1,keyasint"` // of the list that was read
 	Full       bool                   `cbor:"3,keyasint,omitempty"`
-	Backends   []dispatch.BackendInfo `cbor:"2,keyasint,omitempty"` // all of them, if Whole
+	Backends   []dispatch.BackendInfo `cbor:"2,keyasint,omitempty"` // all of them, if Full is set
 	BaseDigest uint64                 `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
 	Changed    []dispatch.BackendInfo `cbor:"5,keyasint,omitempty"`
-	Removed    []string               `cbor:"6,keyasint,omitempty"` // identities
-	// Number orders readings: each reader adds one to the highest that it knows.
+	Removed    []string               `cbor:"6,keyasint,omitempty"` // backend IDs
+	// Revision orders the reads: each reader adds one to the highest revision that it knows.
 	Revision uint64 `cbor:"8,keyasint"`
-	AgeMS    int64  `cbor:"7,keyasint,omitempty"` // between the beginning of the reading and the sending of this message
+	AgeMS    int64  `cbor:"7,keyasint,omitempty"` // from the start of the read to the sending of this message
 }
 
-// ListRequest asks an agent for its list, by the digest of the caller's.
+// ListRequest requests the list of an agent, or its changes since the caller's list.
 type ListRequest struct {
-	Digest uint64 `cbor:"1,keyasint"` // 0 if it has none
+	Digest uint64 `cbor:"1,keyasint"` // of the caller's list, 0 if it has none
 }
 
-// emptyListSum is the digest of a list without entries; 0 is that of no list.
+// emptyListDigest is the digest of an empty list; 0 stands for no list.
 const emptyListDigest = 1
 
-// sorted encodes maps in one order.
+// canonicalCBOR encodes maps in a deterministic order.
 var canonicalCBOR, _ = cbor.CoreDetEncOptions().EncMode()
 
-// ListSum digests a list. The order of its entries does not matter, so the digest can be kept up to date by its changes.
+// ListDigest returns the digest of a list: the XOR of the digests of its entries. It doesn't depend on their
+// order, and can be updated from the changes alone.
 func ListDigest(list []dispatch.BackendInfo) uint64 {
-	sum := uint64(emptyListDigest)
+	digest := uint64(emptyListDigest)
 	for i := range list {
-		sum ^= entryDigest(&list[i])
+		digest ^= entryDigest(&list[i])
 	}
-	return sum
+	return digest
 }
 
 func entryDigest(entry *dispatch.BackendInfo) uint64 {
@@ -51,14 +53,14 @@
 	return xxhash.Sum64(encoded)
 }
 
-// WholeList makes news of a whole list.
+// NewFullListUpdate returns an update with the full list.
 func NewFullListUpdate(list []dispatch.BackendInfo) *ListUpdate {
 	return &ListUpdate{Digest: ListDigest(list), Full: true, Backends: list}
 }
 
-// ListChanges makes news of what leads from one list, whose digest is given, to another.
-func NewListDelta(from []dispatch.BackendInfo, fromSum uint64, to []dispatch.BackendInfo) *ListUpdate {
-	changes := &ListUpdate{Digest: fromSum, BaseDigest: fromSum}
+// NewListDelta returns the update that leads from one list, with digest fromDigest, to another.
+func NewListDelta(from []dispatch.BackendInfo, fromDigest uint64, to []dispatch.BackendInfo) *ListUpdate {
+	update := &ListUpdate{Digest: fromDigest, BaseDigest: fromDigest}
 	before := make(map[string]*dispatch.BackendInfo, len(from))
 	for i := range from {
 		before[from[i].ID] = &from[i]
@@ -69,106 +71,108 @@
 		delete(before, entry.ID)
 		switch {
 		case old == nil:
-			changes.Digest ^= entryDigest(entry)
+			update.Digest ^= entryDigest(entry)
 		case old.Equal(entry):
 			continue
 		default:
-			changes.Digest ^= entryDigest(old) ^ entryDigest(entry)
+			update.Digest ^= entryDigest(old) ^ entryDigest(entry)
 		}
-		changes.Changed = append(changes.Changed, *entry)
+		update.Changed = append(update.Changed, *entry)
 	}
 	for id, old := range before {
-		changes.Digest ^= entryDigest(old)
-		changes.Removed = append(changes.Removed, id)
+		update.Digest ^= entryDigest(old)
+		update.Removed = append(update.Removed, id)
 	}
-	if !changes.hasChanges() {
-		changes.BaseDigest = 0
+	if !update.hasChanges() {
+		update.BaseDigest = 0
 	}
-	return changes
+	return update
 }
 
-// brings tells whether there are changes.
-func (r *ListUpdate) hasChanges() bool { return len(r.Changed) > 0 || len(r.Removed) > 0 }
+// hasChanges reports whether the update has changes to its base list.
+func (u *ListUpdate) hasChanges() bool { return len(u.Changed) > 0 || len(u.Removed) > 0 }
 
-// Apply gives the list that follows from the one whose digest is given. It fails where the news is of changes to another list.
-func (r *ListUpdate) Apply(list []dispatch.BackendInfo, sum uint64) (next []dispatch.BackendInfo, ok bool) {
+// Apply returns the list that results from applying the update to the list with the given digest. ok is
+// false if the update has changes to another list.
+func (u *ListUpdate) Apply(list []dispatch.BackendInfo, digest uint64) (next []dispatch.BackendInfo, ok bool) {
 	switch {
-	case r.Full:
-		return r.Backends, true
-	case r.Digest == sum:
+	case u.Full:
+		return u.Backends, true
+	case u.Digest == digest:
 		return list, true
-	case r.BaseDigest != sum || r.BaseDigest == 0:
+	case u.BaseDigest != digest || u.BaseDigest == 0:
 		return nil, false
 	}
-	replaced := make(map[string]*dispatch.BackendInfo, len(r.Changed))
-	for i := range r.Changed {
-		replaced[r.Changed[i].ID] = &r.Changed[i]
+	replaced := make(map[string]*dispatch.BackendInfo, len(u.Changed))
+	for i := range u.Changed {
+		replaced[u.Changed[i].ID] = &u.Changed[i]
 	}
-	next = make([]dispatch.BackendInfo, 0, len(list)+len(r.Changed))
+	next = make([]dispatch.BackendInfo, 0, len(list)+len(u.Changed))
 	for i := range list {
 		id := list[i].ID
 		if entry := replaced[id]; entry != nil {
 			next = append(next, *entry)
 			delete(replaced, id)
-		} else if !slices.Contains(r.Removed, id) {
+		} else if !slices.Contains(u.Removed, id) {
 			next = append(next, list[i])
 		}
 	}
-	for i := range r.Changed {
-		if replaced[r.Changed[i].ID] != nil {
-			next = append(next, r.Changed[i])
+	for i := range u.Changed {
+		if replaced[u.Changed[i].ID] != nil {
+			next = append(next, u.Changed[i])
 		}
 	}
 	return next, true
 }
 
-// Then joins news with what came after it, for a receiver that has neither. Where the two do not follow each other that of the later reading
-// stands alone.
-func (r *ListUpdate) Merge(later *ListUpdate) *ListUpdate {
-	if r == nil {
+// Merge combines an update with a later one, for a receiver that has neither. If the later one doesn't follow
+// from u, the update of the later read is returned alone. u may be nil.
+func (u *ListUpdate) Merge(later *ListUpdate) *ListUpdate {
+	if u == nil {
 		return later
 	}
-	if later.Revision < r.Revision {
-		return r
+	if later.Revision < u.Revision {
+		return u
 	}
-	out := *r.compose(later)
-	out.Revision = later.Revision
-	return &out
+	merged := *u.compose(later)
+	merged.Revision = later.Revision
+	return &merged
 }
 
-// before is what r and later bring together.
-func (r *ListUpdate) compose(later *ListUpdate) *ListUpdate {
+// compose returns the combination of u and later, or later if it doesn't follow from u.
+func (u *ListUpdate) compose(later *ListUpdate) *ListUpdate {
 	switch {
-	case later.Digest == r.Digest && !later.Full:
-		return r
-	case later.Full || later.BaseDigest != r.Digest || r.BaseDigest == 0 && !r.Full:
+	case later.Digest == u.Digest && !later.Full:
+		return u
+	case later.Full || later.BaseDigest != u.Digest || u.BaseDigest == 0 && !u.Full:
 		return later
-	case r.Full:
-		backends, _ := later.Apply(r.Backends, r.Digest)
+	case u.Full:
+		backends, _ := later.Apply(u.Backends, u.Digest)
 		return &ListUpdate{Digest: later.Digest, Full: true, Backends: backends}
 	}
-	return r.mergeChanges(later)
+	return u.mergeChanges(later)
 }
 
-// joined is the changes of both, of which the second follow the first.
-func (r *ListUpdate) mergeChanges(later *ListUpdate) *ListUpdate {
-	out := &ListUpdate{Digest: later.Digest, BaseDigest: r.BaseDigest, Changed: slices.Clone(later.Changed), Removed: slices.Clone(later.Removed)}
-	told := map[string]bool{}
+// mergeChanges returns the changes of both updates, of which later must follow from u. Entries of later
+// replace those of u.
+func (u *ListUpdate) mergeChanges(later *ListUpdate) *ListUpdate {
+	merged := &ListUpdate{Digest: later.Digest, BaseDigest: u.BaseDigest, Changed: slices.Clone(later.Changed), Removed: slices.Clone(later.Removed)}
+	replaced := map[string]bool{}
 	for i := range later.Changed {
-		told[later.Changed[i].ID] = true
+		replaced[later.Changed[i].ID] = true
 	}
 	for _, id := range later.Removed {
-		told[id] = true
+		replaced[id] = true
 	}
-	for i := range r.Changed {
-		if !told[r.Changed[i].ID] {
-			out.Changed = append(out.Changed, r.Changed[i])
+	for i := range u.Changed {
+		if !replaced[u.Changed[i].ID] {
+			merged.Changed = append(merged.Changed, u.Changed[i])
 		}
 	}
-	for _, id := range r.Removed {
-		if !told[id] {
-			out.Removed = append(out.Removed, id)
+	for _, id := range u.Removed {
+		if !replaced[id] {
+			merged.Removed = append(merged.Removed, id)
 		}
 	}
-	return out
+	return merged
 }
--- a/internal/feed/list_test.go
+++ b/internal/feed/list_test.go
@@ -11,8 +11,8 @@
 	"nettlefold/internal/dispatch"
 )
 
-// nextList is a list some entries of which came, went or changed.
-func nextList(random *rand.Rand, list []dispatch.BackendInfo) (next []dispatch.BackendInfo) {
+// randomSuccessor returns a list with random additions, removals and changes of entries.
+func randomSuccessor(random *rand.Rand, list []dispatch.BackendInfo) (next []dispatch.BackendInfo) {
 	for _, entry := range list {
 		switch random.IntN(8) {
 		case 0:
@@ -29,52 +29,52 @@
 	}
 	random.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] })
 	seen := map[string]bool{}
-	return slices.DeleteFunc(next, func(l dispatch.BackendInfo) bool {
-		twice := seen[l.ID]
-		seen[l.ID] = true
-		return twice
+	return slices.DeleteFunc(next, func(b dispatch.BackendInfo) bool {
+		duplicate := seen[b.ID]
+		seen[b.ID] = true
+		return duplicate
 	})
 }
 
-// TestChangesLeadToTheSameList: applied one by one, and joined over several readings, whatever came and went between.
-func TestChangesLeadToTheSameList(t *testing.T) {
+// TestListDelta applies the deltas between random lists one by one, and merged over several reads.
+func TestListDelta(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		first := nextList(random, nil)
-		from, fromSum := first, ListDigest(first)
-		var joined *ListUpdate
+		first := randomSuccessor(random, nil)
+		from, fromDigest := first, ListDigest(first)
+		var merged *ListUpdate
 		for range 1 + random.IntN(6) {
-			to := nextList(random, from)
-			news := NewListDelta(from, fromSum, to)
-			require.Equal(t, ListDigest(to), news.Digest)
-			next, ok := news.Apply(from, fromSum)
-			require.True(t, ok)
-			require.ElementsMatch(t, to, next)
-			joined = joined.Merge(news)
-			from, fromSum = to, news.Digest
+			to := randomSuccessor(random, from)
+			update := NewListDelta(from, fromDigest, to)
+			require.Equal(t, ListDigest(to), update.Digest, "seed %d", seed)
+			next, ok := update.Apply(from, fromDigest)
+			require.True(t, ok, "seed %d: delta not applied to its base list", seed)
+			require.ElementsMatch(t, to, next, "seed %d", seed)
+			merged = merged.Merge(update)
+			from, fromDigest = to, update.Digest
 		}
-		next, ok := joined.Apply(first, ListDigest(first))
-		require.True(t, ok)
-		require.ElementsMatch(t, from, next)
-		require.Equal(t, fromSum, ListDigest(next))
-		whole := NewFullListUpdate(first).Merge(joined)
-		next, ok = whole.Apply(nil, 0)
-		require.True(t, ok)
-		require.ElementsMatch(t, from, next)
+		next, ok := merged.Apply(first, ListDigest(first))
+		require.True(t, ok, "seed %d: merged delta not applied to the first list", seed)
+		require.ElementsMatch(t, from, next, "seed %d", seed)
+		require.Equal(t, fromDigest, ListDigest(next), "seed %d", seed)
+		full := NewFullListUpdate(first).Merge(merged)
+		next, ok = full.Apply(nil, 0)
+		require.True(t, ok, "seed %d: full update not applied", seed)
+		require.ElementsMatch(t, from, next, "seed %d", seed)
 	}
 }
 
-// TestChangesToAnotherListAreNotTaken: they are asked for instead.
-func TestChangesToAnotherListAreNotTaken(t *testing.T) {
+// TestApplyToOtherList checks that the changes of one list don't apply to another.
+func TestApplyToOtherList(t *testing.T) {
 	one, two := []dispatch.BackendInfo{{ID: "a"}}, []dispatch.BackendInfo{{ID: "a"}, {ID: "b"}}
-	news := NewListDelta(one, ListDigest(one), two)
-	_, ok := news.Apply(two[1:], ListDigest(two[1:]))
-	require.False(t, ok)
-	_, ok = news.Apply(nil, 0)
-	require.False(t, ok)
+	update := NewListDelta(one, ListDigest(one), two)
+	_, ok := update.Apply(two[1:], ListDigest(two[1:]))
+	require.False(t, ok, "applied to another list")
+	_, ok = update.Apply(nil, 0)
+	require.False(t, ok, "applied to no list")
 	_, ok = (&ListUpdate{Digest: ListDigest(two)}).Apply(nil, 0)
-	require.False(t, ok, "a digest alone brings nothing")
-	next, ok := news.Apply(two, ListDigest(two))
-	require.True(t, ok, "it is there already")
+	require.False(t, ok, "applied a digest without changes to no list")
+	next, ok := update.Apply(two, ListDigest(two))
+	require.True(t, ok, "not applied to the resulting list itself")
 	require.Equal(t, two, next)
 }
--- a/internal/feed/messages.go
+++ b/internal/feed/messages.go
@@ -1,5 +1,6 @@
-// Package feed has what an agent tells the proxy beside it over loopback, and what agents tell each other: the platform's list, news
-// of kept prompts, loads and phases of backends.
+// Package feed defines the messages from an agent to the proxy on the same machine, over loopback, and the
+// gossip between agents: the platform's list of backends, changes of their prefix caches, their loads and
+// their rollout phases.
 package feed
 
 import (
@@ -15,107 +16,111 @@
 const (
 	KindFeed         = "feed"  // proxy to agent: Request, Reply
 	KindLoads        = "loads" // one-way, proxy to agent: map of dispatch.Load
-	KindGossip       = "news"  // one-way, agent to agent: News
-	KindBackendIndex = "whole" // agent to agent: WholeRequest, kvindex.Batch
+	KindGossip       = "news"  // one-way, agent to agent: GossipMessage
+	KindBackendIndex = "whole" // agent to agent: BackendIndexRequest, kvindex.Batch
 	KindPing         = "ping"  // agent to agent
-	KindList         = "list"  // agent to agent: ListRequest, ReadList
+	KindList         = "list"  // agent to agent: ListRequest, ListUpdate
 )
 
-// MostChanges bounds the changes of one reply, but for one batch that has more by itself.
+// MaxChangesPerReply bounds the prefix cache changes of one reply. A single batch may exceed it.
 const MaxChangesPerReply = 4000
 
-// Request says what a proxy has and what it has at backends.
+// Request is a long poll of a proxy for updates, with the versions that it has.
 type Request struct {
-	AgentID       string `cbor:"1,keyasint"` // life of the agent that the numbers below are of
-	SnapshotSeq   uint64 `cbor:"2,keyasint"` // number of the snapshot in force
+	AgentID       string `cbor:"1,keyasint"` // agent incarnation that the revisions below belong to
+	SnapshotSeq   uint64 `cbor:"2,keyasint"` // of the snapshot in force
 	ListRevision  uint64 `cbor:"3,keyasint"`
-	BatchCount    uint64 `cbor:"4,keyasint"` // batches taken
+	BatchCount    uint64 `cbor:"4,keyasint"` // prefix cache batches received
 	MembersDigest uint64 `cbor:"5,keyasint"`
-	ConfigSeq     uint64 `cbor:"7,keyasint"` // number of the configuration in force
-	LoadsRevision uint64 `cbor:"8,keyasint"` // number of the others' loads that it has
-	// Want names backends of which it must be told all that is known, as it begins anew or missed a change.
+	ConfigSeq     uint64 `cbor:"7,keyasint"` // of the configuration in force
+	LoadsRevision uint64 `cbor:"8,keyasint"` // of the other mixers' loads
+	// ResyncBackends lists the backends that need a full prefix cache snapshot, because the proxy started
+	// or missed a change.
 	ResyncBackends []string `cbor:"9,keyasint,omitempty"`
 }
 
-// Reply brings what is newer. Changes of what backends keep may be many and can wait: they come in pieces of MostChanges at most, and not
-// together with a snapshot.
+// Reply has the updates that the proxy lacks. Prefix cache changes may be many and aren't urgent: they are
+// sent in parts of at most MaxChangesPerReply, and never together with a snapshot of the control state.
 type Reply struct {
 	AgentID  string               `cbor:"1,keyasint"`
 	Snapshot *distribute.Snapshot `cbor:"2,keyasint,omitempty"`
-	// Ages has, for each model, how long ago its versions were named, and HeldMS for how long the call was held before they were written.
+	// VersionAges has, for each model, the ages of its announced versions, and LongPollMS a lower bound on
+	// the time between the receipt of the request and the writing of the ages, in milliseconds.
 	VersionAges   map[string][]superseded.Age `cbor:"12,keyasint,omitempty"`
 	LongPollMS    int64                       `cbor:"13,keyasint,omitempty"`
 	List          *List                       `cbor:"4,keyasint,omitempty"`
-	Reset         bool                        `cbor:"5,keyasint,omitempty"` // nothing that was told before of Known or other backends holds
-	KnownBackends []string                    `cbor:"11,keyasint,omitempty"`
+	Reset         bool                        `cbor:"5,keyasint,omitempty"`  // discard all earlier batches, of any backend
+	KnownBackends []string                    `cbor:"11,keyasint,omitempty"` // with Reset, the backends to resync
 	Batches       []*kvindex.Batch            `cbor:"6,keyasint,omitempty"`
 	BatchCount    uint64                      `cbor:"7,keyasint"`
 	Members       *distribute.MemberSet       `cbor:"8,keyasint,omitempty"`
 	Loads         map[string]dispatch.Load    `cbor:"9,keyasint,omitempty"` // of all other mixers together
-	LoadsRevision uint64                      `cbor:"10,keyasint"`          // their number
+	LoadsRevision uint64                      `cbor:"10,keyasint"`
 }
 
-// List is the backends as the platform's list has them, and what owners of orders add: all of them, or what changed since the list of a
-// number. Phases has those of Backends.
+// List has the backends of the platform's list with their rollout phases: all of them, or those that changed
+// since a base revision. Phases has the phases of Backends.
 type List struct {
 	Revision     uint64                 `cbor:"1,keyasint"`
-	BaseRevision uint64                 `cbor:"4,keyasint,omitempty"` // 0 for all
+	BaseRevision uint64                 `cbor:"4,keyasint,omitempty"` // 0 if Backends has all of them
 	Backends     []dispatch.BackendInfo `cbor:"2,keyasint"`
-	Removed      []string               `cbor:"5,keyasint,omitempty"` // identities
-	Phases       map[string]string      `cbor:"3,keyasint,omitempty"`
+	Removed      []string               `cbor:"5,keyasint,omitempty"` // backend IDs
+	Phases       map[string]string      `cbor:"3,keyasint,omitempty"` // by backend ID
 }
 
-// News is what agents tell each other. Each tells the hub of its zone; hubs tell each other, and the agents of their zones. A hop passes
-// on what came together since the last time.
+// GossipMessage has updates that agents exchange. Each agent sends to the hub of its zone; hubs send to each
+// other and to the agents of their zones. Each hop forwards what has accumulated since its last message.
 type GossipMessage struct {
-	From    string           `cbor:"1,keyasint"` // the agent's address
+	From    string           `cbor:"1,keyasint"` // address of the sending agent
 	Hop     int              `cbor:"2,keyasint"`
 	Loads   *Loads           `cbor:"3,keyasint,omitempty"`
 	List    *ListUpdate      `cbor:"4,keyasint,omitempty"`
 	Batches []*kvindex.Batch `cbor:"5,keyasint,omitempty"`
 	Phases  map[string]Phase `cbor:"6,keyasint,omitempty"`
-	RelayTo []string         `cbor:"7,keyasint,omitempty"` // addresses that the receiver passes it on to
+	RelayTo []string         `cbor:"7,keyasint,omitempty"` // addresses that the receiver forwards the message to
 }
 
-// Hops of news.
+// Hops of gossip.
 const (
 	HopToHub    = 1 // from an agent to the hub of its zone
-	HopHubToHub = 2 // to the hubs of the other zones
+	HopHubToHub = 2 // from a hub to the hubs of the other zones
 	HopFromHub  = 3 // from a hub to the agents of its zone
 )
 
-// BackendKey names a backend in news of loads, which is told many times a second: a digest of its identity. Two backends with one key would
-// each be taken for as loaded as both.
+// BackendKey identifies a backend in updates of loads, which are sent many times a second: a digest of its
+// ID. If two backends had the same key, each would get the load of both.
 type BackendKey uint32
 
-// KeyOf is the key of a backend.
+// BackendKeyOf returns the key of a backend ID.
 func BackendKeyOf(backend string) BackendKey { return BackendKey(xxhash.Sum64String(backend)) }
 
-// Loads is what is at backends: from an agent its own, between hubs a zone's, from a hub all mixers' together.
+// Loads has the loads of backends: from an agent those of its own mixer, between hubs those of a zone, and
+// from a hub those of all mixers together.
 type Loads struct {
-	Changed map[BackendKey]dispatch.Load `cbor:"1,keyasint,omitempty"` // those that changed; all if All
+	Changed map[BackendKey]dispatch.Load `cbor:"1,keyasint,omitempty"` // all of them if Full is set
 	Full    bool                         `cbor:"2,keyasint,omitempty"`
 }
 
-// Phase is what the owner of orders tells of a backend.
+// Phase is the rollout phase of a backend, published by the agent that runs the rollout.
 type Phase struct {
-	Name    string `cbor:"1,keyasint"` // dispatch.Phase...
+	Name    string `cbor:"1,keyasint"` // one of the phase names of package dispatch
 	Model   string `cbor:"2,keyasint,omitempty"`
-	Version int64  `cbor:"3,keyasint,omitempty"` // that it has now, 0 if that is not told
-	// Fence is the token under which it was told, and Number counts what the holder of that token told.
+	Version int64  `cbor:"3,keyasint,omitempty"` // that the backend has now, 0 if unknown
+	// FencingToken is the token of the publisher's lease, and Seq counts what was published under it.
 	FencingToken uint64 `cbor:"4,keyasint,omitempty"`
 	Seq          uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Before tells whether o was told after p: by a later holder of the duty, or later by the same one.
-func (p Phase) Before(o Phase) bool {
-	if p.FencingToken != o.FencingToken {
-		return p.FencingToken < o.FencingToken
+// Before reports whether p was published before other: by an earlier holder of the lease, or earlier by the
+// same one.
+func (p Phase) Before(other Phase) bool {
+	if p.FencingToken != other.FencingToken {
+		return p.FencingToken < other.FencingToken
 	}
-	return p.Seq < o.Seq
+	return p.Seq < other.Seq
 }
 
-// WholeRequest asks for all that is known of a backend.
+// BackendIndexRequest requests a snapshot of the prefix cache of a backend.
 type BackendIndexRequest struct {
 	Backend string `cbor:"1,keyasint"`
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -279,7 +279,7 @@
 	}
 	p.have.ListRevision = list.Revision
 	for _, id := range gone {
-		p.have.ForgetBackend(p.table.Index(), id)
+		p.have.RemoveBackend(p.table.Index(), id)
 		p.dropPool(id)
 		p.attempts.left(id)
 	}
