--- a/internal/leases/lease_test.go
+++ b/internal/leases/lease_test.go
@@ -66,7 +66,7 @@
 	noTakeoverDelay   bool // a successor doesn't wait
 	countFromReceipt  bool // a renewal is valid from when its reply arrives
 	staleTracker      bool // a head keeps the renewals of an older epoch
-	idleWithRoundTrip bool // a successor adds its own round trip to the predecessor's idle time
+	idleWithRoundTrip bool // a successor adds its round trip and two ticks to the predecessor's idle time
 }
 
 // newWorld returns a world with the given number of holders and possible changes of the head. fenced
@@ -210,7 +210,8 @@
 func (w *world) Fingerprint() string {
 	sorted := w.clone()
 	slices.SortFunc(sorted.replies, func(a, b renewalReply) int {
-		return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.requestedAt, b.requestedAt), cmp.Compare(a.fencingToken, b.fencingToken), cmp.Compare(a.predecessorIdle, b.predecessorIdle))
+		return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.requestedAt, b.requestedAt),
+			cmp.Compare(a.fencingToken, b.fencingToken), cmp.Compare(a.predecessorIdle, b.predecessorIdle))
 	})
 	slices.SortFunc(sorted.actions, func(a, b action) int {
 		return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.sentAt, b.sentAt))
--- a/internal/superseded/propagation_test.go
+++ b/internal/superseded/propagation_test.go
@@ -49,7 +49,10 @@
 func newModel() *model {
 	m := &model{announced: History{{1, -1}}}
 	for i := range m.controllers {
-		m.controllers[i] = &process{clockOffset: time.Duration(i+1) * time.Hour, newest: 1, history: History{}.With(1, DistantPast), lastContact: DistantPast, hasState: true}
+		m.controllers[i] = &process{
+			clockOffset: time.Duration(i+1) * time.Hour, newest: 1,
+			history: History{}.With(1, DistantPast), lastContact: DistantPast, hasState: true,
+		}
 	}
 	m.agent = &process{clockOffset: -3 * time.Hour, lastContact: DistantPast}
 	m.proxy = &process{clockOffset: 7 * time.Hour, lastContact: DistantPast}
@@ -141,7 +144,8 @@
 				return fmt.Errorf("version %d isn't superseded, but the newest is %d", version, p.newest)
 			}
 			if since > announced+p.clockOffset {
-				return fmt.Errorf("version %d: superseded %v, want no later than %v: %v late", version, since, announced+p.clockOffset, since-announced-p.clockOffset)
+				return fmt.Errorf("version %d: superseded %v, want no later than %v: %v late",
+					version, since, announced+p.clockOffset, since-announced-p.clockOffset)
 			}
 		}
 	}
