--- a/cmd/nettlefold/tools.go
+++ b/cmd/nettlefold/tools.go
@@ -43,7 +43,7 @@
 			if err != nil {
 				return err
 			}
-			if err := report.Fault(); err != nil {
+			if err := report.Verify(); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), args[0], "is sound")
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -15,9 +15,9 @@
 )
 
 // headOf is the machine that takes the writes.
-func (w *world) headOf() string {
+func (w *testCluster) headIP() string {
 	for ip, m := range w.machines {
-		if now := m.controller.public.Load(); now.current && now.view.Head() == now.self {
+		if now := m.controller.published.Load(); now.current && now.view.Head() == now.self {
 			return ip
 		}
 	}
@@ -26,28 +26,28 @@
 }
 
 // failDisk has the next write of a machine fail; its controller opens the disk anew some time after.
-func (w *world) failDisk(ip string) {
+func (w *testCluster) failDisk(ip string) {
 	c := w.machines[ip].controller
 	c.enqueue(commandOther, func() { c.store.Close() })
 }
 
 // TestAWriteThatTheDiskRefused: the head takes an order, its disk refuses it, and half a second later works again, in the same epoch. Meanwhile
 // a rival comes, which gets the number that the first one had. One of the two is confirmed, whenever the rival comes.
-func TestAWriteThatTheDiskRefused(t *testing.T) {
+func TestFailedWriteAndConcurrentWriteCommitAtMostOne(t *testing.T) {
 	for later := time.Duration(0); later <= 600*time.Millisecond; later += 25 * time.Millisecond {
-		inWorld(t, uint64(later), func(w *world, random *rand.Rand) {
-			require.True(t, w.taken(3*time.Second, random))
-			head := w.headOf()
-			version, ok := w.get(head)
+		runCluster(t, uint64(later), func(w *testCluster, random *rand.Rand) {
+			require.True(t, w.commitWithin(3*time.Second, random))
+			head := w.headIP()
+			version, ok := w.getConfig(head)
 			require.True(t, ok)
 			c := w.machines[head].controller
 			var before chain.View
 			c.enqueue(commandOther, func() { before = c.replica.View() })
 			w.failDisk(head)
 			first := make(chan simtest.Outcome)
-			go func() { first <- w.put(head, version, version+1, "refused by the disk") }()
+			go func() { first <- w.putConfig(head, version, version+1, "refused by the disk") }()
 			time.Sleep(later)
-			outcomes := []simtest.Outcome{w.put(head, version, version+1, "the rival"), <-first}
+			outcomes := []simtest.Outcome{w.putConfig(head, version, version+1, "the rival"), <-first}
 			taken := 0
 			for _, o := range outcomes {
 				if o == simtest.Taken {
@@ -55,17 +55,17 @@
 				}
 			}
 			require.LessOrEqual(t, taken, 1, "%v later: %v", later, outcomes)
-			require.Equal(t, before.Epoch, c.public.Load().view.Epoch, "the core did not even notice")
-			require.True(t, w.taken(3*time.Second, random))
+			require.Equal(t, before.Epoch, c.published.Load().view.Epoch, "the core did not even notice")
+			require.True(t, w.commitWithin(3*time.Second, random))
 		})
 	}
 }
 
 // TestADutyThatIsTakenOverAtOnce: the reply to who takes a duty names the token that it got, though another holder has taken the duty over
 // before the reply is made; no two holders are told one token.
-func TestADutyThatIsTakenOverAtOnce(t *testing.T) {
-	inWorld(t, 1, func(w *world, _ *rand.Rand) {
-		head := w.headOf()
+func TestLeaseFencingTokenUnderImmediateTakeover(t *testing.T) {
+	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
+		head := w.headIP()
 		c := w.machines[head].controller
 		take := func(holder string, fence uint64) *distribute.SubmitReply {
 			return c.submit(w.t.Context(), &distribute.SubmitRequest{Operation: replicated.Operation{
@@ -80,7 +80,7 @@
 			go func() { replies <- take(first, previous) }()
 			var overtaking *distribute.SubmitReply
 			for overtaking == nil || overtaking.Outcome != distribute.OutcomeCommitted {
-				held := c.public.Load().state.Leases["orders/m"]
+				held := c.published.Load().state.Leases["orders/m"]
 				if held.Holder != first {
 					time.Sleep(100 * time.Microsecond)
 					continue
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -17,10 +17,10 @@
 )
 
 // maxOrderBytes bounds the body of a call to the API.
-const maxOrderBytes = 8 << 20
+const maxRequestBodyBytes = 8 << 20
 
 // problem is the body of an answer that refuses.
-type problem struct {
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
@@ -30,8 +30,8 @@
 	e.HideBanner, e.HidePort = true, true
 	e.PUT("/v1/configuration", c.putConfiguration)
 	e.GET("/v1/configuration", c.getConfiguration)
-	e.POST("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.evacuation(ctx, replicated.KindEvacuate) })
-	e.DELETE("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.evacuation(ctx, replicated.KindRestore) })
+	e.POST("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.changeEvacuation(ctx, replicated.KindEvacuate) })
+	e.DELETE("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.changeEvacuation(ctx, replicated.KindRestore) })
 	e.POST("/v1/version-put", c.putVersion)
 	e.GET("/v1/status", c.getStatus)
 	e.GET("/v1/readiness", func(ctx echo.Context) error { return ctx.NoContent(http.StatusOK) })
@@ -49,62 +49,62 @@
 }
 
 func (c *Controller) putConfiguration(ctx echo.Context) error {
-	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxOrderBytes+1))
+	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxRequestBodyBytes+1))
 	if err != nil {
-		return ctx.JSON(http.StatusBadRequest, problem{"the body cannot be read: " + err.Error()})
+		return ctx.JSON(http.StatusBadRequest, errorResponse{"the body cannot be read: " + err.Error()})
 	}
-	if len(body) > maxOrderBytes {
-		return ctx.JSON(http.StatusRequestEntityTooLarge, problem{"the body is too large"})
+	if len(body) > maxRequestBodyBytes {
+		return ctx.JSON(http.StatusRequestEntityTooLarge, errorResponse{"the body is too large"})
 	}
 	base := int64(0)
 	if match := strings.Trim(ctx.Request().Header.Get("If-Match"), `" `); match != "" {
 		if base, err = strconv.ParseInt(match, 10, 64); err != nil {
-			return ctx.JSON(http.StatusBadRequest, problem{"If-Match is no version: " + match})
+			return ctx.JSON(http.StatusBadRequest, errorResponse{"If-Match is no version: " + match})
 		}
 	}
-	return c.order(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindConfig, Body: body, BaseVersion: base})
+	return c.submitAndRespond(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindConfig, Body: body, BaseVersion: base})
 }
 
 // order submits an operation and answers for it.
-func (c *Controller) order(ctx echo.Context, limited context.Context, o replicated.Operation) error {
+func (c *Controller) submitAndRespond(ctx echo.Context, limited context.Context, o replicated.Operation) error {
 	reply := c.submit(limited, &distribute.SubmitRequest{Operation: o})
 	c.log.Debug().Str("step", "order").Str("kind", o.Kind).Int("outcome", reply.Outcome).Uint64("seq", reply.Seq).Str("reason", reply.Reason).Msg("order")
 	switch reply.Outcome {
 	case distribute.OutcomeCommitted:
 		return ctx.JSON(http.StatusOK, struct{}{})
 	case distribute.OutcomeConflict:
-		return ctx.JSON(http.StatusPreconditionFailed, problem{reply.Reason})
+		return ctx.JSON(http.StatusPreconditionFailed, errorResponse{reply.Reason})
 	case distribute.OutcomeInvalid:
-		return ctx.JSON(http.StatusBadRequest, problem{reply.Reason})
+		return ctx.JSON(http.StatusBadRequest, errorResponse{reply.Reason})
 	}
-	return ctx.JSON(http.StatusServiceUnavailable, problem{reply.Reason})
+	return ctx.JSON(http.StatusServiceUnavailable, errorResponse{reply.Reason})
 }
 
 func (c *Controller) getConfiguration(ctx echo.Context) error {
 	reply, err := c.read(ctx.Request().Context(), &distribute.ReadRequest{})
 	if err != nil {
-		return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
+		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
 	if len(reply.Config) == 0 {
-		return ctx.JSON(http.StatusNotFound, problem{"no configuration was taken yet"})
+		return ctx.JSON(http.StatusNotFound, errorResponse{"no configuration was taken yet"})
 	}
 	return ctx.Blob(http.StatusOK, echo.MIMEApplicationJSON, reply.Config)
 }
 
 // evacuation evacuates a zone or takes that back, on top of the newest order for the zone: held up on its way to the head, it must not
 // undo one that came after it.
-func (c *Controller) evacuation(ctx echo.Context, kind string) error {
+func (c *Controller) changeEvacuation(ctx echo.Context, kind string) error {
 	zone := ctx.Param("zone")
 	if _, known := c.settings.Zones[zone]; !known {
-		return ctx.JSON(http.StatusNotFound, problem{"there is no zone " + zone})
+		return ctx.JSON(http.StatusNotFound, errorResponse{"there is no zone " + zone})
 	}
-	limited, cancel := context.WithTimeout(ctx.Request().Context(), callLimit)
+	limited, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
 	defer cancel()
 	newest, err := c.read(limited, &distribute.ReadRequest{Zone: zone})
 	if err != nil {
-		return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
+		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
-	return c.order(ctx, limited, replicated.Operation{Kind: kind, Zone: zone, BaseZoneSeq: newest.ZoneSeq})
+	return c.submitAndRespond(ctx, limited, replicated.Operation{Kind: kind, Zone: zone, BaseZoneSeq: newest.ZoneSeq})
 }
 
 func (c *Controller) putVersion(ctx echo.Context) error {
@@ -112,9 +112,9 @@
 		Model   string `json:"model"`
 		Version int64  `json:"version"`
 	}
-	decoder := json.NewDecoder(io.LimitReader(ctx.Request().Body, maxOrderBytes))
+	decoder := json.NewDecoder(io.LimitReader(ctx.Request().Body, maxRequestBodyBytes))
 	if err := decoder.Decode(&order); err != nil || order.Model == "" || order.Version < 1 {
-		return ctx.JSON(http.StatusBadRequest, problem{"want a model and a version of at least 1"})
+		return ctx.JSON(http.StatusBadRequest, errorResponse{"want a model and a version of at least 1"})
 	}
-	return c.order(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindVersion, Model: order.Model, Version: order.Version})
+	return c.submitAndRespond(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindVersion, Model: order.Model, Version: order.Version})
 }
--- a/internal/controller/fleet_load_test.go
+++ b/internal/controller/fleet_load_test.go
@@ -17,32 +17,32 @@
 )
 
 // loadFleet is core machines and the sessions of many agents on loopback addresses, for benchmarks.
-type loadFleet struct {
+type benchmarkFleet struct {
 	controllers []*Controller
 	replies     atomic.Int64
 	memberSets  atomic.Int64
 }
 
 const (
-	loadCores  = 9
-	loadAgents = 291
-	loadPort   = 21340
+	benchmarkControllers = 9
+	benchmarkAgents      = 291
+	benchmarkPort        = 21340
 	// loadCallLimit is an agent's patience with a controller.
-	loadCallLimit = 800 * time.Millisecond
+	benchmarkCallTimeout = 800 * time.Millisecond
 )
 
-func loadIP(i int) string { return fmt.Sprintf("127.0.7.%d", i+1) }
+func benchmarkIP(i int) string { return fmt.Sprintf("127.0.7.%d", i+1) }
 
-func (f *loadFleet) startCores(ctx context.Context, b *testing.B) {
+func (f *benchmarkFleet) startControllers(ctx context.Context, b *testing.B) {
 	seeds := []string{}
 	for i := range 3 {
-		seeds = append(seeds, loadIP(i)+":21783")
+		seeds = append(seeds, benchmarkIP(i)+":21783")
 	}
-	for i := range loadCores {
-		ip := loadIP(i)
+	for i := range benchmarkControllers {
+		ip := benchmarkIP(i)
 		settings := &local.Settings{
 			NodeName: "core-" + ip, IP: ip, Zone: fmt.Sprint("z", i%6), Zones: map[string]string{"z0": "r"}, ControlAddr: ip + ":21783",
-			FirstStart: true, FirstPort: loadPort, LastPort: loadPort + 10, MachineFaultTolerance: 2, DataDirectory: b.TempDir(), Seeds: seeds,
+			FirstStart: true, FirstPort: benchmarkPort, LastPort: benchmarkPort + 10, MachineFaultTolerance: 2, DataDirectory: b.TempDir(), Seeds: seeds,
 		}
 		c, err := New(settings, zerolog.Nop())
 		require.NoError(b, err)
@@ -52,7 +52,7 @@
 }
 
 // runAgent keeps one agent's session, as its program does.
-func (f *loadFleet) runAgent(ctx context.Context, i int) {
+func (f *benchmarkFleet) runAgent(ctx context.Context, i int) {
 	pool := rpc.NewPool()
 	defer pool.Close()
 	self := distribute.Agent{ID: fmt.Sprintf("front-zone-%d/%016x%04x", i, time.Now().UnixNano(), i), Addr: fmt.Sprintf("10.0.%d.%d:7340", i/250, i%250), Zone: fmt.Sprint("z", i%6)}
@@ -64,7 +64,7 @@
 	for at := 0; ctx.Err() == nil; {
 		addr := rendezvous.Top("session/"+self.Addr, known, len(known))[at%len(known)]
 		reply := new(distribute.WatchReply)
-		if err := pool.Call(ctx, loadCallLimit, addr, distribute.KindWatch, &request, reply); err != nil || !reply.HasQuorum {
+		if err := pool.Call(ctx, benchmarkCallTimeout, addr, distribute.KindWatch, &request, reply); err != nil || !reply.HasQuorum {
 			at++
 			continue
 		}
@@ -84,23 +84,23 @@
 }
 
 // BenchmarkStartOfALargeFleet starts all machines at once and reports what the controllers did for so long.
-func BenchmarkStartOfALargeFleet(b *testing.B) {
+func BenchmarkLargeFleetStart(b *testing.B) {
 	for range b.N {
 		ctx, cancel := context.WithCancel(context.Background())
-		f := new(loadFleet)
-		f.startCores(ctx, b)
-		for i := range loadAgents {
+		f := new(benchmarkFleet)
+		f.startControllers(ctx, b)
+		for i := range benchmarkAgents {
 			go f.runAgent(ctx, i)
 		}
 		time.Sleep(10 * time.Second)
 		var busy time.Duration
 		var epoch uint64
 		for _, c := range f.controllers {
-			require.NoError(b, c.ask(ctx, func() {
-				work := c.worked
-				work.add(&c.work)
-				for i := range work.kinds {
-					busy += work.kinds[i].busy
+			require.NoError(b, c.runInLoop(ctx, func() {
+				work := c.totalStats
+				work.add(&c.recentStats)
+				for i := range work.commands {
+					busy += work.commands[i].busy
 				}
 				epoch = max(epoch, c.replica.View().Epoch)
 			}))
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -20,10 +20,10 @@
 	commandSession                    // an agent's call
 	commandTable                      // the agents that have a session with another controller
 	commandTick                       // the regular work; it never waits in the queue
-	commandKinds
+	commandKindCount
 )
 
-var commandNames = [commandKinds]string{"other", "chain", "session", "table", "tick"}
+var commandNames = [commandKindCount]string{"other", "chain", "session", "table", "tick"}
 
 // command is work for the owner.
 type command struct {
@@ -33,44 +33,44 @@
 }
 
 // slowOwner is the wait in the queue, or the lateness of a tick, from which a second's work is worth a line in the log.
-const slowOwner = 150 * time.Millisecond
+const slowLoopThreshold = 150 * time.Millisecond
 
 // kindWork counts the commands of one kind.
-type kindWork struct {
-	count   int
-	busy    time.Duration
-	longest time.Duration // wait in the queue
+type commandStats struct {
+	count       int
+	busy        time.Duration
+	longestWait time.Duration // wait in the queue
 }
 
 // ownerWork counts the work of the owner since a time.
-type ownerWork struct {
-	since    time.Time
-	kinds    [commandKinds]kindWork
-	queue    int           // most commands that waited
-	tickLate time.Duration // at most
-	lastTick time.Time
+type loopStats struct {
+	since          time.Time
+	commands       [commandKindCount]commandStats
+	maxQueueLength int           // most commands that waited
+	maxTickDelay   time.Duration // at most
+	lastTick       time.Time
 }
 
 // replyCounts counts what agents' calls were answered with since the start.
-type replyCounts struct {
-	replies    atomic.Int64
-	outOfTouch atomic.Int64 // of them, while this controller was out of touch with the core's majority
-	members    atomic.Int64 // that brought all members
-	changes    atomic.Int64 // that brought what changed of them
-	snapshots  atomic.Int64 // that brought a snapshot
+type replyCounters struct {
+	replies        atomic.Int64
+	withoutQuorum  atomic.Int64 // of them, while this controller was out of touch with the core's majority
+	fullMemberSets atomic.Int64 // that brought all members
+	memberDeltas   atomic.Int64 // that brought what changed of them
+	snapshots      atomic.Int64 // that brought a snapshot
 }
 
 // count counts a reply.
-func (r *replyCounts) count(reply *distribute.WatchReply) {
+func (r *replyCounters) count(reply *distribute.WatchReply) {
 	r.replies.Add(1)
 	if !reply.HasQuorum {
-		r.outOfTouch.Add(1)
+		r.withoutQuorum.Add(1)
 	}
 	if reply.Members != nil {
-		r.members.Add(1)
+		r.fullMemberSets.Add(1)
 	}
 	if reply.MembersDelta != nil {
-		r.changes.Add(1)
+		r.memberDeltas.Add(1)
 	}
 	if reply.Snapshot != nil {
 		r.snapshots.Add(1)
@@ -81,85 +81,85 @@
 func (c *Controller) execute(cmd command) {
 	began := time.Now()
 	cmd.run()
-	work := &c.work.kinds[cmd.kind]
+	work := &c.recentStats.commands[cmd.kind]
 	work.count++
 	work.busy += time.Since(began)
-	work.longest = max(work.longest, began.Sub(cmd.queued))
-	c.work.queue = max(c.work.queue, len(c.commands)+len(c.urgent)+1)
+	work.longestWait = max(work.longestWait, began.Sub(cmd.queued))
+	c.recentStats.maxQueueLength = max(c.recentStats.maxQueueLength, len(c.commands)+len(c.urgentCommands)+1)
 }
 
 // executeUrgent runs the messages of other replicas that wait now: they come before all other work, and before a tick judges who is silent.
-func (c *Controller) executeUrgent() {
-	for range len(c.urgent) {
-		c.execute(<-c.urgent)
+func (c *Controller) drainUrgentCommands() {
+	for range len(c.urgentCommands) {
+		c.execute(<-c.urgentCommands)
 	}
 }
 
 // executeWaiting runs all that waits now: what came while this machine stood still shows who is there before a tick judges who is silent.
-func (c *Controller) executeWaiting() {
+func (c *Controller) drainCommands() {
 	for range len(c.commands) {
-		c.executeUrgent()
+		c.drainUrgentCommands()
 		c.execute(<-c.commands)
 	}
-	c.executeUrgent()
+	c.drainUrgentCommands()
 }
 
 // executeTick runs the regular work. It logs the last second's work where that was slow.
 func (c *Controller) executeTick() {
 	began := time.Now()
-	if !c.work.lastTick.IsZero() {
-		late := began.Sub(c.work.lastTick) - tickEvery
-		c.work.tickLate = max(c.work.tickLate, late)
-		if late > forgiveAbove {
-			c.forgive(late)
+	if !c.recentStats.lastTick.IsZero() {
+		late := began.Sub(c.recentStats.lastTick) - tickInterval
+		c.recentStats.maxTickDelay = max(c.recentStats.maxTickDelay, late)
+		if late > stallThreshold {
+			c.extendTimeouts(late)
 		}
 	}
-	c.work.lastTick = began
+	c.recentStats.lastTick = began
 	c.tick()
-	work := &c.work.kinds[commandTick]
+	work := &c.recentStats.commands[commandTick]
 	work.count++
 	work.busy += time.Since(began)
-	if began.Sub(c.work.since) >= time.Second {
-		c.logWork(began)
-		c.logSlowSpread()
-		c.worked.add(&c.work)
-		c.work = ownerWork{since: began, lastTick: began}
+	if began.Sub(c.recentStats.since) >= time.Second {
+		c.logLoopStats(began)
+		c.logSlowPropagation()
+		c.totalStats.add(&c.recentStats)
+		c.recentStats = loopStats{since: began, lastTick: began}
 	}
 }
 
 // slowest is the longest wait of any command, or the latest tick.
-func (w *ownerWork) slowest() time.Duration {
-	longest := w.tickLate
-	for i := range w.kinds {
-		longest = max(longest, w.kinds[i].longest)
+func (w *loopStats) maxDelay() time.Duration {
+	longest := w.maxTickDelay
+	for i := range w.commands {
+		longest = max(longest, w.commands[i].longestWait)
 	}
 	return longest
 }
 
 // add sums up another span of work.
-func (w *ownerWork) add(more *ownerWork) {
-	for i := range w.kinds {
-		w.kinds[i].count += more.kinds[i].count
-		w.kinds[i].busy += more.kinds[i].busy
-		w.kinds[i].longest = max(w.kinds[i].longest, more.kinds[i].longest)
-	}
-	w.queue = max(w.queue, more.queue)
-	w.tickLate = max(w.tickLate, more.tickLate)
+func (w *loopStats) add(more *loopStats) {
+	for i := range w.commands {
+		w.commands[i].count += more.commands[i].count
+		w.commands[i].busy += more.commands[i].busy
+		w.commands[i].longestWait = max(w.commands[i].longestWait, more.commands[i].longestWait)
+	}
+	w.maxQueueLength = max(w.maxQueueLength, more.maxQueueLength)
+	w.maxTickDelay = max(w.maxTickDelay, more.maxTickDelay)
 }
 
 // logWork logs the work of about a second: always for who debugs, else if commands or ticks came late.
-func (c *Controller) logWork(now time.Time) {
+func (c *Controller) logLoopStats(now time.Time) {
 	level := zerolog.DebugLevel
-	if c.work.slowest() >= slowOwner {
+	if c.recentStats.maxDelay() >= slowLoopThreshold {
 		level = zerolog.InfoLevel
 	}
-	line := c.log.WithLevel(level).Str("step", "owner").Dur("over", now.Sub(c.work.since)).Int("sessions", len(c.sessions)).
-		Int("queue", c.work.queue).Dur("tick_late", c.work.tickLate).
-		Int64("replies", c.replied.replies.Load()).Int64("out_of_touch", c.replied.outOfTouch.Load()).
-		Int64("with_members", c.replied.members.Load()).Int64("with_changes", c.replied.changes.Load()).Int64("with_snapshot", c.replied.snapshots.Load())
+	line := c.log.WithLevel(level).Str("step", "owner").Dur("over", now.Sub(c.recentStats.since)).Int("sessions", len(c.sessions)).
+		Int("queue", c.recentStats.maxQueueLength).Dur("tick_late", c.recentStats.maxTickDelay).
+		Int64("replies", c.replies.replies.Load()).Int64("out_of_touch", c.replies.withoutQuorum.Load()).
+		Int64("with_members", c.replies.fullMemberSets.Load()).Int64("with_changes", c.replies.memberDeltas.Load()).Int64("with_snapshot", c.replies.snapshots.Load())
 	for kind, name := range commandNames {
-		work := &c.work.kinds[kind]
-		line = line.Dict(name, zerolog.Dict().Int("count", work.count).Dur("busy", work.busy).Dur("longest_wait", work.longest))
+		work := &c.recentStats.commands[kind]
+		line = line.Dict(name, zerolog.Dict().Int("count", work.count).Dur("busy", work.busy).Dur("longest_wait", work.longestWait))
 	}
 	line.Msg("work of the owner")
 }
@@ -169,11 +169,11 @@
 	if a := out.Attempt; a != nil {
 		c.log.Info().Str("step", "propose").Uint64("epoch", a.Epoch).Uint64("round", a.Round).Interface("reasons", a.Reasons).
 			Interface("removed", a.Removed).Interface("added", a.Added).
-			Int("queue", len(c.commands)+len(c.urgent)).Dur("slowest", c.work.slowest()).Msg("another view is proposed")
+			Int("queue", len(c.commands)+len(c.urgentCommands)).Dur("slowest", c.recentStats.maxDelay()).Msg("another view is proposed")
 	}
 	if g := out.GivenUp; g != nil {
 		c.log.Info().Str("step", "propose").Uint64("epoch", g.Epoch).Uint64("round", g.Round).Int("asked", g.Asked).Int("promised", g.Promised).
-			Int("caught_up", g.CaughtUp).Int("accepted", g.Accepted).Dur("slowest", c.work.slowest()).Msg("a proposal is given up")
+			Int("caught_up", g.CaughtUp).Int("accepted", g.Accepted).Dur("slowest", c.recentStats.maxDelay()).Msg("a proposal is given up")
 	}
 }
 
@@ -181,7 +181,7 @@
 func (c *Controller) enqueue(kind commandKind, run func()) {
 	queue := c.commands
 	if kind == commandChain {
-		queue = c.urgent
+		queue = c.urgentCommands
 	}
 	select {
 	case queue <- command{kind, time.Now(), run}:
@@ -190,7 +190,7 @@
 }
 
 // ask runs a command at the owner and waits for it.
-func (c *Controller) ask(ctx context.Context, run func()) error {
+func (c *Controller) runInLoop(ctx context.Context, run func()) error {
 	finished := make(chan struct{})
 	select {
 	case c.commands <- command{commandOther, time.Now(), func() { run(); close(finished) }}:
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -11,35 +11,35 @@
 
 const (
 	// tableEvery is how often the table of agents is told again, and tableSilence how long another's is believed.
-	tableEvery   = 700 * time.Millisecond
-	tableSilence = 2500 * time.Millisecond
+	tableInterval = 700 * time.Millisecond
+	tableTimeout  = 2500 * time.Millisecond
 	// tablePace is the least time between two tables: agents that come together are told together.
-	tablePace = 100 * time.Millisecond
+	minTableInterval = 100 * time.Millisecond
 	// membersPace is the least time, for each member, between two sets of members that are shown: each set goes to everybody.
-	membersPace = time.Millisecond
+	publishIntervalPerMember = time.Millisecond
 	// deltasKept is how many earlier sets of members a receiver may have that is told the difference only.
-	deltasKept = 8
+	maxPreviousMemberSets = 8
 )
 
 // remoteTable is the agents with sessions elsewhere.
 type remoteTable struct {
-	agents []distribute.Agent // by ID
-	heard  time.Time
+	agents         []distribute.Agent // by ID
+	lastReceivedAt time.Time
 }
 
-func compareIDs(a, b distribute.Agent) int { return cmp.Compare(a.ID, b.ID) }
+func compareAgentIDs(a, b distribute.Agent) int { return cmp.Compare(a.ID, b.ID) }
 
 // memberDeltas has, by the digest of a set that was shown before, what leads from it to the set that is shown now.
 type memberDeltas map[uint64]*distribute.MemberDelta
 
 // showMembers keeps the set that was shown until now, and makes the differences from those kept to the next one.
-func (c *Controller) showMembers(old, next *distribute.MemberSet) memberDeltas {
-	c.shown = append(c.shown, old)
-	if len(c.shown) > deltasKept {
-		c.shown = c.shown[1:]
+func (c *Controller) memberDeltasTo(old, next *distribute.MemberSet) memberDeltas {
+	c.previousMemberSets = append(c.previousMemberSets, old)
+	if len(c.previousMemberSets) > maxPreviousMemberSets {
+		c.previousMemberSets = c.previousMemberSets[1:]
 	}
 	deltas := memberDeltas{}
-	for _, set := range c.shown {
+	for _, set := range c.previousMemberSets {
 		if delta := set.DeltaTo(next); len(delta.Added)+len(delta.Removed) < len(next.Agents) {
 			deltas[set.Digest] = delta
 		}
@@ -49,14 +49,14 @@
 }
 
 // tellTable tells the other controllers which agents have a session here.
-func (c *Controller) tellTable() {
-	c.told, c.tableDue = time.Now(), false
+func (c *Controller) sendTable() {
+	c.tableSentAt, c.tablePending = time.Now(), false
 	self := c.replica.Self()
 	table := &distribute.AgentTable{Controller: self.Addr}
 	for _, s := range c.sessions {
 		table.Agents = append(table.Agents, s.agent)
 	}
-	slices.SortFunc(table.Agents, compareIDs)
+	slices.SortFunc(table.Agents, compareAgentIDs)
 	encoded, err := rpc.EncodeOneWay(distribute.KindAgents, table)
 	if err != nil {
 		c.log.Error().Err(err).Str("step", "table").Msg("the table of agents cannot be encoded")
@@ -71,70 +71,70 @@
 }
 
 // tableChanged tells the table now, or with the next tick that may.
-func (c *Controller) tableChanged() {
-	c.tableDue, c.rosterChanged = true, true
-	if time.Since(c.told) >= tablePace {
-		c.tellTable()
+func (c *Controller) scheduleTable() {
+	c.tablePending, c.membersChanged = true, true
+	if time.Since(c.tableSentAt) >= minTableInterval {
+		c.sendTable()
 	}
 }
 
 // tellDueTable is called by each tick.
-func (c *Controller) tellDueTable() {
-	since := time.Since(c.told)
-	if c.tableDue && since >= tablePace || since > tableEvery {
-		c.tellTable()
+func (c *Controller) sendTableIfDue() {
+	since := time.Since(c.tableSentAt)
+	if c.tablePending && since >= minTableInterval || since > tableInterval {
+		c.sendTable()
 	}
 }
 
 // takeTable takes what another controller tells. A table that was told again needs no more than to be believed on.
-func (c *Controller) takeTable(table *distribute.AgentTable) {
-	known := c.elsewhere[table.Controller]
+func (c *Controller) receiveTable(table *distribute.AgentTable) {
+	known := c.remoteTables[table.Controller]
 	if known != nil && slices.Equal(known.agents, table.Agents) {
-		known.heard = time.Now()
+		known.lastReceivedAt = time.Now()
 		return
 	}
-	c.elsewhere[table.Controller] = &remoteTable{table.Agents, time.Now()}
-	c.rosterChanged = true
+	c.remoteTables[table.Controller] = &remoteTable{table.Agents, time.Now()}
+	c.membersChanged = true
 	c.publish(false)
 }
 
 // expireTables forgets the tables of controllers that tell none any more.
 func (c *Controller) expireTables() {
-	for controller, t := range c.elsewhere {
-		if time.Since(t.heard) > tableSilence {
-			delete(c.elsewhere, controller)
-			c.rosterChanged = true
+	for controller, t := range c.remoteTables {
+		if time.Since(t.lastReceivedAt) > tableTimeout {
+			delete(c.remoteTables, controller)
+			c.membersChanged = true
 		}
 	}
 }
 
 // pacedMembers is the members to be shown now: those shown before, if nothing changed or others were shown only just. A tick looks again.
-func (c *Controller) pacedMembers(old *public) *distribute.MemberSet {
-	if old != nil && (!c.rosterChanged || time.Since(c.showedAt) < time.Duration(c.rosterSize())*membersPace) {
+func (c *Controller) rateLimitedMembers(old *publishedState) *distribute.MemberSet {
+	if old != nil && (!c.membersChanged || time.Since(c.membersPublishedAt) < time.Duration(c.knownAgentCount())*publishIntervalPerMember) {
 		return old.members
 	}
-	c.rosterChanged = false
-	members := c.members()
+	c.membersChanged = false
+	members := c.collectMembers()
 	if old != nil && old.members.Digest == members.Digest {
 		return old.members
 	}
-	c.showedAt = time.Now()
+	c.membersPublishedAt = time.Now()
 	return members
 }
 
 // rosterSize is how many agents are known, those twice that have just moved from one controller to another.
-func (c *Controller) rosterSize() int {
+func (c *Controller) knownAgentCount() int {
 	size := len(c.sessions)
-	for _, t := range c.elsewhere {
+	for _, t := range c.remoteTables {
 		size += len(t.agents)
 	}
 	return size
 }
 
 // members is the agents with a session anywhere, each machine's newest life once.
-func (c *Controller) members() *distribute.MemberSet {
-	byAddr := make(map[string]distribute.Agent, c.rosterSize())
-	for _, t := range c.elsewhere {
+func (c *Controller) collectMembers() *distribute.MemberSet {
+	byAddr := make(map[string]distribute.Agent, c.knownAgentCount())
+	for _, t := range c.remoteTables {
 		for _, a := range t.agents {
 			if known, ok := byAddr[a.Addr]; !ok || known.ID < a.ID {
 				byAddr[a.Addr] = a
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -19,20 +19,20 @@
 	if c.tallies != nil {
 		go c.tallies.run()
 	}
-	go rpc.Serve(listener, c.handle)
+	go rpc.Serve(listener, c.handleRPC)
 	api, err := c.serveAPI()
 	if err != nil {
 		return err
 	}
 	defer listener.Close()
-	c.own(ctx.Done(), nil)
-	c.handOver()
+	c.runLoop(ctx.Done(), nil)
+	c.handOff()
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		c.closeAPI(api)
+		c.shutDownAPI(api)
 	}()
-	c.own(closed, nil)
+	c.runLoop(closed, nil)
 	close(c.done)
 	if c.tallies != nil {
 		c.tallies.stop()
@@ -41,18 +41,18 @@
 }
 
 // own works through commands and ticks until a channel is closed, or until enough tells so after a tick.
-func (c *Controller) own(end <-chan struct{}, enough func() bool) {
-	ticker := time.NewTicker(tickEvery)
+func (c *Controller) runLoop(end <-chan struct{}, enough func() bool) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		c.executeUrgent()
+		c.drainUrgentCommands()
 		select {
-		case command := <-c.urgent:
+		case command := <-c.urgentCommands:
 			c.execute(command)
 		case command := <-c.commands:
 			c.execute(command)
 		case <-ticker.C:
-			c.executeWaiting()
+			c.drainCommands()
 			c.executeTick()
 			if enough != nil && enough() {
 				return
@@ -64,27 +64,27 @@
 }
 
 // handOver tells the other machines that this one is to end, and serves on until they have a view without it.
-func (c *Controller) handOver() {
-	c.leaving = time.Now()
-	limit := c.settings.Bounds.Grace - leaveMargin
-	c.perform(c.replica.Leave(c.now()))
+func (c *Controller) handOff() {
+	c.leaveStartedAt = time.Now()
+	limit := c.settings.Bounds.Grace - shutdownMargin
+	c.applyOutput(c.replica.Leave(c.sinceStart()))
 	if c.tallies != nil {
 		c.tallies.leave()
 	}
-	if limit > 0 && !c.mayEnd() {
-		c.own(nil, func() bool { return c.mayEnd() || time.Since(c.leaving) > limit })
+	if limit > 0 && !c.handOffComplete() {
+		c.runLoop(nil, func() bool { return c.handOffComplete() || time.Since(c.leaveStartedAt) > limit })
 	}
-	c.log.Info().Str("step", "leave").Bool("handed_over", c.mayEnd()).Dur("took", time.Since(c.leaving)).Msg("ending")
+	c.log.Info().Str("step", "leave").Bool("handed_over", c.handOffComplete()).Dur("took", time.Since(c.leaveStartedAt)).Msg("ending")
 }
 
 // mayEnd tells whether the others have all that this machine is to hand over.
-func (c *Controller) mayEnd() bool {
-	return c.replica.MayEnd(c.now()) && (c.tallies == nil || c.tallies.flushed.Load())
+func (c *Controller) handOffComplete() bool {
+	return c.replica.MayEnd(c.sinceStart()) && (c.tallies == nil || c.tallies.flushed.Load())
 }
 
 // closeAPI lets the operator's calls that run come to their end.
-func (c *Controller) closeAPI(api *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (c *Controller) shutDownAPI(api *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	if api.Shutdown(ctx) != nil {
 		api.Close()
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -11,38 +11,38 @@
 
 const (
 	// watchHold is how long an agent's call is held when there is nothing new: its heartbeat.
-	watchHold = 350 * time.Millisecond
+	longPollTimeout = 350 * time.Millisecond
 	// sessionSilence ends a session: three heartbeats and what they may be late.
-	sessionSilence = 1200 * time.Millisecond
+	sessionTimeout = 1200 * time.Millisecond
 	// suspectedSilence ends it when those that watch the agent do not reach it either.
-	suspectedSilence = 700 * time.Millisecond
+	suspectedSessionTimeout = 700 * time.Millisecond
 )
 
 // session is an agent that calls here.
 type session struct {
-	agent    distribute.Agent
-	has      uint64 // in hand, applied or not
-	applied  uint64
-	heard    time.Time
-	suspects []string
+	agent       distribute.Agent
+	receivedSeq uint64 // in hand, applied or not
+	appliedSeq  uint64
+	lastCallAt  time.Time
+	suspects    []string
 }
 
 // watch answers an agent when there is something newer than it has, or after a while.
 func (c *Controller) watch(ctx context.Context, request *distribute.WatchRequest) (*distribute.WatchReply, error) {
-	c.enqueue(commandSession, func() { c.touch(request) })
-	began := c.now()
-	held := time.NewTimer(watchHold)
+	c.enqueue(commandSession, func() { c.recordCall(request) })
+	began := c.sinceStart()
+	held := time.NewTimer(longPollTimeout)
 	defer held.Stop()
 	for {
-		now := c.public.Load()
+		now := c.published.Load()
 		fresh := now.state.Seq > request.ReceivedSeq
 		if fresh || !now.current || now.members.Digest != request.MembersDigest {
-			return c.replyTo(began, now, request), nil
+			return c.watchReply(began, now, request), nil
 		}
 		select {
 		case <-now.changed:
 		case <-held.C:
-			return c.replyTo(began, now, request), nil
+			return c.watchReply(began, now, request), nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -50,15 +50,15 @@
 }
 
 // replyTo answers a call that came at a time with what its caller lacks.
-func (c *Controller) replyTo(began time.Duration, now *public, request *distribute.WatchRequest) *distribute.WatchReply {
-	written := c.now()
+func (c *Controller) watchReply(began time.Duration, now *publishedState, request *distribute.WatchRequest) *distribute.WatchReply {
+	written := c.sinceStart()
 	reply := &distribute.WatchReply{HasQuorum: now.current, Epoch: now.view.Epoch, LongPollMS: (written - began).Milliseconds()}
 	if now.view.Epoch != request.Epoch {
-		reply.Controllers = now.controllers
+		reply.Controllers = now.controllerAddrs
 	}
 	if now.state.Seq > request.ReceivedSeq { // committed is committed, also where this replica is out of touch
 		reply.Snapshot = distribute.NewSnapshot(now.state, request.ConfigSeq)
-		reply.VersionAges = ages(now.named, written)
+		reply.VersionAges = versionAges(now.versionHistories, written)
 	}
 	if now.current && now.members.Digest != request.MembersDigest { // else the caller turns elsewhere and takes none
 		reply.MembersDelta = now.deltas[request.MembersDigest]
@@ -66,11 +66,11 @@
 			reply.Members = now.members
 		}
 	}
-	c.replied.count(reply)
+	c.replies.count(reply)
 	return reply
 }
 
-func ages(named map[string]superseded.History, now time.Duration) map[string][]superseded.Age {
+func versionAges(named map[string]superseded.History, now time.Duration) map[string][]superseded.Age {
 	ages := map[string][]superseded.Age{}
 	for model, times := range named {
 		ages[model] = times.Ages(now)
@@ -79,49 +79,49 @@
 }
 
 // touch books an agent's call.
-func (c *Controller) touch(request *distribute.WatchRequest) {
+func (c *Controller) recordCall(request *distribute.WatchRequest) {
 	s := c.sessions[request.Agent.Addr]
 	added := s == nil || s.agent != request.Agent
 	if added {
 		s = &session{agent: request.Agent}
 		c.sessions[request.Agent.Addr] = s
 	}
-	s.has, s.applied, s.heard, s.suspects = request.ReceivedSeq, request.AppliedSeq, time.Now(), request.Suspects
+	s.receivedSeq, s.appliedSeq, s.lastCallAt, s.suspects = request.ReceivedSeq, request.AppliedSeq, time.Now(), request.Suspects
 	if added {
-		c.tableChanged()
+		c.scheduleTable()
 		c.publish(false)
 	}
-	c.takeApplied()
+	c.reportProgress()
 }
 
 // takeApplied tells the core at once when all agents here have applied something newer.
-func (c *Controller) takeApplied() {
+func (c *Controller) reportProgress() {
 	least, leastHas := uint64(chain.NoSessions), uint64(chain.NoSessions)
 	for _, s := range c.sessions {
-		least, leastHas = min(least, s.applied), min(leastHas, s.has)
+		least, leastHas = min(least, s.appliedSeq), min(leastHas, s.receivedSeq)
 	}
-	c.spread.reported(c.now(), leastHas, least)
-	if c.replica.SetApplied(least) && c.broken.IsZero() {
-		c.perform(c.replica.Beat(c.now()))
+	c.propagation.recordProgress(c.sinceStart(), leastHas, least)
+	if c.replica.SetApplied(least) && c.diskFailedAt.IsZero() {
+		c.applyOutput(c.replica.Beat(c.sinceStart()))
 	}
 }
 
 // forgiveAbove is how late a tick is that takes its delay out of others' silence.
-const forgiveAbove = suspectedSilence / 2
+const stallThreshold = suspectedSessionTimeout / 2
 
 // forgive takes a time for which this machine stood still out of the silence of agents and of other controllers' tables.
-func (c *Controller) forgive(stoodStill time.Duration) {
+func (c *Controller) extendTimeouts(stoodStill time.Duration) {
 	now := time.Now()
 	for _, s := range c.sessions {
-		s.heard = earlier(s.heard.Add(stoodStill), now)
+		s.lastCallAt = earlierTime(s.lastCallAt.Add(stoodStill), now)
 	}
-	for _, t := range c.elsewhere {
-		t.heard = earlier(t.heard.Add(stoodStill), now)
+	for _, t := range c.remoteTables {
+		t.lastReceivedAt = earlierTime(t.lastReceivedAt.Add(stoodStill), now)
 	}
 }
 
 // earlier is the earlier of two times.
-func earlier(a, b time.Time) time.Time {
+func earlierTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
@@ -138,16 +138,16 @@
 	}
 	gone := false
 	for addr, s := range c.sessions {
-		silence := time.Since(s.heard)
-		if silence > sessionSilence || silence > suspectedSilence && suspected[s.agent.ID] {
+		silence := time.Since(s.lastCallAt)
+		if silence > sessionTimeout || silence > suspectedSessionTimeout && suspected[s.agent.ID] {
 			c.log.Info().Str("step", "session").Str("agent", s.agent.ID).Dur("silence", silence).Bool("suspected", suspected[s.agent.ID]).
-				Uint64("applied", s.applied).Msg("a session ends")
+				Uint64("applied", s.appliedSeq).Msg("a session ends")
 			delete(c.sessions, addr)
 			gone = true
 		}
 	}
 	if gone {
-		c.takeApplied()
-		c.tableChanged()
+		c.reportProgress()
+		c.scheduleTable()
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,21 +11,21 @@
 
 // Status is what a controller knows of the fleet: where it stands itself, the view, and each agent that has a session here.
 type Status struct {
-	Controller string                             `json:"controller"`
-	Current    bool                               `json:"current"` // in touch with the core's majority
-	DiskFails  bool                               `json:"disk_fails"`
-	Epoch      uint64                             `json:"epoch"`
-	Chain      []string                           `json:"chain"` // head first
-	Acceptors  []string                           `json:"acceptors"`
-	Learners   []string                           `json:"learners,omitempty"` // of the chain, without a vote
-	Seq        uint64                             `json:"seq"`                // of the newest committed operation known here
-	Version    int64                              `json:"config_version"`     // of the configuration in force
-	Evacuated  []string                           `json:"evacuated"`
-	Models     map[string]replicated.ModelVersion `json:"models"`
-	Duties     map[string]replicated.LeaseRecord  `json:"duties"`
-	Mixers     int                                `json:"mixers"` // with a session anywhere
-	Sessions   []SessionStatus                    `json:"sessions"`
-	Tallies    *TallyStatus                       `json:"tallies,omitempty"` // where they are kept
+	Controller    string                             `json:"controller"`
+	Current       bool                               `json:"current"` // in touch with the core's majority
+	DiskFails     bool                               `json:"disk_fails"`
+	Epoch         uint64                             `json:"epoch"`
+	Chain         []string                           `json:"chain"` // head first
+	Acceptors     []string                           `json:"acceptors"`
+	Learners      []string                           `json:"learners,omitempty"` // of the chain, without a vote
+	Seq           uint64                             `json:"seq"`                // of the newest committed operation known here
+	ConfigVersion int64                              `json:"config_version"`     // of the configuration in force
+	Evacuated     []string                           `json:"evacuated"`
+	Models        map[string]replicated.ModelVersion `json:"models"`
+	Leases        map[string]replicated.LeaseRecord  `json:"duties"`
+	Mixers        int                                `json:"mixers"` // with a session anywhere
+	Sessions      []SessionStatus                    `json:"sessions"`
+	Tallies       *TallyStatus                       `json:"tallies,omitempty"` // where they are kept
 }
 
 // SessionStatus is an agent that has its session here.
@@ -40,24 +40,24 @@
 
 func (c *Controller) getStatus(ctx echo.Context) error {
 	var status Status
-	if err := c.ask(ctx.Request().Context(), func() { status = c.status() }); err != nil {
-		return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
+	if err := c.runInLoop(ctx.Request().Context(), func() { status = c.status() }); err != nil {
+		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
 	if c.tallies != nil {
 		var err error
 		if status.Tallies, err = c.tallies.status(ctx.Request().Context()); err != nil {
-			return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
+			return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 		}
 	}
 	return ctx.JSONPretty(http.StatusOK, status, "  ")
 }
 
 func (c *Controller) status() Status {
-	now := c.public.Load()
+	now := c.published.Load()
 	s := Status{
-		Controller: string(now.self), Current: now.current, DiskFails: !c.broken.IsZero(),
-		Epoch: now.view.Epoch, Seq: now.state.Seq, Version: now.state.ConfigVersion,
-		Models: now.state.Models, Duties: now.state.Leases, Mixers: len(now.members.Agents),
+		Controller: string(now.self), Current: now.current, DiskFails: !c.diskFailedAt.IsZero(),
+		Epoch: now.view.Epoch, Seq: now.state.Seq, ConfigVersion: now.state.ConfigVersion,
+		Models: now.state.Models, Leases: now.state.Leases, Mixers: len(now.members.Agents),
 	}
 	for _, id := range now.view.Chain {
 		s.Chain = append(s.Chain, string(id))
@@ -74,7 +74,7 @@
 	for _, session := range c.sessions {
 		s.Sessions = append(s.Sessions, SessionStatus{
 			Agent: session.agent.ID, Addr: session.agent.Addr, Zone: session.agent.Zone,
-			Applied: session.applied, SilentMS: time.Since(session.heard).Milliseconds(), Suspects: session.suspects,
+			Applied: session.appliedSeq, SilentMS: time.Since(session.lastCallAt).Milliseconds(), Suspects: session.suspects,
 		})
 	}
 	return s
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -14,22 +14,22 @@
 
 const (
 	// callLimit bounds an operation or a read: callers turn elsewhere after a second.
-	callLimit = 900 * time.Millisecond
+	requestTimeout = 900 * time.Millisecond
 	// largeBody is the size from which a caller waits for longer, and largeLimit how long it is then tried.
-	largeBody  = 64 << 10
-	largeLimit = 1800 * time.Millisecond
+	largeBodyBytes      = 64 << 10
+	largeRequestTimeout = 1800 * time.Millisecond
 	// retryEvery is the pause after an attempt that met no chain or a busy one.
-	retryEvery = 20 * time.Millisecond
+	retryInterval = 20 * time.Millisecond
 	// appliedWait bounds how long an acknowledgement waits for the mixers to apply what it acknowledges.
-	appliedWait = 500 * time.Millisecond
+	applyWaitTimeout = 500 * time.Millisecond
 )
 
 // submit has an operation taken: here if this is the head, else there. It tries for as long as its caller listens. Trying again is
 // safe, as what was taken is known again.
 func (c *Controller) submit(ctx context.Context, request *distribute.SubmitRequest) *distribute.SubmitReply {
-	limit := callLimit
-	if len(request.Operation.Body) >= largeBody {
-		limit = largeLimit
+	limit := requestTimeout
+	if len(request.Operation.Body) >= largeBodyBytes {
+		limit = largeRequestTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -41,24 +41,24 @@
 		}
 		reason = err.Error()
 		if request.Forwarded && errors.Is(err, chain.ErrNotHead) {
-			return unclear("submit", reason)
+			return unknownOutcome("submit", reason)
 		}
 		select {
 		case <-ctx.Done():
-			return unclear("submit", reason)
-		case <-time.After(retryEvery):
+			return unknownOutcome("submit", reason)
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
 func (c *Controller) submitOnce(ctx context.Context, request *distribute.SubmitRequest) (*distribute.SubmitReply, error) {
-	now := c.public.Load()
+	now := c.published.Load()
 	head, known := now.view.Member(now.view.Head())
 	if !known {
 		return nil, chain.ErrNoChain
 	}
 	if head.ID == now.self {
-		return c.submitHere(ctx, request)
+		return c.submitAsHead(ctx, request)
 	}
 	if request.Forwarded {
 		return nil, chain.ErrNotHead
@@ -74,43 +74,43 @@
 	return reply, nil
 }
 
-func (c *Controller) submitHere(ctx context.Context, request *distribute.SubmitRequest) (*distribute.SubmitReply, error) {
+func (c *Controller) submitAsHead(ctx context.Context, request *distribute.SubmitRequest) (*distribute.SubmitReply, error) {
 	var seq, fence uint64
 	var quiet time.Duration
-	var at service
+	var at replicaInstance
 	var refused error
-	err := c.ask(ctx, func() {
-		at = service{c.replica.View().Epoch, c.opened}
-		if !c.broken.IsZero() {
+	err := c.runInLoop(ctx, func() {
+		at = replicaInstance{c.replica.View().Epoch, c.incarnation}
+		if !c.diskFailedAt.IsZero() {
 			refused = chain.ErrNoChain
 			return
 		}
-		if refused = over(ctx); refused != nil {
+		if refused = contextError(ctx); refused != nil {
 			return // its caller turned elsewhere: an old order must not come after newer ones
 		}
 		checked := c.replica.State()
 		var out chain.Output
-		seq, out, refused = c.replica.Propose(c.now(), &request.Operation)
+		seq, out, refused = c.replica.Propose(c.sinceStart(), &request.Operation)
 		fence = checked.FencingTokenAfter(&request.Operation, seq)
 		if refused == nil && request.Operation.Kind == replicated.KindLease {
-			quiet = c.duties.RecordRenewal(c.now(), at.epoch, request.Operation.LeaseName, request.Operation.Holder)
+			quiet = c.leaseRenewals.RecordRenewal(c.sinceStart(), at.epoch, request.Operation.LeaseName, request.Operation.Holder)
 		}
-		c.perform(out)
+		c.applyOutput(out)
 	})
 	if err != nil {
 		return nil, err
 	}
 	var refusal *chain.RefusedError
 	if errors.As(refused, &refusal) {
-		return c.refuse(ctx, refusal, at)
+		return c.rejectOperation(ctx, refusal, at)
 	}
 	if refused != nil {
 		return nil, refused
 	}
-	if err := c.committed(ctx, seq, at); err != nil {
+	if err := c.waitCommitted(ctx, seq, at); err != nil {
 		return nil, err
 	}
-	if _, err := c.confirm(ctx, at); err != nil { // what was taken before is told only while this is the head in force
+	if _, err := c.confirmView(ctx, at); err != nil { // what was taken before is told only while this is the head in force
 		return nil, err
 	}
 	reply := &distribute.SubmitReply{Outcome: distribute.OutcomeCommitted, Seq: seq}
@@ -119,12 +119,12 @@
 		reply.FencingToken = fence // not the state's by now: another holder may have it already
 		return reply, nil
 	}
-	c.applied(ctx, seq)
+	c.waitApplied(ctx, seq)
 	return reply, nil
 }
 
 // over tells whether a call's time is up, by the clock itself: in a process that stood still the context may not have noticed yet.
-func over(ctx context.Context) error {
+func contextError(ctx context.Context) error {
 	if deadline, limited := ctx.Deadline(); limited && !time.Now().Before(deadline) {
 		return context.DeadlineExceeded
 	}
@@ -132,11 +132,11 @@
 }
 
 // refuse answers that an operation cannot come into force, once it is sure that the state it was held against is the newest.
-func (c *Controller) refuse(ctx context.Context, refusal *chain.RefusedError, at service) (*distribute.SubmitReply, error) {
+func (c *Controller) rejectOperation(ctx context.Context, refusal *chain.RefusedError, at replicaInstance) (*distribute.SubmitReply, error) {
 	if refusal.Verdict == replicated.Outdated {
 		return &distribute.SubmitReply{Outcome: distribute.OutcomeOutdated, Reason: refusal.Error()}, nil
 	}
-	if _, err := c.confirm(ctx, at); err != nil {
+	if _, err := c.confirmView(ctx, at); err != nil {
 		return nil, err
 	}
 	reply := &distribute.SubmitReply{Outcome: distribute.OutcomeConflict, Reason: refusal.Error()}
@@ -147,10 +147,10 @@
 }
 
 // committed waits until a number is committed by the replica, and in the epoch, that gave it out.
-func (c *Controller) committed(ctx context.Context, seq uint64, at service) error {
+func (c *Controller) waitCommitted(ctx context.Context, seq uint64, at replicaInstance) error {
 	for {
-		now := c.public.Load()
-		if now.service() != at {
+		now := c.published.Load()
+		if now.instance() != at {
 			return merry.New("the view or the replica changed while the operation was under way")
 		}
 		if now.state.Seq >= seq {
@@ -165,36 +165,36 @@
 }
 
 // applied waits for a bounded time until the agents that are heard from have applied a number.
-func (c *Controller) applied(ctx context.Context, seq uint64) {
-	ctx, cancel := context.WithTimeout(ctx, appliedWait)
+func (c *Controller) waitApplied(ctx context.Context, seq uint64) {
+	ctx, cancel := context.WithTimeout(ctx, applyWaitTimeout)
 	defer cancel()
 	for {
 		everywhere := false
-		if c.ask(ctx, func() { everywhere = c.replica.AppliedEverywhere(c.now(), seq) }) != nil || everywhere {
+		if c.runInLoop(ctx, func() { everywhere = c.replica.AppliedEverywhere(c.sinceStart(), seq) }) != nil || everywhere {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(retryEvery / 2):
+		case <-time.After(retryInterval / 2):
 		}
 	}
 }
 
 // confirm asks the majority whether an epoch is still in force, and gives the state committed here since it was asked.
-func (c *Controller) confirm(ctx context.Context, at service) (*replicated.State, error) {
+func (c *Controller) confirmView(ctx context.Context, at replicaInstance) (*replicated.State, error) {
 	confirmed := make(chan struct{})
 	var nonce uint64
 	stale := false
-	err := c.ask(ctx, func() {
-		stale = !c.broken.IsZero() || c.replica.View().Epoch != at.epoch || c.opened != at.opened
+	err := c.runInLoop(ctx, func() {
+		stale = !c.diskFailedAt.IsZero() || c.replica.View().Epoch != at.epoch || c.incarnation != at.incarnation
 		if stale {
 			return
 		}
 		var out chain.Output
-		nonce, out = c.replica.Confirm(c.now())
-		c.readers[nonce] = confirmed
-		c.perform(out)
+		nonce, out = c.replica.Confirm(c.sinceStart())
+		c.confirmationWaiters[nonce] = confirmed
+		c.applyOutput(out)
 	})
 	if err != nil {
 		return nil, err
@@ -202,11 +202,11 @@
 	if stale {
 		return nil, merry.New("confirm the view: another is in force, or the disk failed")
 	}
-	defer c.enqueue(commandOther, func() { delete(c.readers, nonce) })
+	defer c.enqueue(commandOther, func() { delete(c.confirmationWaiters, nonce) })
 	select {
 	case <-confirmed:
-		now := c.public.Load()
-		if now.opened != at.opened {
+		now := c.published.Load()
+		if now.incarnation != at.incarnation {
 			return nil, merry.New("confirm the view: the disk failed meanwhile")
 		}
 		return now.state, nil
@@ -216,12 +216,12 @@
 }
 
 // readHere answers a read if this is the tail.
-func (c *Controller) readHere(ctx context.Context, request *distribute.ReadRequest) (*distribute.ReadReply, error) {
-	now := c.public.Load()
+func (c *Controller) readAsTail(ctx context.Context, request *distribute.ReadRequest) (*distribute.ReadReply, error) {
+	now := c.published.Load()
 	if now.view.Tail() != now.self {
 		return nil, merry.New("this replica is not the tail of the chain")
 	}
-	state, err := c.confirm(ctx, now.service())
+	state, err := c.confirmView(ctx, now.instance())
 	if err != nil {
 		return nil, err
 	}
@@ -233,7 +233,7 @@
 
 // read gives the newest state, from the tail.
 func (c *Controller) read(ctx context.Context, request *distribute.ReadRequest) (*distribute.ReadReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for {
 		reply, err := c.readOnce(ctx, request)
@@ -243,19 +243,19 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
 func (c *Controller) readOnce(ctx context.Context, request *distribute.ReadRequest) (*distribute.ReadReply, error) {
-	now := c.public.Load()
+	now := c.published.Load()
 	tail, known := now.view.Member(now.view.Tail())
 	if !known {
 		return nil, chain.ErrNoChain
 	}
 	if tail.ID == now.self {
-		return c.readHere(ctx, request)
+		return c.readAsTail(ctx, request)
 	}
 	reply := new(distribute.ReadReply)
 	return reply, c.pool.Client(tail.Addr).Call(ctx, distribute.KindRead, request, reply)
--- a/internal/controller/tallies_api.go
+++ b/internal/controller/tallies_api.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	maxAddBytes  = 4 << 10 // of an add's body
-	maxNameBytes = 128     // of a tally's name, and of an add's id
-	maxAmount    = 1 << 53 // of one add, either way: whole numbers that JSON carries exactly
+	maxAddBodyBytes = 4 << 10 // of an add's body
+	maxNameBytes    = 128     // of a tally's name, and of an add's id
+	maxAmount       = 1 << 53 // of one add, either way: whole numbers that JSON carries exactly
 )
 
 // addRequest is the body of an add.
 type addRequest struct {
-	ID string `json:"id"`
-	By *int64 `json:"by"`
+	ID     string `json:"id"`
+	Amount *int64 `json:"by"`
 }
 
 // totalReply is the body of a read.
@@ -32,9 +32,9 @@
 }
 
 var (
-	errBadName   = errors.New("want a tally's name of 1 to 128 bytes of UTF-8")
-	errBadID     = errors.New("want an id of 1 to 128 bytes of UTF-8")
-	errBadAmount = errors.New("by: want a whole number of at most 2^53, either way")
+	errInvalidName   = errors.New("want a tally's name of 1 to 128 bytes of UTF-8")
+	errInvalidID     = errors.New("want an id of 1 to 128 bytes of UTF-8")
+	errInvalidAmount = errors.New("by: want a whole number of at most 2^53, either way")
 )
 
 // parseAdd reads an add's body.
@@ -45,13 +45,13 @@
 	}
 	switch {
 	case !validName(name):
-		return tally.Add{}, errBadName
+		return tally.Add{}, errInvalidName
 	case !validName(request.ID):
-		return tally.Add{}, errBadID
-	case request.By == nil || *request.By > maxAmount || *request.By < -maxAmount:
-		return tally.Add{}, errBadAmount
+		return tally.Add{}, errInvalidID
+	case request.Amount == nil || *request.Amount > maxAmount || *request.Amount < -maxAmount:
+		return tally.Add{}, errInvalidAmount
 	}
-	return tally.Add{ID: request.ID, Tally: name, By: *request.By}, nil
+	return tally.Add{ID: request.ID, Tally: name, By: *request.Amount}, nil
 }
 
 // validName tells whether a name or an id can be kept: machines tell each other text, and text that is no UTF-8 is refused on the way.
@@ -60,47 +60,47 @@
 }
 
 // statusOf has the answer's status for each outcome: 503 promises that nothing was done.
-var statusOf = map[tally.Outcome]int{
+var httpStatusByOutcome = map[tally.Outcome]int{
 	tally.Acknowledged: http.StatusOK,
 	tally.Conflicting:  http.StatusConflict,
 	tally.Refused:      http.StatusServiceUnavailable,
 	tally.Unclear:      http.StatusGatewayTimeout,
 }
 
-func (t *tallies) postAdd(ctx echo.Context) error {
-	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxAddBytes+1))
+func (t *tallyService) postAdd(ctx echo.Context) error {
+	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxAddBodyBytes+1))
 	if err != nil {
-		return ctx.JSON(http.StatusBadRequest, problem{"the body cannot be read: " + err.Error()})
+		return ctx.JSON(http.StatusBadRequest, errorResponse{"the body cannot be read: " + err.Error()})
 	}
-	if len(body) > maxAddBytes {
-		return ctx.JSON(http.StatusRequestEntityTooLarge, problem{"the body is too large"})
+	if len(body) > maxAddBodyBytes {
+		return ctx.JSON(http.StatusRequestEntityTooLarge, errorResponse{"the body is too large"})
 	}
 	add, err := parseAdd(ctx.Param("tally"), body)
 	if err != nil {
-		return ctx.JSON(http.StatusBadRequest, problem{err.Error()})
+		return ctx.JSON(http.StatusBadRequest, errorResponse{err.Error()})
 	}
-	limited, cancel := context.WithTimeout(ctx.Request().Context(), callLimit)
+	limited, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
 	defer cancel()
 	began := time.Now()
 	answer := t.add(limited, add)
 	t.log.Debug().Str("step", "add").Str("tally", add.Tally).Str("id", add.ID).Int64("by", add.By).Int("outcome", int(answer.Outcome)).
 		Str("reason", answer.Reason).Dur("took", time.Since(began)).Msg("add")
 	if answer.Outcome != tally.Acknowledged {
-		return ctx.JSON(statusOf[answer.Outcome], problem{answer.Reason})
+		return ctx.JSON(httpStatusByOutcome[answer.Outcome], errorResponse{answer.Reason})
 	}
 	return ctx.JSON(http.StatusOK, struct{}{})
 }
 
 // add hands an add to the owner and waits for its outcome.
-func (t *tallies) add(ctx context.Context, add tally.Add) tally.Answer {
-	if !t.opened.Load() {
-		return tally.Answer{Outcome: tally.Refused, Reason: errReading.Error()}
+func (t *tallyService) add(ctx context.Context, add tally.Add) tally.Answer {
+	if !t.loaded.Load() {
+		return tally.Answer{Outcome: tally.Refused, Reason: errLoading.Error()}
 	}
 	answers := make(chan tally.Answer, 1)
 	t.enqueue(func() {
-		t.token++
-		t.calls[t.token] = answers
-		t.perform(t.replica.Add(t.now(), t.token, add))
+		t.lastToken++
+		t.pendingAdds[t.lastToken] = answers
+		t.applyOutput(t.replica.Add(t.sinceStart(), t.lastToken, add))
 	})
 	select {
 	case answer := <-answers:
@@ -108,40 +108,40 @@
 	case <-ctx.Done():
 		return tally.Answer{Outcome: tally.Unclear, Reason: "no answer in time"}
 	case <-t.done:
-		return tally.Answer{Outcome: tally.Unclear, Reason: errEnding.Error()}
+		return tally.Answer{Outcome: tally.Unclear, Reason: errShuttingDown.Error()}
 	}
 }
 
-func (t *tallies) getTotal(ctx echo.Context) error {
-	limited, cancel := context.WithTimeout(ctx.Request().Context(), callLimit)
+func (t *tallyService) getTotal(ctx echo.Context) error {
+	limited, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
 	defer cancel()
 	name := ctx.Param("tally")
 	if !validName(name) {
-		return ctx.JSON(http.StatusBadRequest, problem{errBadName.Error()})
+		return ctx.JSON(http.StatusBadRequest, errorResponse{errInvalidName.Error()})
 	}
-	total, err := t.total(limited, name)
+	total, err := t.readTotal(limited, name)
 	if err != nil {
 		t.log.Debug().Err(err).Str("step", "total").Str("tally", name).Msg("not answered")
-		return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
+		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
 	return ctx.JSON(http.StatusOK, totalReply{total})
 }
 
 // reading is what a read came to.
-type reading struct {
+type totalResult struct {
 	total int64
 	err   error
 }
 
 // total reads a tally at the owner.
-func (t *tallies) total(ctx context.Context, name string) (int64, error) {
-	if !t.opened.Load() {
-		return 0, errReading
+func (t *tallyService) readTotal(ctx context.Context, name string) (int64, error) {
+	if !t.loaded.Load() {
+		return 0, errLoading
 	}
-	readings := make(chan reading, 1)
+	readings := make(chan totalResult, 1)
 	t.enqueue(func() {
-		total, err := t.replica.Read(t.now(), name)
-		readings <- reading{total, err}
+		total, err := t.replica.Read(t.sinceStart(), name)
+		readings <- totalResult{total, err}
 	})
 	select {
 	case read := <-readings:
@@ -149,6 +149,6 @@
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	case <-t.done:
-		return 0, errEnding
+		return 0, errShuttingDown
 	}
 }
--- a/internal/controller/tallies_api_test.go
+++ b/internal/controller/tallies_api_test.go
@@ -10,7 +10,7 @@
 	"nettlefold/internal/tally"
 )
 
-func TestBodiesOfAdds(t *testing.T) {
+func TestParseAdd(t *testing.T) {
 	add, err := parseAdd("t3", []byte(`{"id":"5c0e7a21d94b36f8","by":4,"more":[]}`))
 	require.NoError(t, err)
 	require.Equal(t, tally.Add{ID: "5c0e7a21d94b36f8", Tally: "t3", By: 4}, add)
@@ -22,9 +22,9 @@
 		require.Error(t, err, body)
 	}
 	_, err = parseAdd("\xff", []byte(`{"id":"a","by":1}`)) // it could not be told to other machines
-	require.ErrorIs(t, err, errBadName)
+	require.ErrorIs(t, err, errInvalidName)
 	_, err = parseAdd(strings.Repeat("t", 129), []byte(`{"id":"a","by":1}`))
-	require.ErrorIs(t, err, errBadName)
+	require.ErrorIs(t, err, errInvalidName)
 }
 
 func FuzzBodiesOfAdds(f *testing.F) {
--- a/internal/controller/tallies_sockets_test.go
+++ b/internal/controller/tallies_sockets_test.go
@@ -22,20 +22,20 @@
 // socketNetwork is the machine's own TCP, in which addresses of the loopback can be cut off from each other: their connections end, and
 // none are made.
 type socketNetwork struct {
-	mu    sync.Mutex
-	alone map[string]bool // hosts that reach no other
-	conns map[net.Conn][2]string
+	mu       sync.Mutex
+	isolated map[string]bool // hosts that reach no other
+	conns    map[net.Conn][2]string
 }
 
 func newSocketNetwork() *socketNetwork {
-	return &socketNetwork{alone: map[string]bool{}, conns: map[net.Conn][2]string{}}
+	return &socketNetwork{isolated: map[string]bool{}, conns: map[net.Conn][2]string{}}
 }
 
 // cutOff cuts a host off from all others, or joins it again.
-func (n *socketNetwork) cutOff(cut bool, ip string) {
+func (n *socketNetwork) setIsolated(cut bool, ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.alone[ip] = cut
+	n.isolated[ip] = cut
 	for conn, ends := range n.conns {
 		if cut && (ends[0] == ip || ends[1] == ip) {
 			conn.Close()
@@ -55,7 +55,7 @@
 func (h *socketHost) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ip, _, _ := strings.Cut(addr, ":")
 	h.network.mu.Lock()
-	cut := h.network.alone[ip] || h.network.alone[h.ip]
+	cut := h.network.isolated[ip] || h.network.isolated[h.ip]
 	h.network.mu.Unlock()
 	if cut {
 		<-ctx.Done()
@@ -72,15 +72,15 @@
 }
 
 // socketCore is three controllers that meet over real sockets.
-type socketCore struct {
+type socketCluster struct {
 	t           *testing.T
 	network     *socketNetwork
 	ips         []string
 	controllers []*Controller
 }
 
-func newSocketCore(t *testing.T) *socketCore {
-	c := &socketCore{t: t, network: newSocketNetwork()}
+func newSocketCluster(t *testing.T) *socketCluster {
+	c := &socketCluster{t: t, network: newSocketNetwork()}
 	net := fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(255))
 	var seeds []string
 	for i := range 3 {
@@ -89,10 +89,10 @@
 	}
 	for i, ip := range c.ips {
 		settings := &local.Settings{
-			NodeName: ip, IP: ip, Zone: "z", ControlAddr: seeds[i], Seeds: seeds, FirstStart: true, FirstPort: worldPort, LastPort: worldPort + 10,
+			NodeName: ip, IP: ip, Zone: "z", ControlAddr: seeds[i], Seeds: seeds, FirstStart: true, FirstPort: testPort, LastPort: testPort + 10,
 			MachineFaultTolerance: 1, DataDirectory: t.TempDir(), Contracts: []string{contractTallies}, MemoryMB: 256,
 		}
-		controller, err := newOn(&socketHost{network: c.network, ip: ip}, settings, zerolog.Nop())
+		controller, err := newWithNetwork(&socketHost{network: c.network, ip: ip}, settings, zerolog.Nop())
 		require.NoError(t, err)
 		c.controllers = append(c.controllers, controller)
 		ctx, stop := context.WithCancel(context.Background())
@@ -109,16 +109,16 @@
 }
 
 // add adds at a machine, and tries again until it is acknowledged.
-func (c *socketCore) add(i int, id string) {
+func (c *socketCluster) add(i int, id string) {
 	require.Eventually(c.t, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 		defer cancel()
 		return c.controllers[i].tallies.add(ctx, tally.Add{ID: id, Tally: "t", By: 1}).Outcome == tally.Acknowledged
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
 // addMany adds at a machine, many at a time.
-func (c *socketCore) addMany(i int, prefix string, count int) {
+func (c *socketCluster) addConcurrently(i int, prefix string, count int) {
 	const callers = 64
 	var all sync.WaitGroup
 	for caller := range callers {
@@ -132,10 +132,10 @@
 }
 
 // waitFor waits until all machines read a total.
-func (c *socketCore) waitFor(total int64) {
+func (c *socketCluster) waitForTotal(total int64) {
 	require.Eventually(c.t, func() bool {
 		for _, controller := range c.controllers {
-			read, err := controller.tallies.total(context.Background(), "t")
+			read, err := controller.tallies.readTotal(context.Background(), "t")
 			if err != nil || read != total {
 				return false
 			}
@@ -149,23 +149,23 @@
 
 // TestSidesOfACutMergeOverSockets: a machine that is cut off and the other two each take adds, one of them the same; when the cut heals all
 // three read the sum. The log has how long that took.
-func TestSidesOfACutMergeOverSockets(t *testing.T) {
-	c := newSocketCore(t)
+func TestPartitionedAddsMergeOverSockets(t *testing.T) {
+	c := newSocketCluster(t)
 	c.add(0, "first")
-	c.waitFor(1)
+	c.waitForTotal(1)
 	total := int64(1)
 	for round, adds := range []int{10, *addsFlag} {
-		c.network.cutOff(true, c.ips[0])
+		c.network.setIsolated(true, c.ips[0])
 		c.add(0, fmt.Sprint("both ", round))
 		c.add(1, fmt.Sprint("both ", round))
 		cut := time.Now()
-		c.addMany(0, fmt.Sprint("alone ", round, " "), adds)
-		c.addMany(1, fmt.Sprint("others ", round, " "), adds)
+		c.addConcurrently(0, fmt.Sprint("alone ", round, " "), adds)
+		c.addConcurrently(1, fmt.Sprint("others ", round, " "), adds)
 		total += 1 + 2*int64(adds)
-		c.network.cutOff(false, c.ips[0])
+		c.network.setIsolated(false, c.ips[0])
 		t.Logf("%d adds on each side took %v", adds, time.Since(cut).Round(time.Millisecond))
 		healed := time.Now()
-		c.waitFor(total)
+		c.waitForTotal(total)
 		t.Logf("%d adds on each side: merged %v after the cut", adds, time.Since(healed).Round(time.Millisecond))
 	}
 }
--- a/internal/controller/tallies_status.go
+++ b/internal/controller/tallies_status.go
@@ -9,28 +9,28 @@
 
 // TallyStatus is where the tallies of a controller stand.
 type TallyStatus struct {
-	Ready        bool              `json:"ready"` // reads are answered
-	NotReady     string            `json:"not_ready,omitempty"`
-	DiskFails    bool              `json:"disk_fails"`
-	DiskSlow     bool              `json:"disk_slow"`
-	Adds         int               `json:"adds"`
-	Origins      int               `json:"origins"`
-	LogBytes     int64             `json:"log_bytes"`
-	Behind       uint64            `json:"behind"` // adds that a peer holds and this machine does not
-	Taken        uint64            `json:"calls"`  // adds that callers sent since the start
-	Acknowledged uint64            `json:"acknowledged"`
-	Refused      uint64            `json:"refused"`
-	Unclear      uint64            `json:"unclear"`
-	Merged       uint64            `json:"merged"`     // adds that came from other machines
-	Duplicates   uint64            `json:"duplicates"` // held ids that came again
-	Conflicts    uint64            `json:"conflicts"`  // held ids that came with another tally or amount
-	Peers        []TallyPeerStatus `json:"peers"`
+	Ready          bool              `json:"ready"` // reads are answered
+	NotReadyReason string            `json:"not_ready,omitempty"`
+	DiskFails      bool              `json:"disk_fails"`
+	DiskSlow       bool              `json:"disk_slow"`
+	Adds           int               `json:"adds"`
+	Origins        int               `json:"origins"`
+	LogBytes       int64             `json:"log_bytes"`
+	Behind         uint64            `json:"behind"` // adds that a peer holds and this machine does not
+	Calls          uint64            `json:"calls"`  // adds that callers sent since the start
+	Acknowledged   uint64            `json:"acknowledged"`
+	Refused        uint64            `json:"refused"`
+	Unclear        uint64            `json:"unclear"`
+	Merged         uint64            `json:"merged"`     // adds that came from other machines
+	Duplicates     uint64            `json:"duplicates"` // held ids that came again
+	Conflicts      uint64            `json:"conflicts"`  // held ids that came with another tally or amount
+	Peers          []TallyPeerStatus `json:"peers"`
 }
 
 // TallyPeerStatus is another controller, as the tallies see it.
 type TallyPeerStatus struct {
 	Addr      string `json:"addr"`
-	InReach   bool   `json:"in_reach"`
+	Reachable bool   `json:"in_reach"`
 	SilentMS  int64  `json:"silent_ms"`
 	DiskFails bool   `json:"disk_fails,omitempty"`
 	Behind    uint64 `json:"behind"` // adds held here that it lacks
@@ -38,46 +38,46 @@
 }
 
 // status asks the owner where the tallies stand.
-func (t *tallies) status(ctx context.Context) (*TallyStatus, error) {
-	if !t.opened.Load() {
-		return &TallyStatus{NotReady: errReading.Error()}, nil
+func (t *tallyService) status(ctx context.Context) (*TallyStatus, error) {
+	if !t.loaded.Load() {
+		return &TallyStatus{NotReadyReason: errLoading.Error()}, nil
 	}
 	statuses := make(chan tally.Status, 1)
-	t.enqueue(func() { statuses <- t.replica.Status(t.now()) })
+	t.enqueue(func() { statuses <- t.replica.Status(t.sinceStart()) })
 	select {
 	case s := <-statuses:
-		return t.statusOf(&s), nil
+		return t.newTallyStatus(&s), nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-t.done:
-		return nil, errEnding
+		return nil, errShuttingDown
 	}
 }
 
-func (t *tallies) statusOf(s *tally.Status) *TallyStatus {
+func (t *tallyService) newTallyStatus(s *tally.Status) *TallyStatus {
 	out := &TallyStatus{
-		Ready: s.Ready, NotReady: s.NotReady, DiskFails: s.DiskFails, DiskSlow: s.DiskSlow,
+		Ready: s.Ready, NotReadyReason: s.NotReady, DiskFails: s.DiskFails, DiskSlow: s.DiskSlow,
 		Adds: s.Adds, Origins: s.Origins, LogBytes: t.logBytes.Load(), Behind: s.Behind,
-		Taken: s.Counters.Adds, Acknowledged: s.Counters.Acknowledged, Refused: s.Counters.Refused, Unclear: s.Counters.Unclear,
+		Calls: s.Counters.Adds, Acknowledged: s.Counters.Acknowledged, Refused: s.Counters.Refused, Unclear: s.Counters.Unclear,
 		Merged: s.Counters.Merged, Duplicates: s.Duplicates, Conflicts: s.Conflicts,
 	}
 	for _, p := range s.Peers {
 		out.Peers = append(out.Peers, TallyPeerStatus{
-			Addr: p.Addr, InReach: p.InReach, SilentMS: p.Silent.Milliseconds(), DiskFails: p.DiskFails, Behind: p.Behind, Ahead: p.Ahead,
+			Addr: p.Addr, Reachable: p.InReach, SilentMS: p.Silent.Milliseconds(), DiskFails: p.DiskFails, Behind: p.Behind, Ahead: p.Ahead,
 		})
 	}
 	return out
 }
 
 // addTo adds the tallies' figures to a set.
-func (s *TallyStatus) addTo(set *metrics.Set) {
+func (s *TallyStatus) addMetrics(set *metrics.Set) {
 	set.AddFlag("tally_ready", s.Ready)
 	set.AddFlag("tally_disk_fails", s.DiskFails)
 	set.Add("tally_adds", float64(s.Adds))
 	set.Add("tally_origins", float64(s.Origins))
 	set.Add("tally_log_bytes", float64(s.LogBytes))
 	set.Add("tally_behind", float64(s.Behind))
-	set.Add("tally_calls_total", float64(s.Taken))
+	set.Add("tally_calls_total", float64(s.Calls))
 	set.Add("tally_acknowledged_total", float64(s.Acknowledged))
 	set.Add("tally_refused_total", float64(s.Refused))
 	set.Add("tally_unclear_total", float64(s.Unclear))
@@ -86,7 +86,7 @@
 	set.Add("tally_conflicts", float64(s.Conflicts))
 	inReach := 0
 	for i := range s.Peers {
-		if s.Peers[i].InReach {
+		if s.Peers[i].Reachable {
 			inReach++
 		}
 	}
--- a/internal/controller/tallies_test.go
+++ b/internal/controller/tallies_test.go
@@ -13,10 +13,10 @@
 )
 
 // inTallyWorld plays a core of three that keeps tallies, in a bubble.
-func inTallyWorld(t *testing.T, play func(w *world)) {
+func runTallyCluster(t *testing.T, play func(w *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldOf(t, 3, contractTallies)
+		w := newTestClusterWithContracts(t, 3, contractTallies)
 		defer w.close()
 		time.Sleep(2 * time.Second)
 		play(w)
@@ -24,14 +24,14 @@
 }
 
 // addTo adds at a machine: the status, 0 where no answer came in time.
-func (w *world) addTo(ip, name, id string, by int) int {
-	status, _ := w.ask(ip, http.MethodPost, "/v1/tallies/"+name, "", fmt.Sprintf(`{"id":%q,"by":%d}`, id, by))
+func (w *testCluster) addToTally(ip, name, id string, by int) int {
+	status, _ := w.request(ip, http.MethodPost, "/v1/tallies/"+name, "", fmt.Sprintf(`{"id":%q,"by":%d}`, id, by))
 	return status
 }
 
 // totalAt reads a tally at a machine, -1 where it is not answered.
-func (w *world) totalAt(ip, name string) int {
-	status, text := w.ask(ip, http.MethodGet, "/v1/tallies/"+name, "", "")
+func (w *testCluster) tallyTotal(ip, name string) int {
+	status, text := w.request(ip, http.MethodGet, "/v1/tallies/"+name, "", "")
 	total := -1
 	if status == http.StatusOK {
 		_, err := fmt.Sscanf(text, `{"total":%d}`, &total)
@@ -40,65 +40,65 @@
 	return total
 }
 
-func TestAddsCountOnceAtWhicheverMachine(t *testing.T) {
-	inTallyWorld(t, func(w *world) {
-		require.Equal(t, 0, w.totalAt(ipOf(1), "t"))
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", "a", 4))
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(2), "t", "a", 4))
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(3), "t", "b", 3))
-		require.Equal(t, http.StatusConflict, w.addTo(ipOf(1), "t", "a", 5))
-		require.Equal(t, http.StatusConflict, w.addTo(ipOf(1), "u", "a", 4))
+func TestDuplicateAddsCountOnce(t *testing.T) {
+	runTallyCluster(t, func(w *testCluster) {
+		require.Equal(t, 0, w.tallyTotal(ipOf(1), "t"))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "a", 4))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(2), "t", "a", 4))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(3), "t", "b", 3))
+		require.Equal(t, http.StatusConflict, w.addToTally(ipOf(1), "t", "a", 5))
+		require.Equal(t, http.StatusConflict, w.addToTally(ipOf(1), "u", "a", 4))
 		time.Sleep(time.Second)
 		for i := 1; i <= 3; i++ {
-			require.Equal(t, 7, w.totalAt(ipOf(i), "t"))
-			require.Equal(t, 0, w.totalAt(ipOf(i), "u"))
+			require.Equal(t, 7, w.tallyTotal(ipOf(i), "t"))
+			require.Equal(t, 0, w.tallyTotal(ipOf(i), "u"))
 		}
 	})
 }
 
-func TestBothSidesOfACutKeepTheirTallies(t *testing.T) {
-	inTallyWorld(t, func(w *world) {
-		w.separateCore(true, ipOf(1))
+func TestPartitionedAddsMerge(t *testing.T) {
+	runTallyCluster(t, func(w *testCluster) {
+		w.setIsolatedFromCore(true, ipOf(1))
 		time.Sleep(2 * time.Second)
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", "both", 1))
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(2), "t", "both", 1))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "both", 1))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(2), "t", "both", 1))
 		for n := range 20 {
-			require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", fmt.Sprint("one ", n), 1))
-			require.Equal(t, http.StatusOK, w.addTo(ipOf(2), "t", fmt.Sprint("two ", n), 1))
+			require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", fmt.Sprint("one ", n), 1))
+			require.Equal(t, http.StatusOK, w.addToTally(ipOf(2), "t", fmt.Sprint("two ", n), 1))
 		}
-		require.Equal(t, 21, w.totalAt(ipOf(1), "t"))
-		require.Equal(t, 21, w.totalAt(ipOf(2), "t"))
-		w.separateCore(false, ipOf(1))
+		require.Equal(t, 21, w.tallyTotal(ipOf(1), "t"))
+		require.Equal(t, 21, w.tallyTotal(ipOf(2), "t"))
+		w.setIsolatedFromCore(false, ipOf(1))
 		time.Sleep(3 * time.Second)
 		for i := 1; i <= 3; i++ {
-			require.Equal(t, 41, w.totalAt(ipOf(i), "t"))
+			require.Equal(t, 41, w.tallyTotal(ipOf(i), "t"))
 		}
 	})
 }
 
 // TestFiguresOfTallies: during a cut each side tells how many others it reaches and what they lack.
-func TestFiguresOfTallies(t *testing.T) {
-	inTallyWorld(t, func(w *world) {
-		require.Equal(t, 2.0, w.figure(ipOf(1), "tally_peers_in_reach"))
-		w.separateCore(true, ipOf(1))
+func TestTallyMetrics(t *testing.T) {
+	runTallyCluster(t, func(w *testCluster) {
+		require.Equal(t, 2.0, w.metric(ipOf(1), "tally_peers_in_reach"))
+		w.setIsolatedFromCore(true, ipOf(1))
 		time.Sleep(2 * time.Second)
-		require.Zero(t, w.figure(ipOf(1), "tally_peers_in_reach"))
-		require.Equal(t, 1.0, w.figure(ipOf(2), "tally_peers_in_reach"))
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", "a", 1))
+		require.Zero(t, w.metric(ipOf(1), "tally_peers_in_reach"))
+		require.Equal(t, 1.0, w.metric(ipOf(2), "tally_peers_in_reach"))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "a", 1))
 		status, err := w.machines[ipOf(1)].controller.tallies.status(w.t.Context())
 		require.NoError(t, err)
 		require.Equal(t, uint64(1), status.Peers[0].Behind)
-		w.separateCore(false, ipOf(1))
+		w.setIsolatedFromCore(false, ipOf(1))
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 1.0, w.figure(ipOf(2), "tally_merged_total"))
-		require.Zero(t, w.figure(ipOf(2), "tally_behind"))
+		require.Equal(t, 1.0, w.metric(ipOf(2), "tally_merged_total"))
+		require.Zero(t, w.metric(ipOf(2), "tally_behind"))
 	})
 }
 
 // TestWithoutTheContractThereAreNoTallies: no route, no file.
-func TestWithoutTheContractThereAreNoTallies(t *testing.T) {
-	inWorld(t, 1, func(w *world, _ *rand.Rand) {
-		require.Equal(t, http.StatusNotFound, w.addTo(ipOf(1), "t", "a", 1))
+func TestTalliesDisabledWithoutContract(t *testing.T) {
+	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
+		require.Equal(t, http.StatusNotFound, w.addToTally(ipOf(1), "t", "a", 1))
 		files, err := filepath.Glob(filepath.Join(w.machines[ipOf(1)].settings.DataDirectory, "*tallies*"))
 		require.NoError(t, err)
 		require.Empty(t, files)
@@ -106,75 +106,75 @@
 }
 
 // TestAnAddNeedsNoSlowAnswer: with all machines there, an add takes some round trips and no timer.
-func TestAnAddNeedsNoSlowAnswer(t *testing.T) {
-	inTallyWorld(t, func(w *world) {
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", "first", 1))
+func TestAddLatency(t *testing.T) {
+	runTallyCluster(t, func(w *testCluster) {
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "first", 1))
 		before := time.Now()
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", "second", 1))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "second", 1))
 		require.Less(t, time.Since(before), 50*time.Millisecond)
 	})
 }
 
 // TestARestartedMachineStillTellsTheOthers: whatever its clock began at before, its adds come to the others soon.
-func TestARestartedMachineStillTellsTheOthers(t *testing.T) {
-	inTallyWorld(t, func(w *world) {
+func TestAddsPropagateAfterRestart(t *testing.T) {
+	runTallyCluster(t, func(w *testCluster) {
 		for n := range 8 {
-			w.end(ipOf(1), false)
-			w.boot(ipOf(1))
+			w.stopMachine(ipOf(1), false)
+			w.startMachine(ipOf(1))
 			time.Sleep(3 * time.Second)
-			require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", fmt.Sprint(n), 1))
+			require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", fmt.Sprint(n), 1))
 			time.Sleep(50 * time.Millisecond)
-			require.Equal(t, n+1, w.totalAt(ipOf(2), "t"))
+			require.Equal(t, n+1, w.tallyTotal(ipOf(2), "t"))
 		}
 	})
 }
 
 // TestALostDiskLearnsBeforeItIsRead: cut off from the others an empty disk answers no read; once it reaches them it reads what they hold.
-func TestALostDiskLearnsBeforeItIsRead(t *testing.T) {
-	inTallyWorld(t, func(w *world) {
+func TestEmptyDiskCatchesUpBeforeReads(t *testing.T) {
+	runTallyCluster(t, func(w *testCluster) {
 		for n := range 5 {
-			require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", fmt.Sprint(n), 1))
+			require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", fmt.Sprint(n), 1))
 		}
-		w.end(ipOf(1), false)
+		w.stopMachine(ipOf(1), false)
 		w.machines[ipOf(1)].settings.DataDirectory = t.TempDir()
 		w.machines[ipOf(1)].settings.FirstStart = false
-		w.separateCore(true, ipOf(1))
-		w.boot(ipOf(1))
+		w.setIsolatedFromCore(true, ipOf(1))
+		w.startMachine(ipOf(1))
 		for range 5 {
 			time.Sleep(time.Second)
-			require.Equal(t, -1, w.totalAt(ipOf(1), "t"))
+			require.Equal(t, -1, w.tallyTotal(ipOf(1), "t"))
 		}
-		require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", "apart", 1), "it takes adds all the same")
-		w.end(ipOf(1), false)
-		w.separateCore(true, ipOf(1))
-		w.boot(ipOf(1))
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "apart", 1), "it takes adds all the same")
+		w.stopMachine(ipOf(1), false)
+		w.setIsolatedFromCore(true, ipOf(1))
+		w.startMachine(ipOf(1))
 		time.Sleep(4 * time.Second)
-		require.Equal(t, -1, w.totalAt(ipOf(1), "t"), "also after another start")
-		w.separateCore(false, ipOf(1))
+		require.Equal(t, -1, w.tallyTotal(ipOf(1), "t"), "also after another start")
+		w.setIsolatedFromCore(false, ipOf(1))
 		time.Sleep(3 * time.Second)
 		for i := 1; i <= 3; i++ {
-			require.Equal(t, 6, w.totalAt(ipOf(i), "t"))
+			require.Equal(t, 6, w.tallyTotal(ipOf(i), "t"))
 		}
 	})
 }
 
 // TestAllLosePowerAndOneItsDisk: what was acknowledged is read at all machines soon after.
-func TestAllLosePowerAndOneItsDisk(t *testing.T) {
-	inTallyWorld(t, func(w *world) {
+func TestFullRestartWithOneLostDisk(t *testing.T) {
+	runTallyCluster(t, func(w *testCluster) {
 		for n := range 5 {
-			require.Equal(t, http.StatusOK, w.addTo(ipOf(1), "t", fmt.Sprint(n), 1))
+			require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", fmt.Sprint(n), 1))
 		}
 		for i := 1; i <= 3; i++ {
-			w.end(ipOf(i), false)
+			w.stopMachine(ipOf(i), false)
 			w.machines[ipOf(i)].settings.FirstStart = false
 		}
 		w.machines[ipOf(1)].settings.DataDirectory = t.TempDir()
 		for i := 1; i <= 3; i++ {
-			w.boot(ipOf(i))
+			w.startMachine(ipOf(i))
 		}
 		time.Sleep(3 * time.Second)
 		for i := 1; i <= 3; i++ {
-			require.Equal(t, 5, w.totalAt(ipOf(i), "t"))
+			require.Equal(t, 5, w.tallyTotal(ipOf(i), "t"))
 		}
 	})
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -24,13 +24,13 @@
 // A world plays whole controllers, their own code with its goroutines, store and HTTP, in a synctest bubble: time passes only when all wait,
 // and the machines meet over a network in memory that delays, holds up and cuts.
 
-const worldPort = 7340
+const testPort = 7340
 
-type world struct {
+type testCluster struct {
 	t         *testing.T
 	dir       string
 	contracts []string
-	machines  map[string]*worldMachine
+	machines  map[string]*testMachine
 
 	network *simtest.Network
 	mu      sync.Mutex // of calls
@@ -39,21 +39,21 @@
 }
 
 // worldMachine is a core machine and the process that runs on it, if one does.
-type worldMachine struct {
+type testMachine struct {
 	ip         string
 	settings   *local.Settings
 	controller *Controller
 	stop       context.CancelFunc
-	ended      chan struct{}
+	done       chan struct{}
 }
 
-func newWorld(t *testing.T, n int) *world { return newWorldOf(t, n) }
+func newTestCluster(t *testing.T, n int) *testCluster { return newTestClusterWithContracts(t, n) }
 
 // newWorldOf is a world under more parts of the rules.
-func newWorldOf(t *testing.T, n int, contracts ...string) *world {
-	w := &world{t: t, dir: t.TempDir(), contracts: contracts, machines: map[string]*worldMachine{}, network: simtest.NewNetwork(), start: time.Now()}
+func newTestClusterWithContracts(t *testing.T, n int, contracts ...string) *testCluster {
+	w := &testCluster{t: t, dir: t.TempDir(), contracts: contracts, machines: map[string]*testMachine{}, network: simtest.NewNetwork(), start: time.Now()}
 	for i := range n {
-		w.add(i+1, true)
+		w.addMachine(i+1, true)
 	}
 	return w
 }
@@ -61,29 +61,29 @@
 func ipOf(i int) string { return fmt.Sprintf("10.0.0.%d", i) }
 
 // add places a machine, with an empty disk, and starts it.
-func (w *world) add(i int, first bool) {
+func (w *testCluster) addMachine(i int, first bool) {
 	ip := ipOf(i)
 	settings := &local.Settings{
 		NodeName: "core-" + ip, IP: ip, Zone: "zone-" + ip, Zones: map[string]string{"x": "r", "y": "r"}, ControlAddr: ip + ":8783",
-		FirstStart: first, Contracts: w.contracts, MemoryMB: 256, FirstPort: worldPort, LastPort: worldPort + 10, MachineFaultTolerance: 1, DataDirectory: filepath.Join(w.dir, fmt.Sprint(i, "-", len(w.calls), "-", time.Now().UnixNano())),
+		FirstStart: first, Contracts: w.contracts, MemoryMB: 256, FirstPort: testPort, LastPort: testPort + 10, MachineFaultTolerance: 1, DataDirectory: filepath.Join(w.dir, fmt.Sprint(i, "-", len(w.calls), "-", time.Now().UnixNano())),
 	}
 	for seed := 1; seed <= 3; seed++ {
 		settings.Seeds = append(settings.Seeds, ipOf(seed)+":8783")
 	}
 	settings.Bounds.Grace = 8 * time.Second
-	w.machines[ip] = &worldMachine{ip: ip, settings: settings}
-	w.boot(ip)
+	w.machines[ip] = &testMachine{ip: ip, settings: settings}
+	w.startMachine(ip)
 }
 
 // boot starts a machine's process on what is on its disk.
-func (w *world) boot(ip string) {
+func (w *testCluster) startMachine(ip string) {
 	m := w.machines[ip]
-	c, err := newOn(w.network.Host(ip), m.settings, zerolog.Nop())
+	c, err := newWithNetwork(w.network.Host(ip), m.settings, zerolog.Nop())
 	require.NoError(w.t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	m.controller, m.stop, m.ended = c, stop, make(chan struct{})
+	m.controller, m.stop, m.done = c, stop, make(chan struct{})
 	go func() {
-		defer close(m.ended)
+		defer close(m.done)
 		if err := c.Run(ctx); err != nil {
 			w.t.Error(err)
 		}
@@ -91,29 +91,29 @@
 }
 
 // end ends a machine's process: told to, with its grace, or at once and without a word.
-func (w *world) end(ip string, grace bool) {
+func (w *testCluster) stopMachine(ip string, grace bool) {
 	m := w.machines[ip]
 	if !grace {
-		w.separate(true, ip)
+		w.setIsolated(true, ip)
 		m.controller.enqueue(commandOther, func() { m.controller.settings.Bounds.Grace = 0 })
 	}
 	m.stop()
-	<-m.ended
+	<-m.done
 	m.controller.pool.Close()
 	m.controller.store.Close()
 	w.network.CloseHost(ip)
 	if !grace {
-		w.separate(false, ip)
+		w.setIsolated(false, ip)
 	}
 }
 
-func (w *world) close() {
+func (w *testCluster) close() {
 	for ip := range w.machines {
 		if m := w.machines[ip]; m.controller != nil {
 			select {
-			case <-m.ended:
+			case <-m.done:
 			default:
-				w.end(ip, false)
+				w.stopMachine(ip, false)
 			}
 		}
 	}
@@ -121,17 +121,17 @@
 }
 
 // separate cuts a machine off from all others, or joins it again.
-func (w *world) separate(cut bool, ip string) {
+func (w *testCluster) setIsolated(cut bool, ip string) {
 	for other := range w.machines {
-		w.setLink(cut, ip, other)
-		w.setLink(cut, other, ip)
+		w.setLinkCut(cut, ip, other)
+		w.setLinkCut(cut, other, ip)
 	}
-	w.setLink(cut, ip, operatorIP)
-	w.setLink(cut, operatorIP, ip)
+	w.setLinkCut(cut, ip, operatorIP)
+	w.setLinkCut(cut, operatorIP, ip)
 }
 
 // separateCore cuts some machines off from the other machines; the operator reaches them on.
-func (w *world) separateCore(cut bool, ips ...string) {
+func (w *testCluster) setIsolatedFromCore(cut bool, ips ...string) {
 	side := map[string]bool{}
 	for _, ip := range ips {
 		side[ip] = true
@@ -139,34 +139,34 @@
 	for a := range w.machines {
 		for b := range w.machines {
 			if side[a] != side[b] {
-				w.setLink(cut, a, b)
+				w.setLinkCut(cut, a, b)
 			}
 		}
 	}
 }
 
-func (w *world) setLink(cut bool, from, to string) { w.network.Cut(cut, from, to) }
+func (w *testCluster) setLinkCut(cut bool, from, to string) { w.network.Cut(cut, from, to) }
 
 // put writes a configuration at a machine and notes the call for the check of the history.
-func (w *world) put(ip string, base, version int64, mark string) simtest.Outcome {
-	body := document(int(version), "s")
+func (w *testCluster) putConfig(ip string, base, version int64, mark string) simtest.Outcome {
+	body := configDocument(int(version), "s")
 	body = strings.Replace(body, "as sent", mark, 1)
 	call := simtest.Call{Write: true, Base: base, Version: version, Body: body, Start: time.Since(w.start)}
-	status, _ := w.ask(ip, http.MethodPut, "/v1/configuration", fmt.Sprint(base), body)
+	status, _ := w.request(ip, http.MethodPut, "/v1/configuration", fmt.Sprint(base), body)
 	switch status {
 	case http.StatusOK:
 		call.Outcome = simtest.Taken
 	case http.StatusPreconditionFailed, http.StatusBadRequest:
 		call.Outcome = simtest.Refused
 	}
-	w.note(call)
+	w.recordCall(call)
 	return call.Outcome
 }
 
 // get reads the configuration at a machine and notes it; false where no answer came.
-func (w *world) get(ip string) (version int64, ok bool) {
+func (w *testCluster) getConfig(ip string) (version int64, ok bool) {
 	call := simtest.Call{Outcome: simtest.Taken, Start: time.Since(w.start)}
-	status, text := w.ask(ip, http.MethodGet, "/v1/configuration", "", "")
+	status, text := w.request(ip, http.MethodGet, "/v1/configuration", "", "")
 	switch status {
 	case http.StatusOK:
 		fmt.Sscanf(text, `{"version":%d`, &call.Version)
@@ -175,11 +175,11 @@
 	default:
 		return 0, false
 	}
-	w.note(call)
+	w.recordCall(call)
 	return call.Version, true
 }
 
-func (w *world) note(call simtest.Call) {
+func (w *testCluster) recordCall(call simtest.Call) {
 	call.End = time.Since(w.start)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,17 +187,17 @@
 }
 
 // taken has a write taken by anybody, within so long.
-func (w *world) taken(within time.Duration, random *rand.Rand) bool {
+func (w *testCluster) commitWithin(within time.Duration, random *rand.Rand) bool {
 	end := time.Now().Add(within)
 	for time.Now().Before(end) {
 		for ip, m := range w.machines {
 			select {
-			case <-m.ended:
+			case <-m.done:
 				continue
 			default:
 			}
-			version, ok := w.get(ip)
-			if ok && w.put(ip, version, version+1, fmt.Sprint("last ", random.Uint64())) == simtest.Taken {
+			version, ok := w.getConfig(ip)
+			if ok && w.putConfig(ip, version, version+1, fmt.Sprint("last ", random.Uint64())) == simtest.Taken {
 				return true
 			}
 		}
@@ -206,20 +206,20 @@
 	return false
 }
 
-func (w *world) requireLinearizable() {
+func (w *testCluster) requireLinearizable() {
 	w.t.Helper()
 	require.True(w.t, simtest.Linearizable(w.calls), "the operator's calls cannot be put in an order")
 }
 
 // storeFile is the newest file of a machine's store.
-func (w *world) storeFile(ip string) string {
+func (w *testCluster) storeFile(ip string) string {
 	files, err := filepath.Glob(filepath.Join(w.machines[ip].settings.DataDirectory, "state-*.db"))
 	require.NoError(w.t, err)
 	return files[len(files)-1]
 }
 
 // damage flips a bit in the middle of a machine's store.
-func (w *world) damage(ip string) {
+func (w *testCluster) corruptStore(ip string) {
 	path := w.storeFile(ip)
 	text, err := os.ReadFile(path)
 	require.NoError(w.t, err)
@@ -231,12 +231,12 @@
 const operatorIP = "10.0.9.9"
 
 // operatorPatience is when the operator turns elsewhere.
-const operatorPatience = time.Second
+const operatorTimeout = time.Second
 
 // ask sends one call of the operator to a machine: status 0 where no answer came in time.
-func (w *world) ask(ip, method, path, match, body string) (status int, text string) {
+func (w *testCluster) request(ip, method, path, match, body string) (status int, text string) {
 	network := w.network.Host(operatorIP)
-	client := &http.Client{Timeout: operatorPatience, Transport: &http.Transport{
+	client := &http.Client{Timeout: operatorTimeout, Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext:       func(ctx context.Context, _, addr string) (net.Conn, error) { return network.Dial(ctx, addr) },
 	}}
--- a/internal/durable/compact.go
+++ b/internal/durable/compact.go
@@ -11,26 +11,26 @@
 )
 
 // tidy drops what a new snapshot covers, and compacts a file that holds much else. What fails here is tried again another time.
-func (s *Store) tidy(records []chain.Record) {
+func (s *Store) compactIfNeeded(records []chain.Record) {
 	if !slices.ContainsFunc(records, func(r chain.Record) bool { return r.Snapshot != nil }) {
 		return
 	}
-	kept, err := s.kept()
+	kept, err := s.liveRecords()
 	if err != nil {
 		return
 	}
-	s.live = 0
+	s.liveBytes = 0
 	for key, value := range kept {
-		s.live += int64(len(key) + len(value) + 40)
+		s.liveBytes += int64(len(key) + len(value) + 40)
 	}
-	if s.size > max(compactAbove, compactRatio*s.live) {
+	if s.sizeBytes > max(minCompactBytes, minCompactRatio*s.liveBytes) {
 		s.compact(kept) // on the old file all goes on if it fails
 	}
 }
 
 // Renew writes all that is kept into a new file. After a write or a sync that failed nothing tells what the old one holds for sure.
-func (s *Store) Renew() error {
-	kept, err := s.kept()
+func (s *Store) Rewrite() error {
+	kept, err := s.liveRecords()
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 }
 
 // kept is what the newest state needs: meta, its generation's snapshot, and the entries that follow it.
-func (s *Store) kept() (map[string]string, error) {
+func (s *Store) liveRecords() (map[string]string, error) {
 	saved, err := s.Load()
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 }
 
 func (s *Store) compact(kept map[string]string) error {
-	next, err := create(s.dir, s.number+1, kept)
+	next, err := createFile(s.dir, s.number+1, kept)
 	if err != nil {
 		return err
 	}
--- a/internal/durable/inspect.go
+++ b/internal/durable/inspect.go
@@ -35,7 +35,7 @@
 
 // Inspect reads a store offline. It fails if it cannot be read at all; damage is in the report.
 func Inspect(dir string) (*Report, error) {
-	numbers, err := list(dir)
+	numbers, err := listNumbers(dir)
 	if err != nil {
 		return nil, merry.Prepend(err, "inspect")
 	}
@@ -45,7 +45,7 @@
 	report := &Report{}
 	var newest map[string][]byte
 	for _, n := range numbers {
-		path := pathOf(dir, n)
+		path := filePath(dir, n)
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return nil, merry.Prepend(err, "inspect")
@@ -65,18 +65,18 @@
 // readFile replays a file's whole records.
 func readFile(path string, text []byte) (FileReport, map[string][]byte) {
 	file := FileReport{Path: path, Bytes: len(text), TornAt: -1}
-	found := scan(text)
+	found := scanLog(text)
 	switch {
 	case found.damaged:
-		file.Damage = &DamageError{path, found.whole, found.reason}
+		file.Damage = &DamageError{path, found.validBytes, found.reason}
 	case found.reason != "":
-		file.TornAt = found.whole
+		file.TornAt = found.validBytes
 	}
 	values := map[string][]byte{}
-	for at := 0; at < int(found.whole); {
-		parts, size, _ := command(text[at:])
+	for at := 0; at < int(found.validBytes); {
+		parts, size, _ := parseCommand(text[at:])
 		key := string(parts[1])
-		values[key], _ = unseal(key, string(parts[2]))
+		values[key], _ = verifyChecksum(key, string(parts[2]))
 		file.Records++
 		at += size
 	}
@@ -117,7 +117,7 @@
 }
 
 // Fault is the first damage of a report, nil if there is none: a torn end is none.
-func (r *Report) Fault() error {
+func (r *Report) Verify() error {
 	complete := false
 	for _, f := range r.Files {
 		if f.Damage != nil {
--- a/internal/durable/inspect_test.go
+++ b/internal/durable/inspect_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestInspectReadsWithoutChanging(t *testing.T) {
+func TestInspectLeavesStoreUnchanged(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir)
-	require.NoError(t, s.Write(append([]chainRecord{meta(4)}, entry(1, 30), entry(2, 30))))
+	s := openStore(t, dir)
+	require.NoError(t, s.Write(append([]chainRecord{metaRecord(4)}, entryRecord(1, 30), entryRecord(2, 30))))
 	s.Close()
-	path := onlyFile(t, dir)
+	path := singleFile(t, dir)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	torn := append(append([]byte(nil), text...), "*3\r\n$3\r\nset"...)
 	require.NoError(t, os.WriteFile(path, torn, 0o644))
 	report, err := Inspect(dir)
 	require.NoError(t, err)
-	require.NoError(t, report.Fault())
+	require.NoError(t, report.Verify())
 	require.Equal(t, int64(len(text)), report.Files[0].TornAt)
 	require.Equal(t, uint64(4), report.Meta.Promised.Round)
 	require.Len(t, report.Entries, 2)
@@ -28,15 +28,15 @@
 	require.Equal(t, torn, after)
 }
 
-func TestDamageIsNamedByOffset(t *testing.T) {
+func TestDamageOffset(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir)
-	require.NoError(t, s.Write([]chainRecord{meta(4)}))
-	require.NoError(t, s.Mark())
-	path := onlyFile(t, dir)
+	s := openStore(t, dir)
+	require.NoError(t, s.Write([]chainRecord{metaRecord(4)}))
+	require.NoError(t, s.MarkSynced())
+	path := singleFile(t, dir)
 	before, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.NoError(t, s.Write([]chainRecord{entry(1, 200), entry(2, 30)}))
+	require.NoError(t, s.Write([]chainRecord{entryRecord(1, 200), entryRecord(2, 30)}))
 	s.Close()
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 	report, err := Inspect(dir)
 	require.NoError(t, err)
 	var damage *DamageError
-	require.ErrorAs(t, report.Fault(), &damage)
+	require.ErrorAs(t, report.Verify(), &damage)
 	require.Equal(t, int64(len(before)), damage.Offset)
 	require.Contains(t, damage.Error(), "checksum")
 }
--- a/internal/durable/load.go
+++ b/internal/durable/load.go
@@ -40,32 +40,32 @@
 			return saved, merry.Prepend(err, "store: read snapshot")
 		}
 	}
-	saved.Entries, err = s.entries(saved.Meta.Generation)
+	saved.Entries, err = s.loadEntries(saved.Meta.Generation)
 	if err != nil {
 		return saved, err
 	}
 	slices.SortFunc(saved.Entries, func(a, b chain.Entry) int { return cmp.Compare(a.Seq, b.Seq) })
-	return saved, s.complete(&saved)
+	return saved, s.checkContiguous(&saved)
 }
 
 // complete holds what was loaded to being without gaps: a state that was taken over whole is there, and the entries go on from it.
-func (s *Store) complete(saved *chain.Saved) error {
+func (s *Store) checkContiguous(saved *chain.Saved) error {
 	next := uint64(1)
 	if saved.State != nil {
 		next = saved.State.Seq + 1
 	} else if saved.Meta.Generation > 0 {
-		return s.damage(fmt.Sprintf("the snapshot of generation %d is missing", saved.Meta.Generation))
+		return s.damageError(fmt.Sprintf("the snapshot of generation %d is missing", saved.Meta.Generation))
 	}
 	for _, e := range saved.Entries {
 		if e.Seq > next {
-			return s.damage(fmt.Sprintf("entry %d is missing", next))
+			return s.damageError(fmt.Sprintf("entry %d is missing", next))
 		}
 		next = max(next, e.Seq+1)
 	}
 	return nil
 }
 
-func (s *Store) entries(generation uint64) (entries []chain.Entry, err error) {
+func (s *Store) loadEntries(generation uint64) (entries []chain.Entry, err error) {
 	from := entryKey(generation, 0)
 	within := from[:len("entry/")+9]
 	viewErr := s.db.View(func(tx *buntdb.Tx) error {
@@ -74,9 +74,9 @@
 				return false
 			}
 			var e chain.Entry
-			payload, ok := unseal(key, value)
+			payload, ok := verifyChecksum(key, value)
 			if !ok {
-				err = s.damage("the checksum of " + key + " does not hold")
+				err = s.damageError("the checksum of " + key + " does not hold")
 				return false
 			}
 			if err = cbor.Unmarshal(payload, &e); err != nil {
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	metaKey     = "meta"
-	completeKey = "complete" // the last record of a compaction, and the first of a new store
-	prefix      = "state-"
-	suffix      = ".db"
-	asidePrefix = "damaged-"
+	metaKey       = "meta"
+	completeKey   = "complete" // the last record of a compaction, and the first of a new store
+	filePrefix    = "state-"
+	fileSuffix    = ".db"
+	damagedPrefix = "damaged-"
 
 	// compactAbove is the least size of a file that is compacted, and compactRatio how much more than what is live it must hold.
-	compactAbove = 4 << 20
-	compactRatio = 4
+	minCompactBytes = 4 << 20
+	minCompactRatio = 4
 )
 
 // Store is the open store of one directory.
 type Store struct {
-	dir    string
-	number int
-	path   string
-	db     *buntdb.DB
-	file   *os.File // for syncing what db writes
-	size   int64    // of the file, by what was written
-	marked bool     // nothing was synced since the newest mark
-	live   int64    // of it, what a compaction would keep, when last counted
+	dir        string
+	number     int
+	path       string
+	db         *buntdb.DB
+	syncFile   *os.File // for syncing what db writes
+	sizeBytes  int64    // of the file, by what was written
+	syncMarked bool     // nothing was synced since the newest mark
+	liveBytes  int64    // of it, what a compaction would keep, when last counted
 }
 
 // Open opens the store of a directory, and makes one where there is none. It fails with a *DamageError where the newest file is damaged.
@@ -48,7 +48,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, merry.Prepend(err, "store: make directory")
 	}
-	numbers, err := list(dir)
+	numbers, err := listNumbers(dir)
 	if err != nil {
 		return nil, merry.Prepend(err, "store: list")
 	}
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		if s != nil {
-			s.removeOthers(numbers)
+			s.removeOtherFiles(numbers)
 			return s, nil
 		}
 	}
@@ -66,27 +66,27 @@
 	if len(numbers) > 0 {
 		number = numbers[len(numbers)-1] + 1
 	}
-	return create(dir, number, nil)
+	return createFile(dir, number, nil)
 }
 
 // Present tells whether a directory holds a store, whole or not.
-func Present(dir string) bool {
-	numbers, err := list(dir)
+func Exists(dir string) bool {
+	numbers, err := listNumbers(dir)
 	return err == nil && len(numbers) > 0
 }
 
 // list gives the numbers of the files there are, lowest first.
-func list(dir string) (numbers []int, err error) {
+func listNumbers(dir string) (numbers []int, err error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
 	for _, f := range files {
-		name, ok := strings.CutPrefix(f.Name(), prefix)
+		name, ok := strings.CutPrefix(f.Name(), filePrefix)
 		if !ok {
 			continue
 		}
-		if n, err := strconv.Atoi(strings.TrimSuffix(name, suffix)); err == nil && strings.HasSuffix(name, suffix) {
+		if n, err := strconv.Atoi(strings.TrimSuffix(name, fileSuffix)); err == nil && strings.HasSuffix(name, fileSuffix) {
 			numbers = append(numbers, n)
 		}
 	}
@@ -94,17 +94,17 @@
 	return numbers, nil
 }
 
-func pathOf(dir string, number int) string {
-	return filepath.Join(dir, fmt.Sprintf("%s%06d%s", prefix, number, suffix))
+func filePath(dir string, number int) string {
+	return filepath.Join(dir, fmt.Sprintf("%s%06d%s", filePrefix, number, fileSuffix))
 }
 
 // openFile opens a file whose making was completed; nil if it was not.
 func openFile(dir string, number int) (*Store, error) {
-	path := pathOf(dir, number)
-	if err := repair(path); err != nil {
+	path := filePath(dir, number)
+	if err := repairFile(path); err != nil {
 		return nil, err
 	}
-	s, err := attach(dir, number)
+	s, err := openDatabase(dir, number)
 	if err != nil {
 		return nil, err
 	}
@@ -121,14 +121,14 @@
 // repair cuts off what was being written when the power went, and syncs what is left: a process that was killed may have written it without
 // the sync, and whoever reads it now relies on it. It fails with a *DamageError, and changes nothing, where what cannot be read was synced
 // once.
-func repair(path string) error {
+func repairFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return merry.Prepend(err, "store: read "+path)
 	}
-	found := scan(text)
+	found := scanLog(text)
 	if found.damaged {
-		return &DamageError{path, found.whole, found.reason}
+		return &DamageError{path, found.validBytes, found.reason}
 	}
 	file, err := os.OpenFile(path, os.O_RDWR, 0o644)
 	if err != nil {
@@ -136,7 +136,7 @@
 	}
 	defer file.Close()
 	if found.reason != "" {
-		if err := file.Truncate(found.whole); err != nil {
+		if err := file.Truncate(found.validBytes); err != nil {
 			return merry.Prepend(err, "store: repair "+path)
 		}
 	}
@@ -144,8 +144,8 @@
 }
 
 // attach opens a file as it is.
-func attach(dir string, number int) (*Store, error) {
-	s := &Store{dir: dir, number: number, path: pathOf(dir, number)}
+func openDatabase(dir string, number int) (*Store, error) {
+	s := &Store{dir: dir, number: number, path: filePath(dir, number)}
 	db, err := buntdb.Open(s.path)
 	if err != nil {
 		return nil, merry.Prepend(err, "store: open "+s.path)
@@ -155,20 +155,20 @@
 		db.Close()
 		return nil, merry.Prepend(err, "store: configure "+s.path)
 	}
-	if s.file, err = os.OpenFile(s.path, os.O_RDWR, 0o644); err != nil {
+	if s.syncFile, err = os.OpenFile(s.path, os.O_RDWR, 0o644); err != nil {
 		db.Close()
 		return nil, merry.Prepend(err, "store: open "+s.path)
 	}
-	if info, err := s.file.Stat(); err == nil {
-		s.size = info.Size()
+	if info, err := s.syncFile.Stat(); err == nil {
+		s.sizeBytes = info.Size()
 	}
-	s.live = s.size
+	s.liveBytes = s.sizeBytes
 	return s, nil
 }
 
 // create makes a new file of what is to be kept, lasting when it returns.
-func create(dir string, number int, kept map[string]string) (*Store, error) {
-	s, err := attach(dir, number)
+func createFile(dir string, number int, kept map[string]string) (*Store, error) {
+	s, err := openDatabase(dir, number)
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +183,7 @@
 			return nil, err
 		}
 	}
-	if err := s.set(completeKey, seal(completeKey, nil)); err != nil {
+	if err := s.set(completeKey, addChecksum(completeKey, nil)); err != nil {
 		s.discard()
 		return nil, err
 	}
@@ -191,7 +191,7 @@
 		s.discard()
 		return nil, err
 	}
-	s.live = s.size
+	s.liveBytes = s.sizeBytes
 	return s, syncDir(dir)
 }
 
@@ -204,23 +204,23 @@
 	return merry.Prepend(fsync(d), "store: sync directory")
 }
 
-func (s *Store) removeOthers(numbers []int) {
+func (s *Store) removeOtherFiles(numbers []int) {
 	for _, n := range numbers {
 		if n != s.number {
-			os.Remove(pathOf(s.dir, n))
+			os.Remove(filePath(s.dir, n))
 		}
 	}
 }
 
 // Close closes the store; nothing is lost by not doing so.
 func (s *Store) Close() {
-	s.Mark() // what cannot be marked is only not marked
+	s.MarkSynced() // what cannot be marked is only not marked
 	s.close()
 }
 
 func (s *Store) close() {
 	s.db.Close()
-	s.file.Close()
+	s.syncFile.Close()
 }
 
 func (s *Store) discard() {
@@ -230,25 +230,25 @@
 
 // Mark notes behind what was synced that it was. Damage before a mark is known for what it is; what is not marked yet is taken for torn
 // where it cannot be read. The mark itself need not last.
-func (s *Store) Mark() error {
-	if s.marked {
+func (s *Store) MarkSynced() error {
+	if s.syncMarked {
 		return nil
 	}
-	if err := s.set(markKey, seal(markKey, nil)); err != nil {
+	if err := s.set(syncMarkerKey, addChecksum(syncMarkerKey, nil)); err != nil {
 		return err
 	}
-	s.marked = true
+	s.syncMarked = true
 	return nil
 }
 
 // SetAside renames the files of a damaged store, for whoever wants to look at them, and removes those set aside before. The directory then
 // holds no store.
-func SetAside(dir string) error {
-	numbers, err := list(dir)
+func Quarantine(dir string) error {
+	numbers, err := listNumbers(dir)
 	if err != nil {
 		return merry.Prepend(err, "store: set aside")
 	}
-	old, err := filepath.Glob(filepath.Join(dir, asidePrefix+"*"))
+	old, err := filepath.Glob(filepath.Join(dir, damagedPrefix+"*"))
 	if err != nil {
 		return merry.Prepend(err, "store: set aside")
 	}
@@ -256,8 +256,8 @@
 		os.Remove(path)
 	}
 	for _, n := range numbers {
-		path := pathOf(dir, n)
-		if err := os.Rename(path, filepath.Join(dir, asidePrefix+filepath.Base(path))); err != nil {
+		path := filePath(dir, n)
+		if err := os.Rename(path, filepath.Join(dir, damagedPrefix+filepath.Base(path))); err != nil {
 			return merry.Prepend(err, "store: set aside "+path)
 		}
 	}
@@ -269,7 +269,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	if err := s.Mark(); err != nil {
+	if err := s.MarkSynced(); err != nil {
 		return err
 	}
 	for i := range records {
@@ -280,7 +280,7 @@
 	if err := s.sync(); err != nil {
 		return err
 	}
-	s.tidy(records)
+	s.compactIfNeeded(records)
 	return nil
 }
 
@@ -304,7 +304,7 @@
 	if err != nil {
 		return merry.Prepend(err, "store: encode "+key)
 	}
-	return s.set(key, seal(key, encoded))
+	return s.set(key, addChecksum(key, encoded))
 }
 
 func (s *Store) set(key, value string) error {
@@ -315,7 +315,7 @@
 	if err != nil {
 		return merry.Prepend(err, "store: write "+key)
 	}
-	s.size += int64(len(key) + len(value) + 40)
+	s.sizeBytes += int64(len(key) + len(value) + 40)
 	return nil
 }
 
@@ -329,20 +329,20 @@
 		if err != nil {
 			return err
 		}
-		if payload, there = unseal(key, value); !there {
-			return s.damage("the checksum of " + key + " does not hold")
+		if payload, there = verifyChecksum(key, value); !there {
+			return s.damageError("the checksum of " + key + " does not hold")
 		}
 		return nil
 	})
 	return payload, there, viewErr
 }
 
-func (s *Store) damage(cause string) *DamageError { return &DamageError{s.path, -1, cause} }
+func (s *Store) damageError(cause string) *DamageError { return &DamageError{s.path, -1, cause} }
 
 func (s *Store) sync() error {
-	if err := fsync(s.file); err != nil {
+	if err := fsync(s.syncFile); err != nil {
 		return merry.Prepend(err, "store: sync "+s.path)
 	}
-	s.marked = false
+	s.syncMarked = false
 	return nil
 }
