--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -7,61 +7,63 @@
 )
 
 func TestLeastOutstandingFirst(t *testing.T) {
-	w := startSimulation(t, 1, 3, func(c *Config) { c.Cells = 1 })
+	sim := startSimulation(t, 1, 3, func(c *Config) { c.Cells = 1 })
 	for i, want := range []int{1, 2, 3, 6} {
-		w.startLookup(0, []int{1, 1, 1, 3}[i], 0, 4000*ms, false)
-		if counts, sum := w.callCounts(); sum != want || slices.Max(counts) != (want+2)/3 {
+		sim.startLookup(0, []int{1, 1, 1, 3}[i], 0, 4000*ms, false)
+		if counts, sum := sim.callCounts(); sum != want || slices.Max(counts) != (want+2)/3 {
 			t.Errorf("calls in flight by searcher after lookup %d: got %v, want %d spread evenly", i, counts, want)
 		}
 	}
 }
 
 func TestForwardsOnlyNeededParts(t *testing.T) {
-	w := startSimulation(t, 2, 6, func(c *Config) { c.Tariffs[0].CompleteFrom, c.Tariffs[0].LeastShare = 0.6, 0.6 })
-	l := w.startLookup(0, 10, 0, 4000*ms, false)
-	_, sent := w.callCounts()
-	w.run(w.now + 2000*ms)
+	sim := startSimulation(t, 2, 6, func(c *Config) { c.Tariffs[0].CompleteFrom, c.Tariffs[0].LeastShare = 0.6, 0.6 })
+	l := sim.startLookup(0, 10, 0, 4000*ms, false)
+	_, sent := sim.callCounts()
+	sim.run(sim.now + 2000*ms)
 	if sent != 6 || !l.answeredWhole {
 		t.Errorf("got %d of 10 parts forwarded, complete answer %t, want 6 and true", sent, l.answeredWhole)
 	}
 }
 
 func TestPartsShareCall(t *testing.T) {
-	w := startSimulation(t, 3, 1, func(c *Config) { c.Cells, c.PerCall = 1, 4 })
-	w.startLookup(0, 6, 0, 4000*ms, false)
-	if s := w.mixer.searchers["box0"]; s.callsOut != 2 || s.partsOut != 6 {
+	sim := startSimulation(t, 3, 1, func(c *Config) { c.Cells, c.PerCall = 1, 4 })
+	sim.startLookup(0, 6, 0, 4000*ms, false)
+	if s := sim.mixer.searchers["box0"]; s.callsOut != 2 || s.partsOut != 6 {
 		t.Errorf("6 parts to one searcher: got %d calls with %d parts, want 2 with 6", s.callsOut, s.partsOut)
 	}
 }
 
 func TestSecondStep(t *testing.T) {
-	w := startSimulation(t, 4, 6, func(c *Config) { c.Tariffs[0].SecondStep = 5 })
-	l := w.startLookup(0, 3, 0, 4000*ms, false)
-	w.run(w.now + 4000*ms)
-	if len(l.steps) != 2 || len(l.steps[1]) != 3 || !l.ended || w.answers != 2 {
-		t.Errorf("got steps %v, ended %v, %d answers, want 2 steps of 3 parts, true, 2", l.steps, l.ended, w.answers)
+	sim := startSimulation(t, 4, 6, func(c *Config) { c.Tariffs[0].SecondStep = 5 })
+	l := sim.startLookup(0, 3, 0, 4000*ms, false)
+	sim.run(sim.now + 4000*ms)
+	if len(l.steps) != 2 || len(l.steps[1]) != 3 || !l.ended || sim.answers != 2 {
+		t.Errorf("got steps %v, ended %v, %d answers, want 2 steps of 3 parts, true, 2",
+			l.steps, l.ended, sim.answers)
 	}
 }
 
 func TestOverloadSheds(t *testing.T) {
-	w := startSimulation(t, 7, 6, nil)
-	w.warmUp(5)
-	before := w.answers
+	sim := startSimulation(t, 7, 6, nil)
+	sim.warmUp(5)
+	before := sim.answers
 	for range 600 { // three times what six searchers can serve
-		w.startLookup(0, 4, 0, 4000*ms, false)
-		w.run(w.now + 11*ms)
+		sim.startLookup(0, 4, 0, 4000*ms, false)
+		sim.run(sim.now + 11*ms)
 	}
-	w.run(w.now + 5000*ms)
-	served := w.answers - before
+	sim.run(sim.now + 5000*ms)
+	served := sim.answers - before
 	if most := 600 / 3; served < most*3/4 {
 		t.Errorf("got %d of 600 lookups served, want at least %d", served, most*3/4)
 	}
 }
 
 func TestExpiredRetryRejected(t *testing.T) {
-	w := startSimulation(t, 8, 6, nil)
-	if late, in := w.startLookup(0, 2, 0, 1500*ms, true), w.startLookup(0, 2, 0, 3500*ms, true); !late.ended || in.ended {
-		t.Errorf("retry past its expected time rejected %v, retry with time left rejected %v, want true and false", late.ended, in.ended)
+	sim := startSimulation(t, 8, 6, nil)
+	if late, in := sim.startLookup(0, 2, 0, 1500*ms, true), sim.startLookup(0, 2, 0, 3500*ms, true); !late.ended || in.ended {
+		t.Errorf("retry past its expected time rejected %v, retry with time left rejected %v, want true and false",
+			late.ended, in.ended)
 	}
 }
 
@@ -82,7 +84,8 @@
 	for second := range int64(10) {
 		sum += mean[second]
 		if s := float64(second); sum > coldMargin*2*20*(0.2*s+0.8*s*s/20) {
-			t.Errorf("cold searcher, mean of 40 fleets: got %.1f parts up to %d s, want at most %.2f of the %.1f it can serve", sum, second, coldMargin, 2*20*(0.2*s+0.8*s*s/20))
+			t.Errorf("cold searcher, mean of 40 fleets: got %.1f parts up to %d s, want at most %.2f of the %.1f it can serve",
+				sum, second, coldMargin, 2*20*(0.2*s+0.8*s*s/20))
 		}
 	}
 	if worst > 1 {
@@ -96,18 +99,18 @@
 	seconds = map[int64]float64{}
 	var sent []int64
 	for seed := range int64(60) {
-		w := startSimulation(t, from+seed, 2, func(c *Config) { c.Cells, c.Mixers = 1, 60 })
+		sim := startSimulation(t, from+seed, 2, func(c *Config) { c.Cells, c.Mixers = 1, 60 })
 		for range 5 {
-			w.startLookup(0, 2, 0, 4000*ms, false)
-			w.run(w.now + 6000*ms)
+			sim.startLookup(0, 2, 0, 4000*ms, false)
+			sim.run(sim.now + 6000*ms)
 		}
-		cold := Entry{Searcher: "box2", Started: w.now}
-		w.updateList(false, cold)
+		cold := Entry{Searcher: "box2", Started: sim.now}
+		sim.updateList(false, cold)
 		for range 3 { // all mixers pick it at the same time
-			w.startLookup(0, 3, 0, 4000*ms, false)
-			w.run(w.now + 3000*ms)
+			sim.startLookup(0, 3, 0, 4000*ms, false)
+			sim.run(sim.now + 3000*ms)
 		}
-		sent = append(sent, w.coldSent[cold]...)
+		sent = append(sent, sim.coldSent[cold]...)
 	}
 	slices.Sort(sent)
 	for i, at := range sent {
@@ -124,10 +127,10 @@
 }
 
 func TestColdFleetStart(t *testing.T) {
-	w := newSimulation(t, 17, plainConfig(func(c *Config) { c.Cells = 1 }))
-	w.updateList(true, Entry{Searcher: "box0", Started: w.now}, Entry{Searcher: "box1", Started: w.now})
-	if w.warmUp(20); w.answers < 5 {
-		t.Errorf("cold fleet: got %d of 20 lookups served in 6 s, want at least 5", w.answers)
+	sim := newSimulation(t, 17, plainConfig(func(c *Config) { c.Cells = 1 }))
+	sim.updateList(true, Entry{Searcher: "box0", Started: sim.now}, Entry{Searcher: "box1", Started: sim.now})
+	if sim.warmUp(20); sim.answers < 5 {
+		t.Errorf("cold fleet: got %d of 20 lookups served in 6 s, want at least 5", sim.answers)
 	}
 }
 
@@ -135,14 +138,15 @@
 // capacity from lookups that can still meet their deadline.
 func TestEndedLookupCancelsForwards(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		w := startSimulation(t, 1, 2, func(c *Config) { c.MayCancel, c.MaxForwards = allowed, 1 })
-		w.searchers["box0"].fault, w.searchers["box1"].fault = 3, 1 // one fails finally while the other is pending
-		l := w.startLookup(0, 2, 0, 4000*ms, false)
-		if w.run(w.now + 260*ms); !l.ended {
+		sim := startSimulation(t, 1, 2, func(c *Config) { c.MayCancel, c.MaxForwards = allowed, 1 })
+		sim.searchers["box0"].fault, sim.searchers["box1"].fault = 3, 1 // one fails finally while the other is pending
+		l := sim.startLookup(0, 2, 0, 4000*ms, false)
+		if sim.run(sim.now + 260*ms); !l.ended {
 			t.Fatal("lookup with a part that has no forward left: got no end within 260 ms")
 		}
-		if inFlight := len(w.mixer.searchers["box1"].inFlight); l.answeredWhole || (inFlight == 0) != allowed {
-			t.Errorf("cancellation allowed %v: got %d forwards in flight at a silent searcher, complete answer %v", allowed, inFlight, l.answeredWhole)
+		if inFlight := len(sim.mixer.searchers["box1"].inFlight); l.answeredWhole || (inFlight == 0) != allowed {
+			t.Errorf("cancellation allowed %v: got %d forwards in flight at a silent searcher, complete answer %v",
+				allowed, inFlight, l.answeredWhole)
 		}
 	}
 }
--- a/mixer/observe.go
+++ b/mixer/observe.go
@@ -83,13 +83,14 @@
 	}
 	m.calls++
 	st := SearcherState{Status: s.status, Calls: s.callsOut, Parts: s.partsOut, Unit: m.unitTime(now, s),
-		Fleet: m.fleetPace.Read(now, loadHalfLife, 0, 0) / s.size, Doubted: s.reportedSilent(now), Shunned: m.avoided(now, s),
-		ZoneSilent: s.zone.silent(), ColdWait: m.coldWait(now, s), Word: s.currentReport(now)}
+		Fleet:   m.fleetPace.Read(now, loadHalfLife, 0, 0) / s.size,
+		Doubted: s.reportedSilent(now), Shunned: m.avoided(now, s), ZoneSilent: s.zone.silent(), ColdWait: m.coldWait(now, s), Word: s.currentReport(now)}
 	if s.suspect {
 		st.TestIn = max(0, s.nextProbe+s.probeInterval*int64(st.Word.Suspecting)-now)
 	}
 	st.Observation = Observation{Searcher: s.id, Started: s.started, Heard: s.lastAnswer, Suspect: s.suspect,
-		Cold: m.capacityShare(now, s) < 1, Pace: s.pace.Read(now, paceHalfLife, 0, 0), Weight: s.pace.denominator.Read(now, paceHalfLife)}
+		Cold: m.capacityShare(now, s) < 1, Pace: s.pace.Read(now, paceHalfLife, 0, 0),
+		Weight: s.pace.denominator.Read(now, paceHalfLife)}
 	return st, true
 }
 
--- a/mixer/overload_test.go
+++ b/mixer/overload_test.go
@@ -6,19 +6,19 @@
 // answers, it must admit one again, see that the overload is over, and serve from then on.
 func TestRecoveryAfterOverload(t *testing.T) {
 	for seed := range int64(6) {
-		w := startSimulation(t, seed, 4, nil)
-		for _, s := range w.searchers { // busy with lookups of other mixers
-			s.coreFreeAt = [2]int64{w.now + 1200*ms, w.now + 1200*ms}
+		sim := startSimulation(t, seed, 4, nil)
+		for _, s := range sim.searchers { // busy with lookups of other mixers
+			s.coreFreeAt = [2]int64{sim.now + 1200*ms, sim.now + 1200*ms}
 		}
-		w.startLookup(0, 2, 0, 4000*ms, false)
-		w.run(w.now + 1500*ms)
-		if l := w.startLookup(0, 2, 0, 4000*ms, false); !l.ended {
+		sim.startLookup(0, 2, 0, 4000*ms, false)
+		sim.run(sim.now + 1500*ms)
+		if l := sim.startLookup(0, 2, 0, 4000*ms, false); !l.ended {
 			t.Fatal("lookup under overload was not rejected: the test shows nothing")
 		}
 		served := 0
 		for range 40 {
-			l := w.startLookup(0, 2, 0, 4000*ms, false)
-			if w.run(w.now + 300*ms); l.answeredWhole {
+			l := sim.startLookup(0, 2, 0, 4000*ms, false)
+			if sim.run(sim.now + 300*ms); l.answeredWhole {
 				served++
 			}
 		}
--- a/mixer/pick_test.go
+++ b/mixer/pick_test.go
@@ -72,11 +72,13 @@
 	picks, hedges, cold, probes, retries, ties := 0, 0, 0, 0, 0, uint64(0)
 	for seed := range int64(400) {
 		rng := rand.New(rand.NewSource(seed))
-		c := Config{Mixers: 1 + rng.Intn(3), Zone: "z0", Cells: 1 + rng.Intn(12), PerCall: 1 + rng.Intn(3), MaxForwards: 1 + rng.Intn(4),
-			MayCopy: rng.Intn(3) > 0, MayCancel: true, ColdFrom: 0.2, ColdFor: 9000 * ms, FallMultiple: 2, FallFor: 1000 * ms, Sized: rng.Intn(2) == 0,
-			CrossPrice: float64(rng.Intn(2)) * 0.05, BudgetFor: int64(rng.Intn(2)) * 2000 * ms, BudgetFree: float64(rng.Intn(12)), BudgetShare: 0.2}
+		c := Config{Mixers: 1 + rng.Intn(3), Zone: "z0", Cells: 1 + rng.Intn(12), PerCall: 1 + rng.Intn(3),
+			MaxForwards: 1 + rng.Intn(4), MayCopy: rng.Intn(3) > 0, MayCancel: true, ColdFrom: 0.2, ColdFor: 9000 * ms,
+			FallMultiple: 2, FallFor: 1000 * ms, Sized: rng.Intn(2) == 0, CrossPrice: float64(rng.Intn(2)) * 0.05,
+			BudgetFor: int64(rng.Intn(2)) * 2000 * ms, BudgetFree: float64(rng.Intn(12)), BudgetShare: 0.2}
 		c.Reach = 1 + rng.Intn(min(2, c.Cells))
-		c.Tariffs = []Tariff{{Expected: 900 * ms, Patience: 2000 * ms, CompleteFrom: 1, LeastShare: 1, Effect: Effect(rng.Intn(2)), RepeatFor: 700 * ms}}
+		c.Tariffs = []Tariff{{Expected: 900 * ms, Patience: 2000 * ms, CompleteFrom: 1, LeastShare: 1,
+			Effect: Effect(rng.Intn(2)), RepeatFor: 700 * ms}}
 		env := &nullEnvironment{index: map[string]int{}}
 		now := int64(1790000000e9)
 		m := New(now, c, seed, env)
@@ -128,14 +130,16 @@
 				p, to, want := referencePick(l, now, hedge)
 				q, at := l.pickForward(now, hedge, mean, late)
 				if to != at || p != q && (p == nil || q == nil || p.Effort != q.Effort || (len(p.forwards) > 0) != (len(q.forwards) > 0)) {
-					t.Fatalf("seed %d, hedge %v: got part %+v to searcher %+v, want part %+v to searcher %+v", seed, hedge, q, at, p, to)
+					t.Fatalf("seed %d, hedge %v: got part %+v to searcher %+v, want part %+v to searcher %+v",
+						seed, hedge, q, at, p, to)
 				}
 				if p = q; p != nil && !distinct {
 					ties++
 				}
 				for s, before := range demand {
 					if more := s.coldDemand.Read(now, loadHalfLife) - before; (more > 0.5) != (s == want) {
-						t.Fatalf("seed %d: demand for cold searcher %s: got an increase of %v, want it for %+v only", seed, s.id, more, want)
+						t.Fatalf("seed %d: demand for cold searcher %s: got an increase of %v, want it for %+v only",
+							seed, s.id, more, want)
 					}
 				}
 				if want != nil {
--- a/mixer/rules_test.go
+++ b/mixer/rules_test.go
@@ -36,59 +36,60 @@
 
 // randomRun runs a mixer in a random simulation and returns that at its end. each is called at
 // every step.
-func randomRun(t *testing.T, seed int64, each func(w *simulation, all []Entry)) *simulation {
+func randomRun(t *testing.T, seed int64, each func(sim *simulation, all []Entry)) *simulation {
 	rng := rand.New(rand.NewSource(seed))
-	w := newSimulation(t, seed, randomConfig(rng))
-	w.secondStepDelay = []int64{5, 300, 5000}[rng.Intn(3)] * ms
+	sim := newSimulation(t, seed, randomConfig(rng))
+	sim.secondStepDelay = []int64{5, 300, 5000}[rng.Intn(3)] * ms
 	var all []Entry
-	for i := range 3 * w.config.Cells {
-		e := Entry{Searcher: fmt.Sprint("box", i), Cell: i % w.config.Cells, Size: float64(i % 4)}
+	for i := range 3 * sim.config.Cells {
+		e := Entry{Searcher: fmt.Sprint("box", i), Cell: i % sim.config.Cells, Size: float64(i % 4)}
 		if rng.Intn(4) == 0 {
-			e.Started = w.now - rng.Int63n(20000*ms)
+			e.Started = sim.now - rng.Int63n(20000*ms)
 		}
 		all = append(all, e)
 	}
-	w.updateList(true, all...)
+	sim.updateList(true, all...)
 	for range 600 {
 		e := &all[rng.Intn(len(all))]
 		switch rng.Intn(40) {
 		case 0:
-			w.searchers[e.Searcher].fault = rng.Intn(6)
+			sim.searchers[e.Searcher].fault = rng.Intn(6)
 		case 1:
 			e.Status = Status(rng.Intn(3))
-			w.updateList(false, *e)
+			sim.updateList(false, *e)
 		case 2:
-			e.Status, e.Started = Live, w.now
-			w.updateList(false, *e)
+			e.Status, e.Started = Live, sim.now
+			sim.updateList(false, *e)
 		case 3:
-			w.updateList(true, all[rng.Intn(3):]...)
+			sim.updateList(true, all[rng.Intn(3):]...)
 		case 4:
-			w.refusing = !w.refusing
-			w.mixer.ListFailed(w.now)
+			sim.refusing = !sim.refusing
+			sim.mixer.ListFailed(sim.now)
 		case 5:
-			for id, l := range w.lookups {
+			for id, l := range sim.lookups {
 				if !l.ended && id[len(id)-1] == '7' {
 					l.ended = true
-					l.handle.Abandon(w.now)
+					l.handle.Abandon(sim.now)
 				}
 			}
 		default:
 			patience := []int64{2000 * ms, 1500 * ms, 300 * ms, 5 * ms}[rng.Intn(4)]
-			w.startLookup(rng.Intn(3), 1+rng.Intn(7), rng.Intn(w.config.Cells), patience, rng.Intn(5) == 0)
+			sim.startLookup(rng.Intn(3), 1+rng.Intn(7), rng.Intn(sim.config.Cells), patience, rng.Intn(5) == 0)
 		}
-		each(w, all)
-		w.run(w.now + rng.Int63n(60*ms))
+		each(sim, all)
+		sim.run(sim.now + rng.Int63n(60*ms))
 	}
-	w.run(w.now + 10000*ms)
-	for id, l := range w.lookups {
+	sim.run(sim.now + 10000*ms)
+	for id, l := range sim.lookups {
 		if !l.ended {
 			t.Errorf("lookup %s: got no final answer", id)
 		}
 	}
-	for id, s := range w.mixer.searchers {
+	for id, s := range sim.mixer.searchers {
 		if s.callsOut != 0 || s.partsOut != 0 || len(s.inFlight) != 0 {
-			t.Errorf("searcher %s at the end: got %d calls, %d parts, %d forwards in flight, want 0 of each", id, s.callsOut, s.partsOut, len(s.inFlight))
+			t.Errorf("searcher %s at the end: got %d calls, %d parts, %d forwards in flight, want 0 of each",
+				id, s.callsOut, s.partsOut, len(s.inFlight))
 		}
 	}
-	return w
+	return sim
 }
--- a/mixer/suspect_test.go
+++ b/mixer/suspect_test.go
@@ -5,16 +5,16 @@
 )
 
 func TestFastFailureAvoided(t *testing.T) {
-	w := warmSimulation(t, 5, 3)
-	w.searchers["box1"].fault = 2
-	before := len(w.retries)
+	sim := warmSimulation(t, 5, 3)
+	sim.searchers["box1"].fault = 2
+	before := len(sim.retries)
 	for range 20 {
-		l := w.startLookup(0, 3, 0, 4000*ms, false)
-		if w.run(w.now + 300*ms); !l.answeredWhole {
+		l := sim.startLookup(0, 3, 0, 4000*ms, false)
+		if sim.run(sim.now + 300*ms); !l.answeredWhole {
 			t.Error("lookup with one failing searcher of three: got no complete answer in 300 ms")
 		}
 	}
-	if retries := len(w.retries) - before; retries > 10 {
+	if retries := len(sim.retries) - before; retries > 10 {
 		t.Errorf("20 lookups with one failing searcher of three: got %d retries, want at most 10", retries)
 	}
 }
@@ -23,20 +23,22 @@
 // hedges back its probes.
 func TestSilentSearcherAvoided(t *testing.T) {
 	for _, hedges := range []bool{true, false} {
-		w := startSimulation(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, hedges, !hedges })
-		w.warmUp(10)
-		w.searchers["box1"].fault = 1
-		late := w.countLate(3, 300*ms)
-		if hedges && late > 3 || !w.mixer.searchers["box1"].suspect {
-			t.Errorf("hedges %v: got %d of 20 lookups late, silent searcher suspect %v, want at most 3 with hedges, and true", hedges, late, w.mixer.searchers["box1"].suspect)
+		sim := startSimulation(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, hedges, !hedges })
+		sim.warmUp(10)
+		sim.searchers["box1"].fault = 1
+		late := sim.countLate(3, 300*ms)
+		if hedges && late > 3 || !sim.mixer.searchers["box1"].suspect {
+			t.Errorf("hedges %v: got %d of 20 lookups late, silent searcher suspect %v, want at most 3 with hedges, and true",
+				hedges, late, sim.mixer.searchers["box1"].suspect)
 		}
-		w.searchers["box1"].fault = 0
-		before := w.closed
-		w.warmUp(map[bool]int{true: 60, false: 100}[hedges])
-		if w.closed == before {
-			t.Errorf("hedges %v: probe: got no idle connection closed, want a new connection, as the old one may itself be silent", hedges)
+		sim.searchers["box1"].fault = 0
+		before := sim.closed
+		sim.warmUp(map[bool]int{true: 60, false: 100}[hedges])
+		if sim.closed == before {
+			t.Errorf("hedges %v: probe: got no idle connection closed, want a new connection, as the old one may itself be silent",
+				hedges)
 		}
-		if w.mixer.searchers["box1"].suspect {
+		if sim.mixer.searchers["box1"].suspect {
 			t.Errorf("hedges %v: searcher that answers again: got suspect, want not suspect", hedges)
 		}
 	}
@@ -48,21 +50,23 @@
 func TestStalledForwardCancelledAndResent(t *testing.T) {
 	late := 0
 	for seed := range int64(6) {
-		w := startSimulation(t, seed, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
-		w.warmUp(10)
-		w.searchers["box1"].fault = 1
+		sim := startSimulation(t, seed, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
+		sim.warmUp(10)
+		sim.searchers["box1"].fault = 1
 		for range 20 {
-			l := w.startLookup(0, 3, 0, 4000*ms, false)
-			if w.run(w.now + 2000*ms); !l.answeredWhole {
+			l := sim.startLookup(0, 3, 0, 4000*ms, false)
+			if sim.run(sim.now + 2000*ms); !l.answeredWhole {
 				late++
 			}
 		}
-		if !w.mixer.searchers["box1"].suspect {
-			t.Errorf("seed %d: silent searcher whose forwards are all cancelled: got not suspect, want suspect", seed)
+		if !sim.mixer.searchers["box1"].suspect {
+			t.Errorf("seed %d: silent searcher whose forwards are all cancelled: got not suspect, want suspect",
+				seed)
 		}
 	}
 	if late > 3 {
-		t.Errorf("one silent searcher of three: got %d of 120 lookups without a complete answer, want at most 3", late)
+		t.Errorf("one silent searcher of three: got %d of 120 lookups without a complete answer, want at most 3",
+			late)
 	}
 }
 
@@ -71,20 +75,20 @@
 func TestSuspectProbeDelay(t *testing.T) {
 	for seed := range int64(12) {
 		expected := []int64{1000 * ms, 4000 * ms}[seed%2]
-		w := startSimulation(t, seed, 1, func(c *Config) { c.Cells, c.Tariffs[0].Expected = 1, expected })
-		w.warmUp(10)
-		w.searchers["box0"].fault = 2
-		w.countLate(1, 1500*ms)
-		w.searchers["box0"].fault = 0
-		if !w.mixer.searchers["box0"].suspect {
+		sim := startSimulation(t, seed, 1, func(c *Config) { c.Cells, c.Tariffs[0].Expected = 1, expected })
+		sim.warmUp(10)
+		sim.searchers["box0"].fault = 2
+		sim.countLate(1, 1500*ms)
+		sim.searchers["box0"].fault = 0
+		if !sim.mixer.searchers["box0"].suspect {
 			t.Fatal("searcher that always fails: got not suspect, want suspect")
 		}
-		from := w.now
-		for w.mixer.searchers["box0"].suspect && w.now < from+20000*ms {
-			w.startLookup(0, 1, 0, 4000*ms, false)
-			w.run(w.now + 50*ms)
+		from := sim.now
+		for sim.mixer.searchers["box0"].suspect && sim.now < from+20000*ms {
+			sim.startLookup(0, 1, 0, 4000*ms, false)
+			sim.run(sim.now + 50*ms)
 		}
-		if took := w.now - from; took > 5*expected {
+		if took := sim.now - from; took > 5*expected {
 			t.Errorf("recovered searcher: got suspect for %d ms, want at most %d ms", took/ms, 5*expected/ms)
 		}
 	}
@@ -95,17 +99,17 @@
 func TestErringSearchersStillUsed(t *testing.T) {
 	var unserved [2]int
 	for seed := range int64(6) {
-		w := warmSimulation(t, seed, 4)
+		sim := warmSimulation(t, seed, 4)
 		for phase, fault := range []int{5, 0} {
 			for _, id := range []string{"box0", "box1", "box2"} {
-				w.searchers[id].fault = fault
+				sim.searchers[id].fault = fault
 			}
 			var all []*simLookup
 			for range 250 {
-				all = append(all, w.startLookup(0, 1, 0, 4000*ms, false))
-				w.run(w.now + 20*ms)
+				all = append(all, sim.startLookup(0, 1, 0, 4000*ms, false))
+				sim.run(sim.now + 20*ms)
 			}
-			w.run(w.now + 2000*ms)
+			sim.run(sim.now + 2000*ms)
 			for _, l := range all {
 				if !l.answeredWhole {
 					unserved[phase]++
@@ -114,7 +118,8 @@
 		}
 	}
 	if unserved[0] > 120 || unserved[1] > 3 {
-		t.Errorf("of 1500 lookups each: got %d without a complete answer during errors and %d after, want at most 120 and 3", unserved[0], unserved[1])
+		t.Errorf("of 1500 lookups each: got %d without a complete answer during errors and %d after, want at most 120 and 3",
+			unserved[0], unserved[1])
 	}
 }
 
@@ -122,12 +127,12 @@
 // last resort. These are not probes: they must not use up the probe budget, which detects its
 // recovery.
 func TestLastResortIsNotAProbe(t *testing.T) {
-	w, over := warmSimulation(t, 6, 2), 0.0
-	w.searchers["box0"].fault, w.searchers["box1"].fault = 2, 5
+	sim, over := warmSimulation(t, 6, 2), 0.0
+	sim.searchers["box0"].fault, sim.searchers["box1"].fault = 2, 5
 	for range 250 {
-		w.startLookup(0, 1, 0, 4000*ms, false)
-		w.run(w.now + 40*ms)
-		over = max(over, w.mixer.sentProbes.Read(w.now, loadHalfLife)-max(minProbes, probeShare*w.mixer.sentForwards.Read(w.now, loadHalfLife)))
+		sim.startLookup(0, 1, 0, 4000*ms, false)
+		sim.run(sim.now + 40*ms)
+		over = max(over, sim.mixer.sentProbes.Read(sim.now, loadHalfLife)-max(minProbes, probeShare*sim.mixer.sentForwards.Read(sim.now, loadHalfLife)))
 	}
 	if over > 1 {
 		t.Errorf("probes above the budget: got %.1f, want at most 1", over)
@@ -135,40 +140,40 @@
 }
 
 func TestSlowPartIsNotSilence(t *testing.T) {
-	w := warmSimulation(t, 11, 1)
-	w.searchers["box0"].coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms} // five times the usual latency
-	l := w.startLookup(0, 1, 0, 4000*ms, false)
-	for w.run(w.now + 10*ms); !l.ended; w.run(w.now + 10*ms) {
-		if w.mixer.searchers["box0"].suspect {
+	sim := warmSimulation(t, 11, 1)
+	sim.searchers["box0"].coreFreeAt = [2]int64{sim.now + 500*ms, sim.now + 500*ms} // five times the usual latency
+	l := sim.startLookup(0, 1, 0, 4000*ms, false)
+	for sim.run(sim.now + 10*ms); !l.ended; sim.run(sim.now + 10*ms) {
+		if sim.mixer.searchers["box0"].suspect {
 			t.Fatal("searcher with one slow part: got suspect, want not suspect")
 		}
 	}
 }
 
 func TestLostForwardResent(t *testing.T) {
-	w := warmSimulation(t, 10, 2)
-	w.setFaults(1)
-	w.mixer.sentHedges.Add(w.now, 1e6, loadHalfLife) // no hedge budget is left for parts that are merely late
-	l := w.startLookup(0, 1, 0, 4000*ms, false)
-	w.setFaults(0)
-	if w.run(w.now + 740*ms); !l.ended {
+	sim := warmSimulation(t, 10, 2)
+	sim.setFaults(1)
+	sim.mixer.sentHedges.Add(sim.now, 1e6, loadHalfLife) // no hedge budget is left for parts that are merely late
+	l := sim.startLookup(0, 1, 0, 4000*ms, false)
+	sim.setFaults(0)
+	if sim.run(sim.now + 740*ms); !l.ended {
 		t.Error("lookup with a lost forward: got no answer in 740 ms, want the part resent before its searcher is suspect")
 	}
 }
 
 func TestTimeoutRaisesPace(t *testing.T) {
-	w := warmSimulation(t, 13, 3)
-	w.searchers["box1"].coreFreeAt = [2]int64{w.now + 3000*ms, w.now + 3000*ms}
-	w.startLookup(0, 3, 0, 4000*ms, false)
-	w.run(w.now + 3000*ms)
-	for w.mixer.searchers["box1"].suspect {
-		w.warmUp(1)
+	sim := warmSimulation(t, 13, 3)
+	sim.searchers["box1"].coreFreeAt = [2]int64{sim.now + 3000*ms, sim.now + 3000*ms}
+	sim.startLookup(0, 3, 0, 4000*ms, false)
+	sim.run(sim.now + 3000*ms)
+	for sim.mixer.searchers["box1"].suspect {
+		sim.warmUp(1)
 	}
 	picked := 0
 	for range 10 {
-		w.startLookup(0, 2, 0, 4000*ms, false)
-		picked += w.mixer.searchers["box1"].callsOut
-		w.run(w.now + 300*ms)
+		sim.startLookup(0, 2, 0, 4000*ms, false)
+		picked += sim.mixer.searchers["box1"].callsOut
+		sim.run(sim.now + 300*ms)
 	}
 	if picked > 2 {
 		t.Errorf("searcher that recently timed out: got picked first %d of 10 times, want at most 2", picked)
@@ -176,22 +181,22 @@
 }
 
 func TestRemovedSearcherResends(t *testing.T) {
-	w := newSimulation(t, 9, plainConfig(func(c *Config) { c.Cells = 1 }))
+	sim := newSimulation(t, 9, plainConfig(func(c *Config) { c.Cells = 1 }))
 	list := entries(2, 1)
-	w.updateList(true, list[0])
-	w.searchers["box0"].fault = 1
-	l := w.startLookup(0, 1, 0, 4000*ms, false)
-	w.updateList(true, list[1])
-	w.run(w.now + 200*ms)
+	sim.updateList(true, list[0])
+	sim.searchers["box0"].fault = 1
+	l := sim.startLookup(0, 1, 0, 4000*ms, false)
+	sim.updateList(true, list[1])
+	sim.run(sim.now + 200*ms)
 	if !l.answeredWhole {
 		t.Error("lookup with a part at a removed searcher: got no complete answer in 200 ms, want the part resent at once")
 	}
 }
 
 func TestDroppedConnectionsClosed(t *testing.T) {
-	w := warmSimulation(t, 12, 3)
-	w.setFaults(4)
-	if late := w.countLate(2, 3000*ms); late > 6 {
+	sim := warmSimulation(t, 12, 3)
+	sim.setFaults(4)
+	if late := sim.countLate(2, 3000*ms); late > 6 {
 		t.Errorf("connections dropped silently: got %d of 20 lookups late, want at most 6", late)
 	}
 }
@@ -199,18 +204,18 @@
 // Every eighth part takes long on healthy searchers, which must not count as a loss on their
 // connections.
 func TestLateAnswerKeepsConnections(t *testing.T) {
-	w := warmSimulation(t, 17, 3)
+	sim := warmSimulation(t, 17, 3)
 	for i := range 160 {
 		if i%8 == 0 {
-			for _, s := range w.searchers {
-				s.coreFreeAt = [2]int64{w.now + 500*ms, w.now + 500*ms}
+			for _, s := range sim.searchers {
+				s.coreFreeAt = [2]int64{sim.now + 500*ms, sim.now + 500*ms}
 			}
 		}
-		w.startLookup(0, 1, 0, 4000*ms, false)
-		w.run(w.now + 800*ms)
+		sim.startLookup(0, 1, 0, 4000*ms, false)
+		sim.run(sim.now + 800*ms)
 	}
-	if w.closed > 8 {
-		t.Errorf("no connection dropped: got %d closings of idle connections, want at most 8", w.closed)
+	if sim.closed > 8 {
+		t.Errorf("no connection dropped: got %d closings of idle connections, want at most 8", sim.closed)
 	}
 }
 
@@ -218,17 +223,17 @@
 func TestSilentZoneAvoided(t *testing.T) {
 	sent := 0
 	for seed := range int64(10) {
-		w, there := twoZones(seed, t)
+		sim, there := twoZones(seed, t)
 		for _, id := range there {
-			w.searchers[id].fault = 1
+			sim.searchers[id].fault = 1
 		}
 		for i := range 12 {
-			w.startLookup(0, 2, w.rng.Intn(20), 4000*ms, false)
-			counts, _ := w.callCounts()
+			sim.startLookup(0, 2, sim.rng.Intn(20), 4000*ms, false)
+			counts, _ := sim.callCounts()
 			for _, n := range counts[20:] {
 				sent += n * min(i/4, 1)
 			}
-			w.run(w.now + 2000*ms)
+			sim.run(sim.now + 2000*ms)
 		}
 	}
 	if sent > 32 {
@@ -241,37 +246,38 @@
 func TestLateZoneAvoided(t *testing.T) {
 	late, recovered := 0, 0
 	for seed := range int64(10) {
-		w, there := twoZones(seed, t)
+		sim, there := twoZones(seed, t)
 		setRoundTrip := func(d int64) {
 			for _, id := range there {
-				w.searchers[id].roundTrip = d
+				sim.searchers[id].roundTrip = d
 			}
 		}
 		setRoundTrip(1900 * ms)
 		for i := range 30 {
-			l := w.startLookup(0, 6, w.rng.Intn(20), 4000*ms, false)
-			if w.run(w.now + 500*ms); !l.ended && i >= 6 {
+			l := sim.startLookup(0, 6, sim.rng.Intn(20), 4000*ms, false)
+			if sim.run(sim.now + 500*ms); !l.ended && i >= 6 {
 				late++
 			}
 		}
 		setRoundTrip(0)
 		for range 40 {
-			w.startLookup(0, 6, w.rng.Intn(20), 4000*ms, false)
-			w.run(w.now + 500*ms)
+			sim.startLookup(0, 6, sim.rng.Intn(20), 4000*ms, false)
+			sim.run(sim.now + 500*ms)
 		}
-		if !w.mixer.zones["there"].silent() {
+		if !sim.mixer.zones["there"].silent() {
 			recovered++
 		}
 	}
 	if late > 6 || recovered < 9 {
-		t.Errorf("late zone: got %d of 240 lookups late, %d of 10 zones in use 20 s after recovery, want at most 6 and at least 9", late, recovered)
+		t.Errorf("late zone: got %d of 240 lookups late, %d of 10 zones in use 20 s after recovery, want at most 6 and at least 9",
+			late, recovered)
 	}
 }
 
 // twoZones returns a simulation of two zones whose mixer has latency statistics, and the searchers
 // of the second.
-func twoZones(seed int64, t *testing.T) (w *simulation, there []string) {
-	w = newSimulation(t, seed, plainConfig(func(c *Config) { c.Cells = 20 }))
+func twoZones(seed int64, t *testing.T) (sim *simulation, there []string) {
+	sim = newSimulation(t, seed, plainConfig(func(c *Config) { c.Cells = 20 }))
 	list := entries(40, 20)
 	for i := range list {
 		if list[i].Zone = "here"; i >= 20 {
@@ -279,22 +285,23 @@
 			there = append(there, list[i].Searcher)
 		}
 	}
-	w.updateList(true, list...)
+	sim.updateList(true, list...)
 	for range 40 {
-		w.startLookup(0, 2, w.rng.Intn(20), 4000*ms, false)
-		w.run(w.now + 300*ms)
+		sim.startLookup(0, 2, sim.rng.Intn(20), 4000*ms, false)
+		sim.run(sim.now + 300*ms)
 	}
-	return w, there
+	return sim, there
 }
 
 func TestRecoveryAfterFleetOutage(t *testing.T) {
-	w := warmSimulation(t, 16, 4)
-	w.setFaults(1)
-	w.warmUp(100)
-	w.setFaults(0)
-	w.warmUp(40)
-	before := w.answers
-	if w.warmUp(10); w.answers < before+9 {
-		t.Errorf("12 s after all searchers recovered: got %d of 10 lookups served, want at least 9", w.answers-before)
+	sim := warmSimulation(t, 16, 4)
+	sim.setFaults(1)
+	sim.warmUp(100)
+	sim.setFaults(0)
+	sim.warmUp(40)
+	before := sim.answers
+	if sim.warmUp(10); sim.answers < before+9 {
+		t.Errorf("12 s after all searchers recovered: got %d of 10 lookups served, want at least 9",
+			sim.answers-before)
 	}
 }
--- a/mixer/update_test.go
+++ b/mixer/update_test.go
@@ -80,29 +80,31 @@
 		var runs [2][]string
 		for run := range runs {
 			r, rng := (*recorder)(nil), rand.New(rand.NewSource(seed))
-			randomRun(t, seed, func(w *simulation, _ []Entry) {
+			randomRun(t, seed, func(sim *simulation, _ []Entry) {
 				if r == nil {
-					r = &recorder{simulation: w}
-					w.mixer.env = r
+					r = &recorder{simulation: sim}
+					sim.mixer.env = r
 				}
 				if run == 0 {
 					return
 				}
 				for range rng.Intn(3) {
-					before := learntState(w.mixer)
-					if w.mixer.UpdateConfig(w.now, w.config); learntState(w.mixer) != before {
-						t.Fatalf("seed %d: state after an update: got\n%s\nwant\n%s", seed, learntState(w.mixer), before)
+					before := learntState(sim.mixer)
+					if sim.mixer.UpdateConfig(sim.now, sim.config); learntState(sim.mixer) != before {
+						t.Fatalf("seed %d: state after an update: got\n%s\nwant\n%s",
+							seed, learntState(sim.mixer), before)
 					}
 					updates++
 				}
-				w.after(rng.Int63n(50*ms), func() { w.mixer.UpdateConfig(w.now, w.config) }) // between any two calls
+				sim.after(rng.Int63n(50*ms), func() { sim.mixer.UpdateConfig(sim.now, sim.config) }) // between any two calls
 			})
 			runs[run] = r.calls
 		}
 		if !slices.Equal(runs[0], runs[1]) {
 			for i := range min(len(runs[0]), len(runs[1])) {
 				if runs[0][i] != runs[1][i] {
-					t.Fatalf("seed %d: call %d of %d with updates: got %s, want %s", seed, i, len(runs[0]), runs[1][i], runs[0][i])
+					t.Fatalf("seed %d: call %d of %d with updates: got %s, want %s",
+						seed, i, len(runs[0]), runs[1][i], runs[0][i])
 				}
 			}
 			t.Fatalf("seed %d: got %d calls with updates, want %d", seed, len(runs[1]), len(runs[0]))
@@ -137,20 +139,22 @@
 	updates := 0
 	for seed := range int64(24) {
 		rng := rand.New(rand.NewSource(seed))
-		randomRun(t, seed, func(w *simulation, _ []Entry) {
+		randomRun(t, seed, func(sim *simulation, _ []Entry) {
 			if rng.Intn(6) == 0 {
-				before := learntState(w.mixer)
-				w.config = changedConfig(rng, w.config)
-				if w.mixer.UpdateConfig(w.now, w.config); learntState(w.mixer) != before {
-					t.Fatalf("seed %d: state after an update: got\n%s\nwant\n%s", seed, learntState(w.mixer), before)
+				before := learntState(sim.mixer)
+				sim.config = changedConfig(rng, sim.config)
+				if sim.mixer.UpdateConfig(sim.now, sim.config); learntState(sim.mixer) != before {
+					t.Fatalf("seed %d: state after an update: got\n%s\nwant\n%s",
+						seed, learntState(sim.mixer), before)
 				}
 				updates++
 			}
-			for id, l := range w.lookups {
-				end := min(l.notAfter, w.now+l.tariff.Expected) - deadlineMargin // earlier for a retry
-				if *l.handle.tariff != l.tariff || l.handle.deadline > end || !l.ended && w.now > max(l.handle.deadline, 0)+w.secondStepDelay+2*deadlineMargin && l.handle.stepComplete {
+			for id, l := range sim.lookups {
+				end := min(l.notAfter, sim.now+l.tariff.Expected) - deadlineMargin // earlier for a retry
+				if *l.handle.tariff != l.tariff || l.handle.deadline > end ||
+					!l.ended && sim.now > max(l.handle.deadline, 0)+sim.secondStepDelay+2*deadlineMargin && l.handle.stepComplete {
 					t.Fatalf("seed %d: lookup %s at %d ns: got tariff %+v, deadline %d ns, ended %v, want tariff %+v, deadline at most %d ns",
-						seed, id, w.now, *l.handle.tariff, l.handle.deadline, l.ended, l.tariff, end)
+						seed, id, sim.now, *l.handle.tariff, l.handle.deadline, l.ended, l.tariff, end)
 				}
 			}
 		})
@@ -161,59 +165,61 @@
 // A lookup that started before an update neither ends earlier nor is answered with fewer parts; a
 // later one does.
 func TestLookupsAroundConfigUpdate(t *testing.T) {
-	w := startSimulation(t, 1, 6, nil)
-	w.warmUp(10)
-	w.searchers["box1"].fault, w.searchers["box3"].fault, w.searchers["box5"].fault = 1, 1, 1 // all holders of the second slice
-	old := w.startLookup(0, 2, 0, 4000*ms, false)
-	began := w.now
-	c := w.config
+	sim := startSimulation(t, 1, 6, nil)
+	sim.warmUp(10)
+	sim.searchers["box1"].fault, sim.searchers["box3"].fault, sim.searchers["box5"].fault = 1, 1, 1 // all holders of the second slice
+	old := sim.startLookup(0, 2, 0, 4000*ms, false)
+	began := sim.now
+	c := sim.config
 	c.Tariffs = []Tariff{{Expected: 1000 * ms, Patience: 4000 * ms, CompleteFrom: 0.5, LeastShare: 0.5}}
-	w.mixer.UpdateConfig(w.now, c)
+	sim.mixer.UpdateConfig(sim.now, c)
 	c.Tariffs[0].CompleteFrom = 1 // the mixer has its own copy
-	w.config.Tariffs = []Tariff{{Expected: 1000 * ms, Patience: 4000 * ms, CompleteFrom: 0.5, LeastShare: 0.5}}
-	next := w.startLookup(0, 2, 0, 4000*ms, false)
-	if w.run(w.now + 900*ms); !next.answeredWhole || old.ended {
-		t.Errorf("lookup after the update: got complete answer %v, want true; lookup before it: got ended %v, want false", next.answeredWhole, old.ended)
+	sim.config.Tariffs = []Tariff{{Expected: 1000 * ms, Patience: 4000 * ms, CompleteFrom: 0.5, LeastShare: 0.5}}
+	next := sim.startLookup(0, 2, 0, 4000*ms, false)
+	if sim.run(sim.now + 900*ms); !next.answeredWhole || old.ended {
+		t.Errorf("lookup after the update: got complete answer %v, want true; lookup before it: got ended %v, want false",
+			next.answeredWhole, old.ended)
 	}
-	if w.run(began + 1900*ms); old.ended {
+	if sim.run(began + 1900*ms); old.ended {
 		t.Error("lookup before the update, at 1900 ms: got ended by the new expected time of 1000 ms, want 2000 ms")
 	}
-	if w.run(began + 2000*ms); !old.ended || old.answeredWhole {
-		t.Errorf("lookup before the update, at 2000 ms: got ended %v, complete answer %v, want true and false", old.ended, old.answeredWhole)
+	if sim.run(began + 2000*ms); !old.ended || old.answeredWhole {
+		t.Errorf("lookup before the update, at 2000 ms: got ended %v, complete answer %v, want true and false",
+			old.ended, old.answeredWhole)
 	}
-	short := w.startLookup(0, 1, 1, 4000*ms, false)
-	began = w.now
-	w.config.Tariffs = []Tariff{{Expected: 3000 * ms, Patience: 4000 * ms, CompleteFrom: 1, LeastShare: 1}}
-	w.mixer.UpdateConfig(w.now, w.config)
-	long := w.startLookup(0, 1, 1, 4000*ms, false)
-	if w.run(began + 1000*ms); !short.ended && !long.ended {
+	short := sim.startLookup(0, 1, 1, 4000*ms, false)
+	began = sim.now
+	sim.config.Tariffs = []Tariff{{Expected: 3000 * ms, Patience: 4000 * ms, CompleteFrom: 1, LeastShare: 1}}
+	sim.mixer.UpdateConfig(sim.now, sim.config)
+	long := sim.startLookup(0, 1, 1, 4000*ms, false)
+	if sim.run(began + 1000*ms); !short.ended && !long.ended {
 		t.Error("lookup with an expected time of 1000 ms: got no end by then")
 	}
-	if w.mixer.longestExpected != float64(3000*ms) {
-		t.Errorf("longest expected time: got %v ms, want 3000 ms", w.mixer.longestExpected/float64(ms))
+	if sim.mixer.longestExpected != float64(3000*ms) {
+		t.Errorf("longest expected time: got %v ms, want 3000 ms", sim.mixer.longestExpected/float64(ms))
 	}
 }
 
 // Fields that must not change keep their values, and a configuration with another number of tariffs
 // or allowances is ignored.
 func TestUpdateConfigFields(t *testing.T) {
-	w := startSimulation(t, 1, 2, func(c *Config) { c.Allowances = []float64{3} })
-	began := w.mixer.config
+	sim := startSimulation(t, 1, 2, func(c *Config) { c.Allowances = []float64{3} })
+	began := sim.mixer.config
 	c := Config{Zone: "z", Mixers: 9, Cells: 9, Reach: 9, MaxForwards: 9, MayAdvise: true, MaxAdvice: 8, Allowances: []float64{4},
 		OverWorth: 0.1, Tariffs: []Tariff{{Expected: 5, Patience: 6, Effect: AtMostOnce, RepeatFor: 7, CompleteFrom: 0.8, LeastShare: 0.3,
 			Partial: 0.2, SecondStep: 9}}}
-	w.mixer.UpdateConfig(w.now, c)
+	sim.mixer.UpdateConfig(sim.now, c)
 	want := began
 	want.Tariffs = []Tariff{{Expected: 5, Patience: 6, RepeatFor: 7, CompleteFrom: 0.8, LeastShare: 0.3, Partial: 0.2}}
 	want.MaxAdvice, want.Allowances, want.OverWorth = 8, []float64{4}, 0.1
-	if fmt.Sprintf("%+v", w.mixer.config) != fmt.Sprintf("%+v", want) {
-		t.Errorf("updated configuration: got %+v, want %+v", w.mixer.config, want)
+	if fmt.Sprintf("%+v", sim.mixer.config) != fmt.Sprintf("%+v", want) {
+		t.Errorf("updated configuration: got %+v, want %+v", sim.mixer.config, want)
 	}
 	for _, invalid := range []Config{{}, {Tariffs: c.Tariffs}, {Tariffs: c.Tariffs, Allowances: []float64{1, 2}},
 		{Tariffs: append(c.Tariffs, c.Tariffs...), Allowances: c.Allowances}} {
-		if w.mixer.UpdateConfig(w.now, invalid); fmt.Sprintf("%+v", w.mixer.config) != fmt.Sprintf("%+v", want) {
-			t.Errorf("update with %+v: got %+v, want %+v", invalid, w.mixer.config, want)
+		if sim.mixer.UpdateConfig(sim.now, invalid); fmt.Sprintf("%+v", sim.mixer.config) != fmt.Sprintf("%+v", want) {
+			t.Errorf("update with %+v: got %+v, want %+v", invalid, sim.mixer.config, want)
 		}
 	}
-	(*Mixer)(nil).UpdateConfig(w.now, c)
+	(*Mixer)(nil).UpdateConfig(sim.now, c)
 }
--- a/mixer/world_test.go
+++ b/mixer/world_test.go
@@ -63,141 +63,142 @@
 }
 
 // after schedules a function; those of one time run in the order of scheduling.
-func (w *simulation) after(d int64, do func()) {
-	at := w.now + max(d, 1)
-	i, _ := slices.BinarySearchFunc(w.queue, at+1, func(e event, at int64) int { return int(e.at - at) })
-	w.queue = slices.Insert(w.queue, i, event{at, do})
+func (sim *simulation) after(d int64, do func()) {
+	at := sim.now + max(d, 1)
+	i, _ := slices.BinarySearchFunc(sim.queue, at+1, func(e event, at int64) int { return int(e.at - at) })
+	sim.queue = slices.Insert(sim.queue, i, event{at, do})
 }
 
 // run processes all events until a time.
-func (w *simulation) run(until int64) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := w.queue[0]
-		w.queue = w.queue[1:]
-		w.now = e.at
+func (sim *simulation) run(until int64) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := sim.queue[0]
+		sim.queue = sim.queue[1:]
+		sim.now = e.at
 		e.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
 func newSimulation(t testing.TB, seed int64, c Config) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e15, config: c, listed: map[string]Entry{},
+	sim := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e15, config: c, listed: map[string]Entry{},
 		searchers: map[string]*simSearcher{}, lookups: map[string]*simLookup{}, parts: map[string]*simPart{},
 		coldSent: map[Entry][]int64{}, secondStepDelay: 5 * ms}
-	w.mixer = New(w.now, c, seed, w)
-	return w
+	sim.mixer = New(sim.now, c, seed, sim)
+	return sim
 }
 
-func (w *simulation) updateList(full bool, list ...Entry) {
+func (sim *simulation) updateList(full bool, list ...Entry) {
 	if full {
-		clear(w.listed)
+		clear(sim.listed)
 	}
 	for _, e := range list {
-		w.listed[e.Searcher] = e
-		if w.searchers[e.Searcher] == nil {
-			w.searchers[e.Searcher] = &simSearcher{}
+		sim.listed[e.Searcher] = e
+		if sim.searchers[e.Searcher] == nil {
+			sim.searchers[e.Searcher] = &simSearcher{}
 		}
 	}
-	w.mixer.UpdateList(w.now, list, full)
+	sim.mixer.UpdateList(sim.now, list, full)
 }
 
 // startLookup starts a lookup with parts of equal weight on consecutive slices, for each customer
 // in turn.
-func (w *simulation) startLookup(tariff, parts, slice int, patience int64, again bool) *simLookup {
-	customer := len(w.lookups) % (1 + len(w.config.Allowances)) // the first is unknown
-	return w.startLookupOf(customer, tariff, parts, slice, patience, again)
+func (sim *simulation) startLookup(tariff, parts, slice int, patience int64, again bool) *simLookup {
+	customer := len(sim.lookups) % (1 + len(sim.config.Allowances)) // the first is unknown
+	return sim.startLookupOf(customer, tariff, parts, slice, patience, again)
 }
 
 // startLookupOf is startLookup for a given customer.
-func (w *simulation) startLookupOf(customer, tariff, parts, slice int, patience int64, again bool) *simLookup {
-	id := fmt.Sprint("l", len(w.lookups))
-	l := &simLookup{tariff: w.config.Tariffs[tariff], notAfter: w.now + patience}
-	w.lookups[id] = l
-	w.taken = append(w.taken, w.now)
-	l.handle = w.mixer.StartLookup(w.now, LookupRequest{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts,
+func (sim *simulation) startLookupOf(customer, tariff, parts, slice int, patience int64, again bool) *simLookup {
+	id := fmt.Sprint("l", len(sim.lookups))
+	l := &simLookup{tariff: sim.config.Tariffs[tariff], notAfter: sim.now + patience}
+	sim.lookups[id] = l
+	sim.taken = append(sim.taken, sim.now)
+	l.handle = sim.mixer.StartLookup(sim.now, LookupRequest{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts,
 		Again: again, Customer: customer})
-	w.addParts(l, id, parts, slice)
+	sim.addParts(l, id, parts, slice)
 	return l
 }
 
 // addParts adds the parts of the lookup's next step.
-func (w *simulation) addParts(l *simLookup, id string, parts, slice int) {
+func (sim *simulation) addParts(l *simLookup, id string, parts, slice int) {
 	step := len(l.steps)
 	l.steps = append(l.steps, nil)
 	for i := range parts {
-		p := PartRequest{ID: fmt.Sprint(id, "s", step, "p", i), Slice: (slice + i) % w.config.Cells, Weight: 1 / float64(parts)}
-		w.parts[p.ID] = &simPart{lookup: l, index: step*len(l.steps[0]) + i, slice: p.Slice, weight: p.Weight}
+		p := PartRequest{ID: fmt.Sprint(id, "s", step, "p", i), Slice: (slice + i) % sim.config.Cells, Weight: 1 / float64(parts)}
+		sim.parts[p.ID] = &simPart{lookup: l, index: step*len(l.steps[0]) + i, slice: p.Slice, weight: p.Weight}
 		l.steps[step] = append(l.steps[step], p.ID)
-		w.taken = append(w.taken, w.now)
-		l.handle.AddPart(w.now, p)
+		sim.taken = append(sim.taken, sim.now)
+		l.handle.AddPart(sim.now, p)
 	}
 }
 
-func (w *simulation) Forward(part, searcher string, within int64) {
-	p, e := w.parts[part], w.listed[searcher]
+func (sim *simulation) Forward(part, searcher string, within int64) {
+	p, e := sim.parts[part], sim.listed[searcher]
 	if p == nil || p.lookup.ended || p.answered {
-		w.t.Fatalf("forward of part %s, which is answered, ended or unknown", part)
+		sim.t.Fatalf("forward of part %s, which is answered, ended or unknown", part)
 	}
-	if _, ok := w.listed[searcher]; !ok || e.Status != Live {
-		w.t.Fatalf("forward of part %s to %s, which is not listed as live", part, searcher)
+	if _, ok := sim.listed[searcher]; !ok || e.Status != Live {
+		sim.t.Fatalf("forward of part %s to %s, which is not listed as live", part, searcher)
 	}
-	if d := (e.Cell - p.slice + w.config.Cells) % w.config.Cells; d >= w.config.Reach {
-		w.t.Fatalf("forward of part %s to %s, which does not hold slice %d", part, searcher, p.slice)
+	if d := (e.Cell - p.slice + sim.config.Cells) % sim.config.Cells; d >= sim.config.Reach {
+		sim.t.Fatalf("forward of part %s to %s, which does not hold slice %d", part, searcher, p.slice)
 	}
-	if len(p.sent) >= w.config.MaxForwards {
-		w.t.Fatalf("%d forwards of part %s, want at most %d", len(p.sent)+1, part, w.config.MaxForwards)
+	if len(p.sent) >= sim.config.MaxForwards {
+		sim.t.Fatalf("%d forwards of part %s, want at most %d", len(p.sent)+1, part, sim.config.MaxForwards)
 	}
 	for i := range p.sent {
-		if !p.done[i] && !w.config.MayCopy {
-			w.t.Fatalf("hedge of part %s, want none", part)
+		if !p.done[i] && !sim.config.MayCopy {
+			sim.t.Fatalf("hedge of part %s, want none", part)
 		}
-		late := p.lookup.tariff.Effect == AtMostOnce || p.lookup.tariff.Effect == Deduplicated && w.now > p.sent[i]+p.lookup.tariff.RepeatFor
-		if late && (!p.done[i] || p.ran[i]) {
-			w.t.Fatalf("part %s with effect %d resent, want no repeat", part, p.lookup.tariff.Effect)
+		expired := p.lookup.tariff.Effect == AtMostOnce ||
+			p.lookup.tariff.Effect == Deduplicated && sim.now > p.sent[i]+p.lookup.tariff.RepeatFor
+		if expired && (!p.done[i] || p.ran[i]) {
+			sim.t.Fatalf("part %s with effect %d resent, want no repeat", part, p.lookup.tariff.Effect)
 		}
 	}
 	if len(p.sent) > 0 {
-		w.retries = append(w.retries, w.now)
-		spent, taken := countAfter(w.retries, w.now-w.config.BudgetFor-1), countAfter(w.taken, w.now-w.config.BudgetFor)
-		if most := w.config.BudgetFree + w.config.BudgetShare*taken; w.config.BudgetFor > 0 && spent > most {
-			w.t.Fatalf("%g retries in the budget's window, want at most %g", spent, most)
+		sim.retries = append(sim.retries, sim.now)
+		spent, taken := countAfter(sim.retries, sim.now-sim.config.BudgetFor-1), countAfter(sim.taken, sim.now-sim.config.BudgetFor)
+		if most := sim.config.BudgetFree + sim.config.BudgetShare*taken; sim.config.BudgetFor > 0 && spent > most {
+			sim.t.Fatalf("%g retries in the budget's window, want at most %g", spent, most)
 		}
 	}
-	w.checkColdLimit(searcher, e)
+	sim.checkColdLimit(searcher, e)
 	i := len(p.sent)
-	p.sent, p.done, p.ran = append(p.sent, w.now), append(p.done, false), append(p.ran, true)
-	o, took := w.serve(w.searchers[searcher], within)
-	w.after(took, func() {
+	p.sent, p.done, p.ran = append(p.sent, sim.now), append(p.done, false), append(p.ran, true)
+	o, took := sim.serve(sim.searchers[searcher], within)
+	sim.after(took, func() {
 		if p.done[i] {
 			return // cancelled
 		}
 		p.done[i], p.ran[i] = true, !o.NeverRan()
 		p.answered = p.answered || o == Succeeded && !p.lookup.ended
-		p.lookup.handle.HandleOutcome(w.now, p.index, i, o, took, p.answered || p.lookup.ended)
+		p.lookup.handle.HandleOutcome(sim.now, p.index, i, o, took, p.answered || p.lookup.ended)
 	})
 }
 
 // serve returns how a forward to a searcher will end, and after how long.
-func (w *simulation) serve(b *simSearcher, within int64) (Outcome, int64) {
+func (sim *simulation) serve(b *simSearcher, within int64) (Outcome, int64) {
 	switch b.fault {
 	case 1:
 		return TimedOut, within
 	case 2:
-		return []Outcome{Failed, Rejected, ConnectionReset}[w.rng.Intn(3)], 2 * ms
+		return []Outcome{Failed, Rejected, ConnectionReset}[sim.rng.Intn(3)], 2 * ms
 	case 3:
 		return Unreachable, min(within, 250*ms)
 	case 5:
-		if w.rng.Intn(2) == 0 {
+		if sim.rng.Intn(2) == 0 {
 			return Failed, 2 * ms
 		}
 	}
 	used := b.lastUsed
-	if b.lastUsed = w.now; b.fault == 4 && used > 0 && w.now-used > 1000*ms {
+	if b.lastUsed = sim.now; b.fault == 4 && used > 0 && sim.now-used > 1000*ms {
 		return TimedOut, within
 	}
 	slices.Sort(b.coreFreeAt[:])
-	b.coreFreeAt[0] = max(b.coreFreeAt[0], w.now) + 50*ms + w.rng.Int63n(100*ms)
-	if took := b.coreFreeAt[0] - w.now + b.roundTrip; took <= within {
+	b.coreFreeAt[0] = max(b.coreFreeAt[0], sim.now) + 50*ms + sim.rng.Int63n(100*ms)
+	if took := b.coreFreeAt[0] - sim.now + b.roundTrip; took <= within {
 		return Succeeded, took
 	}
 	return TimedOut, within
@@ -211,109 +212,112 @@
 
 // checkColdLimit checks rule 4, the limit of parts to a cold searcher: warm ones can serve 20 parts
 // a second, and no other mixer uses any of that.
-func (w *simulation) checkColdLimit(searcher string, e Entry) {
-	age := w.now - e.Started
-	if e.Started == 0 || age >= w.config.ColdFor {
+func (sim *simulation) checkColdLimit(searcher string, e Entry) {
+	age := sim.now - e.Started
+	if e.Started == 0 || age >= sim.config.ColdFor {
 		return
 	}
-	w.coldSent[e] = append(w.coldSent[e], w.now)
-	in := countAfter(w.coldSent[e], w.now-w.config.FallFor)
-	frac := w.config.ColdFrom + (1-w.config.ColdFrom)*float64(age)/float64(w.config.ColdFor)
-	most := w.config.FallMultiple * frac * 20 * float64(w.config.FallFor) / 1e9
+	sim.coldSent[e] = append(sim.coldSent[e], sim.now)
+	in := countAfter(sim.coldSent[e], sim.now-sim.config.FallFor)
+	frac := sim.config.ColdFrom + (1-sim.config.ColdFrom)*float64(age)/float64(sim.config.ColdFor)
+	most := sim.config.FallMultiple * frac * 20 * float64(sim.config.FallFor) / 1e9
 	if in > 1+most {
-		w.t.Fatalf("cold searcher %s was sent %g parts within %d ns, want at most %g", searcher, in, w.config.FallFor, 1+most)
+		sim.t.Fatalf("cold searcher %s was sent %g parts within %d ns, want at most %g",
+			searcher, in, sim.config.FallFor, 1+most)
 	}
 }
 
 // endLookup marks a lookup as ended by an action, which must come within the client's deadline.
-func (w *simulation) endLookup(id, action string) *simLookup {
-	l := w.lookups[id]
+func (sim *simulation) endLookup(id, action string) *simLookup {
+	l := sim.lookups[id]
 	if l == nil || l.ended {
-		w.t.Fatalf("%s of lookup %s, which has ended or is unknown", action, id)
+		sim.t.Fatalf("%s of lookup %s, which has ended or is unknown", action, id)
 	}
-	if w.now > l.notAfter {
-		w.t.Fatalf("%s of lookup %s at %d ns, want at most %d ns", action, id, w.now, l.notAfter)
+	if sim.now > l.notAfter {
+		sim.t.Fatalf("%s of lookup %s at %d ns, want at most %d ns", action, id, sim.now, l.notAfter)
 	}
 	l.ended = true
 	return l
 }
 
-func (w *simulation) Answer(id string, complete bool) {
-	l := w.endLookup(id, "answer")
+func (sim *simulation) Answer(id string, complete bool) {
+	l := sim.endLookup(id, "answer")
 	in, n := 0.0, 0
 	for _, part := range l.steps[len(l.steps)-1] {
-		if w.parts[part].answered {
-			in, n = in+w.parts[part].weight, n+1
+		if sim.parts[part].answered {
+			in, n = in+sim.parts[part].weight, n+1
 		}
 	}
 	all := n == len(l.steps[len(l.steps)-1])
 	first, partly := len(l.steps) == 1, l.tariff.LeastShare < l.tariff.CompleteFrom
 	if in < l.tariff.LeastShare-1e-4 && (first || partly) || !first && !all && !partly {
-		w.t.Fatalf("answer of lookup %s from a weight of %g, want at least %g", id, in, l.tariff.LeastShare)
+		sim.t.Fatalf("answer of lookup %s from a weight of %g, want at least %g", id, in, l.tariff.LeastShare)
 	}
 	if complete && (first && in < l.tariff.CompleteFrom-1e-4 || !first && !(all && l.answeredWhole)) {
-		w.t.Fatalf("answer of lookup %s marked complete with a weight of %g, want at least %g", id, in, l.tariff.CompleteFrom)
+		sim.t.Fatalf("answer of lookup %s marked complete with a weight of %g, want at least %g",
+			id, in, l.tariff.CompleteFrom)
 	}
 	l.answeredWhole = complete
-	w.answers++
+	sim.answers++
 	if first && l.tariff.SecondStep > 0 {
 		l.ended = false
-		w.after(w.secondStepDelay, func() {
+		sim.after(sim.secondStepDelay, func() {
 			if !l.ended {
-				w.addParts(l, id, min(n, l.tariff.SecondStep), w.rng.Intn(w.config.Cells))
+				sim.addParts(l, id, min(n, l.tariff.SecondStep), sim.rng.Intn(sim.config.Cells))
 			}
 		})
 	}
 }
 
-func (w *simulation) Reject(id string, wait int64) {
-	l := w.endLookup(id, "rejection")
+func (sim *simulation) Reject(id string, wait int64) {
+	l := sim.endLookup(id, "rejection")
 	for _, part := range slices.Concat(l.steps...) {
-		p := w.parts[part]
+		p := sim.parts[part]
 		for i := range p.sent {
 			if l.tariff.Effect == AtMostOnce && (!p.done[i] || p.ran[i]) {
-				w.t.Fatalf("rejection of at-most-once lookup %s, but its part %s may have run", id, part)
+				sim.t.Fatalf("rejection of at-most-once lookup %s, but its part %s may have run", id, part)
 			}
 		}
 	}
-	if l.wait = wait; wait < 0 || wait > w.config.MaxAdvice {
-		w.t.Fatalf("rejection of lookup %s advises a wait of %d ns, want 0 to %d ns", id, wait, w.config.MaxAdvice)
+	if l.wait = wait; wait < 0 || wait > sim.config.MaxAdvice {
+		sim.t.Fatalf("rejection of lookup %s advises a wait of %d ns, want 0 to %d ns", id, wait, sim.config.MaxAdvice)
 	}
 }
 
-func (w *simulation) Fail(id string) { w.endLookup(id, "failure") }
+func (sim *simulation) Fail(id string) { sim.endLookup(id, "failure") }
 
-func (w *simulation) Cancel(part string, forward int) {
-	p := w.parts[part]
-	if !w.config.MayCancel || p.done[forward] {
-		w.t.Fatalf("forward %d of part %s cancelled: allowed %v, in flight %v, want both true", forward, part, w.config.MayCancel, !p.done[forward])
+func (sim *simulation) Cancel(part string, forward int) {
+	p := sim.parts[part]
+	if !sim.config.MayCancel || p.done[forward] {
+		sim.t.Fatalf("forward %d of part %s cancelled: allowed %v, in flight %v, want both true",
+			forward, part, sim.config.MayCancel, !p.done[forward])
 	}
 	p.done[forward] = true // it may have run
-	took := w.now - p.sent[forward]
-	w.after(0, func() {
-		p.lookup.handle.HandleOutcome(w.now, p.index, forward, Cancelled, took, p.answered || p.lookup.ended)
+	took := sim.now - p.sent[forward]
+	sim.after(0, func() {
+		p.lookup.handle.HandleOutcome(sim.now, p.index, forward, Cancelled, took, p.answered || p.lookup.ended)
 	})
 }
 
-func (w *simulation) CloseIdle(searcher string) {
-	w.searchers[searcher].lastUsed = 0
-	w.closed++
+func (sim *simulation) CloseIdle(searcher string) {
+	sim.searchers[searcher].lastUsed = 0
+	sim.closed++
 }
 
-func (w *simulation) SetTimer(after int64, h TimerHandler) {
+func (sim *simulation) SetTimer(after int64, h TimerHandler) {
 	if after <= 0 {
-		w.t.Fatalf("timer set for %d ns, want a positive time", after)
+		sim.t.Fatalf("timer set for %d ns, want a positive time", after)
 	}
-	w.after(after, func() { h.HandleTimer(w.now) })
+	sim.after(after, func() { h.HandleTimer(sim.now) })
 }
 
-func (w *simulation) Subscribe() {
-	if w.refusing {
-		w.after(20*ms, func() { w.mixer.ListFailed(w.now) })
+func (sim *simulation) Subscribe() {
+	if sim.refusing {
+		sim.after(20*ms, func() { sim.mixer.ListFailed(sim.now) })
 	}
 }
 
-func (w *simulation) Note(string) {}
+func (sim *simulation) Note(string) {}
 
 // plainConfig returns a simple configuration, two cells and one tariff, after applying change.
 func plainConfig(change func(*Config)) Config {
@@ -327,8 +331,8 @@
 }
 
 // setFaults gives all searchers the same fault.
-func (w *simulation) setFaults(fault int) {
-	for _, s := range w.searchers {
+func (sim *simulation) setFaults(fault int) {
+	for _, s := range sim.searchers {
 		s.fault = fault
 	}
 }
@@ -343,15 +347,15 @@
 
 // startSimulation returns a simulation of n healthy searchers with plainConfig.
 func startSimulation(t testing.TB, seed int64, n int, change func(*Config)) *simulation {
-	w := newSimulation(t, seed, plainConfig(change))
-	w.updateList(true, entries(n, w.config.Cells)...)
-	return w
+	sim := newSimulation(t, seed, plainConfig(change))
+	sim.updateList(true, entries(n, sim.config.Cells)...)
+	return sim
 }
 
 // callCounts returns the calls in flight at each searcher, and their sum.
-func (w *simulation) callCounts() (counts []int, sum int) {
-	for i := range len(w.searchers) {
-		counts = append(counts, w.mixer.searchers[fmt.Sprint("box", i)].callsOut)
+func (sim *simulation) callCounts() (counts []int, sum int) {
+	for i := range len(sim.searchers) {
+		counts = append(counts, sim.mixer.searchers[fmt.Sprint("box", i)].callsOut)
 		sum += counts[i]
 	}
 	return counts, sum
@@ -359,27 +363,27 @@
 
 // warmSimulation returns a simulation of one cell whose mixer has latency statistics.
 func warmSimulation(t *testing.T, seed int64, n int) *simulation {
-	w := startSimulation(t, seed, n, func(c *Config) { c.Cells = 1 })
-	w.warmUp(10)
-	return w
+	sim := startSimulation(t, seed, n, func(c *Config) { c.Cells = 1 })
+	sim.warmUp(10)
+	return sim
 }
 
 // warmUp serves lookups one by one, which gives the mixer latency statistics.
-func (w *simulation) warmUp(n int) {
+func (sim *simulation) warmUp(n int) {
 	for range n {
-		w.startLookup(0, 2, 0, 4000*ms, false)
-		w.run(w.now + 300*ms)
+		sim.startLookup(0, 2, 0, 4000*ms, false)
+		sim.run(sim.now + 300*ms)
 	}
 }
 
 // countLate starts 20 lookups one by one and returns how many have not ended after 400 ms.
-func (w *simulation) countLate(parts int, pause int64) (n int) {
+func (sim *simulation) countLate(parts int, pause int64) (n int) {
 	for range 20 {
-		l := w.startLookup(0, parts, 0, 4000*ms, false)
-		if w.run(w.now + 400*ms); !l.ended {
+		l := sim.startLookup(0, parts, 0, 4000*ms, false)
+		if sim.run(sim.now + 400*ms); !l.ended {
 			n++
 		}
-		w.run(w.now + pause)
+		sim.run(sim.now + pause)
 	}
 	return n
 }
