--- a/mixer/types.go
+++ b/mixer/types.go
@@ -58,7 +58,7 @@
 	PerCall      int // most parts in one call
 
 	ListAsked bool  // the membership list is sent only on request
-	AskWithin int64 // ns; time within which the mixer must request it
+	AskWithin int64 // ns; without a request for this long, the mixer is assumed to know the list
 
 	MaxForwards        int // for one part
 	MayCopy, MayCancel bool
--- a/mixer/update.go
+++ b/mixer/update.go
@@ -11,12 +11,13 @@
 // A lookup that started before keeps its tariff, which is never modified, and with it its deadline,
 // shares, partial revenue and repeat time. The rest of the configuration that is read after the
 // start of a lookup:
-//   - Allowances and OverWorth, when the last part of the first step is added. UpdateConfig must not be called between
-//     StartLookup and that AddPart.
-//   - MaxAdvice, when the lookup is rejected: the newest version applies. A caller that wants each lookup's own, as the
-//     router does, passes the largest of all versions here and limits the advice to that of the lookup.
-//   - The longest expected time, which sets the probe interval and how much weight a mixer's first few answers have.
-//     It concerns searchers and no single lookup, and follows the newest version.
+//   - Allowances and OverWorth, when the last part of the first step is added. UpdateConfig must not
+//     be called between StartLookup and that AddPart.
+//   - MaxAdvice, when the lookup is rejected: the newest version applies. A caller that wants each
+//     lookup's own, as the router does, passes the largest of all versions here and limits the
+//     advice to that of the lookup.
+//   - The longest expected time, which sets the probe interval and how much weight a mixer's first
+//     few answers have. It concerns searchers and no single lookup, and follows the newest version.
 //
 // A client's retry is a new lookup under the version of its own start. If its Patience differs from
 // that of the first try, the time of the first try is computed from the new one.
