--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -1,5 +1,5 @@
 // Package charter parses the settings of a load balancer, from the simulator's line protocol or from a JSON
-// configuration, into the mixer's Charter and the Limits of the process that runs it. It also applies the
+// configuration, into the mixer's Config and the Limits of the process that runs it. It also applies the
 // documents that change settings at run time.
 package charter
 
@@ -203,8 +203,8 @@
 	return allowances
 }
 
-// TenantRows returns the row of each tenant by name, counted from 1. The charter c must come from the same
-// settings; its number of allowances is the number of rows.
+// TenantRows returns the row of each tenant by name, counted from 1. The configuration c must come from the
+// same settings; its number of allowances is the number of rows.
 func (t Settings) TenantRows(c mixer.Config) map[string]int {
 	rows := map[string]int{}
 	for i := range c.Allowances {
