--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -16,15 +16,15 @@
 	"nettlefold/internal/replicated"
 )
 
-// maxOrderBytes bounds the body of a call to the API.
+// maxRequestBodyBytes limits the body of a request to the API.
 const maxRequestBodyBytes = 8 << 20
 
-// problem is the body of an answer that refuses.
+// errorResponse is the body of a response that reports an error.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// serveAPI serves the operator's calls.
+// serveAPI starts the HTTP server of the operator's API.
 func (c *Controller) serveAPI() (*http.Server, error) {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
@@ -41,13 +41,15 @@
 	}
 	listener, err := c.network.Listen(c.settings.ControlAddr)
 	if err != nil {
-		return nil, merry.Prepend(err, "controller: listen to the operator")
+		return nil, merry.Prepend(err, "controller: listen for the operator's API")
 	}
 	server := &http.Server{Handler: e, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}
 	go server.Serve(listener)
 	return server, nil
 }
 
+// putConfiguration handles PUT /v1/configuration; If-Match names the version that the change is
+// based on.
 func (c *Controller) putConfiguration(ctx echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxRequestBodyBytes+1))
 	if err != nil {
@@ -65,10 +67,11 @@
 	return c.submitAndRespond(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindConfig, Body: body, BaseVersion: base})
 }
 
-// order submits an operation and answers for it.
-func (c *Controller) submitAndRespond(ctx echo.Context, limited context.Context, o replicated.Operation) error {
-	reply := c.submit(limited, &distribute.SubmitRequest{Operation: o})
-	c.log.Debug().Str("step", "order").Str("kind", o.Kind).Int("outcome", reply.Outcome).Uint64("seq", reply.Seq).Str("reason", reply.Reason).Msg("order")
+// submitAndRespond submits an operation and writes its outcome as the HTTP response.
+func (c *Controller) submitAndRespond(ctx echo.Context, callCtx context.Context, operation replicated.Operation) error {
+	reply := c.submit(callCtx, &distribute.SubmitRequest{Operation: operation})
+	c.log.Debug().Str("step", "order").Str("kind", operation.Kind).Int("outcome", reply.Outcome).
+		Uint64("seq", reply.Seq).Str("reason", reply.Reason).Msg("operation submitted")
 	switch reply.Outcome {
 	case distribute.OutcomeCommitted:
 		return ctx.JSON(http.StatusOK, struct{}{})
@@ -80,6 +83,7 @@
 	return ctx.JSON(http.StatusServiceUnavailable, errorResponse{reply.Reason})
 }
 
+// getConfiguration handles GET /v1/configuration.
 func (c *Controller) getConfiguration(ctx echo.Context) error {
 	reply, err := c.read(ctx.Request().Context(), &distribute.ReadRequest{})
 	if err != nil {
@@ -91,30 +95,33 @@
 	return ctx.Blob(http.StatusOK, echo.MIMEApplicationJSON, reply.Config)
 }
 
-// evacuation evacuates a zone or takes that back, on top of the newest order for the zone: held up on its way to the head, it must not
-// undo one that came after it.
+// changeEvacuation evacuates or restores a zone, based on the newest operation for that zone: if it
+// is delayed on its way to the head, it must not undo an operation that was committed after it.
 func (c *Controller) changeEvacuation(ctx echo.Context, kind string) error {
 	zone := ctx.Param("zone")
 	if _, known := c.settings.Zones[zone]; !known {
 		return ctx.JSON(http.StatusNotFound, errorResponse{"there is no zone " + zone})
 	}
-	limited, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
+	callCtx, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
 	defer cancel()
-	newest, err := c.read(limited, &distribute.ReadRequest{Zone: zone})
+	newest, err := c.read(callCtx, &distribute.ReadRequest{Zone: zone})
 	if err != nil {
 		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
-	return c.submitAndRespond(ctx, limited, replicated.Operation{Kind: kind, Zone: zone, BaseZoneSeq: newest.ZoneSeq})
+	return c.submitAndRespond(ctx, callCtx, replicated.Operation{Kind: kind, Zone: zone, BaseZoneSeq: newest.ZoneSeq})
 }
 
+// putVersion handles POST /v1/version-put.
 func (c *Controller) putVersion(ctx echo.Context) error {
-	var order struct {
+	var request struct {
 		Model   string `json:"model"`
 		Version int64  `json:"version"`
 	}
 	decoder := json.NewDecoder(io.LimitReader(ctx.Request().Body, maxRequestBodyBytes))
-	if err := decoder.Decode(&order); err != nil || order.Model == "" || order.Version < 1 {
+	if err := decoder.Decode(&request); err != nil || request.Model == "" || request.Version < 1 {
 		return ctx.JSON(http.StatusBadRequest, errorResponse{"want a model and a version of at least 1"})
 	}
-	return c.submitAndRespond(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindVersion, Model: order.Model, Version: order.Version})
+	return c.submitAndRespond(ctx, ctx.Request().Context(), replicated.Operation{
+		Kind: replicated.KindVersion, Model: request.Model, Version: request.Version,
+	})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,6 @@
-// Package controller is a core machine's program: a replica of the control state, the operator's API before it, and the sessions of
-// the mixers' agents behind it. One goroutine owns the replica and the tables of agents and works through a queue of commands.
+// Package controller implements a core machine: a replica of the control state, the operator's HTTP
+// API, and the sessions of the mixers' agents. A single goroutine, the event loop, owns the replica
+// and the tables of agents and executes queued commands.
 package controller
 
 import (
@@ -26,56 +27,60 @@
 const (
 	tickInterval         = 50 * time.Millisecond
 	commandQueueCapacity = 1024
-	reopenDelay          = 400 * time.Millisecond // of a failed write
-	// leaveMargin is kept of the grace, from which the calls that run take their time to end.
+	reopenDelay          = 400 * time.Millisecond // after a failed write
+	// shutdownMargin is the part of the shutdown grace that is reserved for requests in progress to
+	// finish.
 	shutdownMargin     = 1200 * time.Millisecond
-	seedIdentitySuffix = "/first" // ends the identity of a seed at the first start, which all machines can tell
+	seedIdentitySuffix = "/first" // ends the identity of a seed at the first start, which all machines can derive
 )
 
-// Controller is one core machine's program.
+// Controller is the program of one core machine.
 type Controller struct {
 	settings       *local.Settings
 	log            zerolog.Logger
 	network        rpc.Network
 	pool           *rpc.Pool
 	commands       chan command
-	urgentCommands chan command // messages of other replicas, worked through first
+	urgentCommands chan command // messages of other replicas, executed before commands
 	startTime      time.Time
 	published      atomic.Pointer[publishedState]
-	tallies        *tallyService // nil: none are kept
+	tallies        *tallyService // nil if tallies are disabled
 	replies        replyCounters
 	done           chan struct{}
 
-	// What follows is the owner's.
+	// The fields below belong to the event loop.
 	store               *durable.Store
 	replica             *chain.Replica
-	incarnation         uint64    // replicas made so far: another one follows a failed disk
-	diskFailedAt        time.Time // when a write failed, zero while the disk works
-	confirmationWaiters map[uint64]chan struct{}
+	incarnation         uint64                   // replicas created so far; a new one is created after a disk failure
+	diskFailedAt        time.Time                // zero while the disk works
+	confirmationWaiters map[uint64]chan struct{} // by nonce; closed when the quorum confirms the view
 	sessions            map[string]*session
-	remoteTables        map[string]*remoteTable
-	tableSentAt         time.Time // when the table of agents was last sent
-	tablePending        bool      // another one is to be sent
-	membersPublishedAt  time.Time // when other members were last shown
-	// rosterChanged tells that sessions or tables changed since members were last made of them.
+	remoteTables        map[string]*remoteTable // by the address of the other controller
+	tableSentAt         time.Time               // when the table of agents was last sent
+	tablePending        bool                    // a changed table is still to be sent
+	membersPublishedAt  time.Time               // when the member set was last published
+	// membersChanged reports that sessions or remote tables changed since the member set was last
+	// computed.
 	membersChanged     bool
-	previousMemberSets []*distribute.MemberSet // before those shown now, the newest last
-	lastCurrentAt      time.Duration           // when it last had the newest state for sure
-	leaveStartedAt     time.Time               // when it was told to end, zero before
-	leaseRenewals      leases.RenewalTracker   // who asked for confirmations here
-	propagation        propagationTracker      // of committed numbers among the agents
-	recentStats        loopStats               // of the last second at most
-	totalStats         loopStats               // before
+	previousMemberSets []*distribute.MemberSet // published before the present set, newest last
+	lastCurrentAt      time.Duration           // when this replica was last known to have the newest state
+	leaveStartedAt     time.Time               // when the shutdown began, zero before
+	leaseRenewals      leases.RenewalTracker   // renewals that holders sent to this controller
+	propagation        propagationTracker      // of committed sequence numbers to the agents
+	recentStats        loopStats               // since the last log interval, about a second
+	totalStats         loopStats               // before recentStats
 }
 
-// service is what a call's answer is bound to: the epoch, and which of this program's replicas was asked. Numbers that a replica gave out
-// before its disk failed may mean other operations at the next one, in the same epoch.
+// replicaInstance identifies the replica that assigned a sequence number: its epoch, and which of
+// this process's replicas it was. After a disk failure the next replica may assign the same numbers
+// to other operations within the same epoch.
 type replicaInstance struct {
 	epoch       uint64
 	incarnation uint64
 }
 
-// public is what other goroutines may see of the owner's state: replaced whole, and changed is closed when it is.
+// publishedState is the part of the event loop's state that other goroutines may read. It is
+// replaced as a whole, and changed is closed when it is replaced.
 type publishedState struct {
 	state            *replicated.State
 	view             chain.View
@@ -86,16 +91,17 @@
 	seedAddrs        []string
 	members          *distribute.MemberSet
 	deltas           memberDeltas
-	versionHistories map[string]superseded.History // since when models' versions are known to be wanted
+	versionHistories map[string]superseded.History // by model: since when each version is known to be wanted
 	changed          chan struct{}
 }
 
-// New opens the state on disk and makes a controller of it.
+// New opens the state on disk and returns a controller for it.
 func New(settings *local.Settings, log zerolog.Logger) (*Controller, error) {
 	return newWithNetwork(rpc.TCP{}, settings, log)
 }
 
-// newOn makes a controller that meets the others, and the operator, over a network.
+// newWithNetwork returns a controller that communicates with the others and with the operator over
+// network.
 func newWithNetwork(network rpc.Network, settings *local.Settings, log zerolog.Logger) (*Controller, error) {
 	c := &Controller{
 		network:             network,
@@ -113,7 +119,8 @@
 		recentStats:         loopStats{since: time.Now()},
 	}
 	if settings.HasContract(contractTallies) {
-		// Before the control state: where that is on disk without tallies, none were kept there before.
+		// Prepared before the control state is opened: a control state on disk without a tally log
+		// means that no tallies were stored here before.
 		if err := c.newTallies(); err != nil {
 			return nil, err
 		}
@@ -125,8 +132,10 @@
 	return c, nil
 }
 
+// sinceStart returns the monotonic time since the controller was created.
 func (c *Controller) sinceStart() time.Duration { return time.Since(c.startTime) }
 
+// selfMember returns this machine as a chain member with the given identity.
 func (c *Controller) selfMember(id chain.NodeID) chain.Member {
 	return chain.Member{ID: id, Addr: c.settings.InternalAddr(c.settings.IP), Control: c.settings.ControlAddr, Zone: c.settings.Zone}
 }
@@ -139,7 +148,7 @@
 	return addrs
 }
 
-// Reload takes settings that changed: the seeds.
+// Reload applies changed settings; only the seeds can change.
 func (c *Controller) Reload(settings *local.Settings) {
 	c.enqueue(commandOther, func() {
 		c.settings.Seeds = settings.Seeds
@@ -148,6 +157,7 @@
 	})
 }
 
+// tick does the periodic work.
 func (c *Controller) tick() {
 	if !c.diskFailedAt.IsZero() {
 		c.tryReopen()
@@ -158,7 +168,7 @@
 	c.sendTableIfDue()
 	c.applyOutput(c.replica.Tick(c.sinceStart()))
 	if c.diskFailedAt.IsZero() {
-		c.store.MarkSynced() // a disk that fails shows at the next write
+		c.store.MarkSynced() // a disk failure is detected by the next write
 	}
 	c.leaseRenewals.SetEpoch(c.sinceStart(), c.replica.View().Epoch)
 	if c.replica.Current(c.sinceStart()) {
@@ -167,61 +177,68 @@
 	c.publish(false)
 }
 
-// perform does what a step wants, in its order. If it cannot be made durable nothing of it is told, and the replica stays silent until
-// the disk works again: then it starts anew from what is there.
+// applyOutput writes the records of a step, then sends its messages and publishes its results. If
+// the records cannot be made durable, nothing is sent or published, and the replica stays silent
+// until the disk works again and a new replica starts from the stored state.
 func (c *Controller) applyOutput(out chain.Output) {
 	if !c.diskFailedAt.IsZero() {
 		return
 	}
 	if err := c.store.Write(out.Records); err != nil {
-		c.log.Error().Err(err).Str("step", "write").Msg("disk failed")
+		c.log.Error().Err(err).Str("step", "write").Msg("write to disk failed; replica stays silent until the store is reopened")
 		c.diskFailedAt = time.Now()
 		c.publish(true)
 		return
 	}
 	c.logProposals(&out)
 	for i := range out.Messages {
-		e := &out.Messages[i]
-		c.pool.Post(e.To.Addr, distribute.KindCore, &e.Message)
+		envelope := &out.Messages[i]
+		c.pool.Post(envelope.To.Addr, distribute.KindCore, &envelope.Message)
 	}
 	if out.Committed || out.ViewNew {
 		c.propagation.recordCommit(c.sinceStart(), c.replica.State().Seq)
 		c.publish(true)
 	}
 	for _, nonce := range out.Confirmed {
-		if reader := c.confirmationWaiters[nonce]; reader != nil {
-			close(reader)
+		if waiter := c.confirmationWaiters[nonce]; waiter != nil {
+			close(waiter)
 			delete(c.confirmationWaiters, nonce)
 		}
 	}
 	if out.ViewNew {
 		view := c.replica.View()
-		c.log.Info().Str("step", "view").Uint64("epoch", view.Epoch).Interface("chain", view.Chain).Int("acceptors", len(view.Acceptors)).Msg("view in force")
-		c.applyOutput(c.replica.Beat(c.sinceStart())) // nobody is in touch under a view before others have told that they have it
+		c.log.Info().Str("step", "view").Uint64("epoch", view.Epoch).Interface("chain", view.Chain).
+			Int("acceptors", len(view.Acceptors)).Msg("view installed")
+		// No replica is current under a view before others have confirmed that they have it.
+		c.applyOutput(c.replica.Beat(c.sinceStart()))
 	}
 }
 
-// namedVersions notes when versions that are wanted came to be so: not before this program last knew that they were not, which it
-// does while it is in touch.
-func updateVersionHistories(old *publishedState, state *replicated.State, inTouch time.Duration) map[string]superseded.History {
-	named := map[string]superseded.History{}
+// updateVersionHistories records when the wanted version of each model came into force: at the
+// earliest when this controller was last current and therefore knew that another version was
+// wanted.
+func updateVersionHistories(
+	old *publishedState, state *replicated.State, lastCurrentAt time.Duration,
+) map[string]superseded.History {
+	histories := map[string]superseded.History{}
 	for model, wanted := range state.Models {
 		if old == nil {
-			named[model] = superseded.History{}.With(wanted.Version, superseded.DistantPast)
+			histories[model] = superseded.History{}.With(wanted.Version, superseded.DistantPast)
 			continue
 		}
-		named[model] = old.versionHistories[model].With(wanted.Version, inTouch)
+		histories[model] = old.versionHistories[model].With(wanted.Version, lastCurrentAt)
 	}
-	return named
+	return histories
 }
 
-// publish shows others what is in force, when it differs or is known to. While the disk fails that is what was before: the replica may
-// have gone further than its disk.
+// publish replaces the published state if it differs or if changed is set. While the disk fails,
+// state and view stay as published before, because the replica may be ahead of its disk.
 func (c *Controller) publish(changed bool) {
 	old := c.published.Load()
 	current := c.diskFailedAt.IsZero() && c.replica.Current(c.sinceStart())
 	members := c.rateLimitedMembers(old)
-	if old != nil && !changed && old.current == current && old.members.Digest == members.Digest {
+	if old != nil && !changed && old.current == current &&
+		old.members.Digest == members.Digest {
 		return
 	}
 	next := &publishedState{
@@ -253,12 +270,12 @@
 	}
 }
 
-// service is what the replica answers for now.
+// instance returns the replica instance that the published state belongs to.
 func (p *publishedState) instance() replicaInstance {
 	return replicaInstance{p.view.Epoch, p.incarnation}
 }
 
-// handle serves the other machines' calls.
+// handleRPC serves the calls of other machines.
 func (c *Controller) handleRPC(ctx context.Context, kind string, body []byte) (any, error) {
 	switch kind {
 	case distribute.KindCore:
@@ -307,13 +324,14 @@
 	return nil, merry.New("no such call: " + kind)
 }
 
+// receiveChainMessage passes a message of another replica to this one, unless the disk fails.
 func (c *Controller) receiveChainMessage(m *chain.Message) {
 	if c.diskFailedAt.IsZero() {
 		c.applyOutput(c.replica.Receive(c.sinceStart(), m))
 	}
 }
 
-// unclear tells that an operation may have been taken or not.
+// unknownOutcome returns a reply that says that the operation may or may not have been committed.
 func unknownOutcome(reasons ...string) *distribute.SubmitReply {
 	return &distribute.SubmitReply{Outcome: distribute.OutcomeUnknown, Reason: strings.Join(reasons, ": ")}
 }
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -12,12 +12,13 @@
 	"nettlefold/internal/durable"
 )
 
-// open reads the state from disk and starts a replica of it; a disk with none gets an identity first.
+// openReplica loads the state from disk and starts a replica from it. An empty disk is given an
+// identity first. A damaged store is quarantined, and the machine joins with a new identity.
 func (c *Controller) openReplica() error {
 	store, saved, err := c.loadStore()
 	var damage *durable.DamageError
 	if errors.As(err, &damage) {
-		c.log.Error().Err(err).Str("step", "open").Msg("the state on disk is damaged: it is set aside, and this machine joins as a newcomer")
+		c.log.Error().Err(err).Str("step", "open").Msg("state on disk is damaged; quarantining it and joining with a new identity")
 		if err := durable.Quarantine(c.settings.DataDirectory); err != nil {
 			return err
 		}
@@ -46,18 +47,19 @@
 		c.replica.Leave(c.sinceStart())
 	}
 	c.log.Info().Str("step", "open").Str("identity", string(saved.Meta.Identity)).Uint64("epoch", saved.Meta.View.Epoch).
-		Int("entries", len(saved.Entries)).Msg("state read")
+		Int("entries", len(saved.Entries)).Msg("state loaded")
 	return nil
 }
 
-// randomNonce draws a number that no earlier start has used for its confirmations, but for a chance of some 2^-40.
+// randomNonce returns a random first nonce for confirmations. The chance that it overlaps with
+// nonces of an earlier start is about 2^-40.
 func randomNonce() uint64 {
 	var random [8]byte
 	rand.Read(random[:])
-	return binary.LittleEndian.Uint64(random[:]) >> 1 // room to count upwards
+	return binary.LittleEndian.Uint64(random[:]) >> 1 // leaves room to count up
 }
 
-// load opens the store and reads it.
+// loadStore opens the store and loads its contents.
 func (c *Controller) loadStore() (*durable.Store, chain.Saved, error) {
 	store, err := durable.Open(c.settings.DataDirectory)
 	if err != nil {
@@ -71,8 +73,9 @@
 	return store, saved, nil
 }
 
-// firstMeta gives an empty disk its identity. At the first start of the whole system the seeds are the first view, which all
-// machines know alike; anyone else is a newcomer, who answers for nothing that a lost or damaged disk may have promised.
+// initialMeta returns the metadata of an empty disk. At the first start of the whole system the
+// seeds form the first view, which all machines derive alike. Any other machine joins with a new
+// random identity, which is not bound by promises that a lost or damaged disk may have recorded.
 func (c *Controller) initialMeta(damaged bool) chain.Meta {
 	if c.settings.FirstStart && !damaged && slices.Contains(c.settings.Seeds, c.settings.ControlAddr) {
 		view := chain.View{Epoch: 1}
@@ -88,6 +91,7 @@
 	return chain.Meta{Identity: chain.NodeID(c.settings.ControlAddr + "/" + hex.EncodeToString(random[:]))}
 }
 
+// tryReopen reopens the store after a failed write, at most once every reopenDelay.
 func (c *Controller) tryReopen() {
 	if time.Since(c.diskFailedAt) < reopenDelay {
 		return
@@ -95,11 +99,11 @@
 	c.diskFailedAt = time.Now()
 	c.store.Close()
 	if err := c.openReplica(); err != nil {
-		c.log.Error().Err(err).Str("step", "reopen").Msg("disk still fails")
+		c.log.Error().Err(err).Str("step", "reopen").Msg("cannot reopen the store; will retry")
 		return
 	}
 	if err := c.store.Rewrite(); err != nil {
-		c.log.Error().Err(err).Str("step", "reopen").Msg("disk still fails")
+		c.log.Error().Err(err).Str("step", "reopen").Msg("cannot reopen the store; will retry")
 		return
 	}
 	c.diskFailedAt = time.Time{}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -7,16 +7,16 @@
 	"nettlefold/internal/metrics"
 )
 
-// Metrics gives where this controller stands.
+// Metrics returns the metrics of this controller.
 func (c *Controller) Metrics(ctx context.Context) (*metrics.Set, error) {
 	var status Status
-	var worked loopStats
-	var spread propagationTracker
+	var stats loopStats
+	var propagation propagationTracker
 	if err := c.runInLoop(ctx, func() {
 		status = c.status()
-		worked = c.totalStats
-		worked.add(&c.recentStats)
-		spread = c.propagation
+		stats = c.totalStats
+		stats.add(&c.recentStats)
+		propagation = c.propagation
 	}); err != nil {
 		return nil, err
 	}
@@ -33,10 +33,10 @@
 	set.Add("controller_evacuated_zones", float64(len(status.Evacuated)))
 	set.Add("controller_mixers", float64(status.Mixers))
 	set.Add("controller_sessions", float64(len(status.Sessions)))
-	behind, silent := status.sessionLag()
+	behind, longestSilence := status.sessionLag()
 	set.Add("controller_sessions_behind", float64(behind))
-	set.Add("controller_session_silence_seconds_max", silent.Seconds())
-	addLoopMetrics(set, &worked)
+	set.Add("controller_session_silence_seconds_max", longestSilence.Seconds())
+	addLoopMetrics(set, &stats)
 	if c.tallies != nil {
 		tallies, err := c.tallies.status(ctx)
 		if err != nil {
@@ -44,8 +44,8 @@
 		}
 		tallies.addMetrics(set)
 	}
-	spread.received.AddTo(set, "controller_spread_received_seconds")
-	spread.applied.AddTo(set, "controller_spread_applied_seconds")
+	propagation.received.AddTo(set, "controller_spread_received_seconds")
+	propagation.applied.AddTo(set, "controller_spread_applied_seconds")
 	set.Add("controller_replies_total", float64(c.replies.replies.Load()))
 	set.Add("controller_replies_out_of_touch_total", float64(c.replies.withoutQuorum.Load()))
 	set.Add("controller_replies_members_total", float64(c.replies.fullMemberSets.Load()))
@@ -54,26 +54,27 @@
 	return set, nil
 }
 
-// addWork adds what the owner has done since the start, by kind of command.
-func addLoopMetrics(set *metrics.Set, worked *loopStats) {
-	set.Add("controller_queue_length_max", float64(worked.maxQueueLength))
-	set.Add("controller_tick_late_seconds_max", worked.maxTickDelay.Seconds())
+// addLoopMetrics adds the metrics of the event loop since the start, by kind of command.
+func addLoopMetrics(set *metrics.Set, stats *loopStats) {
+	set.Add("controller_queue_length_max", float64(stats.maxQueueLength))
+	set.Add("controller_tick_late_seconds_max", stats.maxTickDelay.Seconds())
 	for kind, name := range commandNames {
-		work, label := &worked.commands[kind], `{kind="`+name+`"}`
-		set.Add("controller_commands_total"+label, float64(work.count))
-		set.Add("controller_commands_seconds_total"+label, work.busy.Seconds())
-		set.Add("controller_commands_wait_seconds_max"+label, work.longestWait.Seconds())
+		command, label := &stats.commands[kind], `{kind="`+name+`"}`
+		set.Add("controller_commands_total"+label, float64(command.count))
+		set.Add("controller_commands_seconds_total"+label, command.busy.Seconds())
+		set.Add("controller_commands_wait_seconds_max"+label, command.longestWait.Seconds())
 	}
 }
 
-// sessionsBehind counts the sessions whose proxies have not applied the newest operation, and gives the longest silence of any.
-func (s *Status) sessionLag() (behind int, silent time.Duration) {
+// sessionLag returns the number of sessions whose proxies have not applied the newest operation,
+// and the longest time since any session's last call.
+func (s *Status) sessionLag() (behind int, longestSilence time.Duration) {
 	for i := range s.Sessions {
 		session := &s.Sessions[i]
 		if session.Applied < s.Seq {
 			behind++
 		}
-		silent = max(silent, time.Duration(session.SilentMS)*time.Millisecond)
+		longestSilence = max(longestSilence, time.Duration(session.SilentMS)*time.Millisecond)
 	}
-	return behind, silent
+	return behind, longestSilence
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -11,56 +11,58 @@
 	"nettlefold/internal/distribute"
 )
 
-// commandKind is what a command of the owner's queue is for.
+// commandKind classifies the commands of the event loop for its metrics.
 type commandKind int
 
 const (
-	commandOther   commandKind = iota // operators, readers, settings
+	commandOther   commandKind = iota // operator requests, reads, settings
 	commandChain                      // a message of another replica
-	commandSession                    // an agent's call
-	commandTable                      // the agents that have a session with another controller
-	commandTick                       // the regular work; it never waits in the queue
+	commandSession                    // a call of an agent
+	commandTable                      // the table of agents of another controller
+	commandTick                       // the periodic work, which is never queued
 	commandKindCount
 )
 
+// commandNames are the labels of the command kinds in logs and metrics.
 var commandNames = [commandKindCount]string{"other", "chain", "session", "table", "tick"}
 
-// command is work for the owner.
+// command is a function to be executed by the event loop.
 type command struct {
 	kind   commandKind
 	queued time.Time
 	run    func()
 }
 
-// slowOwner is the wait in the queue, or the lateness of a tick, from which a second's work is worth a line in the log.
+// slowLoopThreshold is the delay of a queued command or a tick from which the statistics of an
+// interval are logged at info level.
 const slowLoopThreshold = 150 * time.Millisecond
 
-// kindWork counts the commands of one kind.
+// commandStats counts the commands of one kind.
 type commandStats struct {
 	count       int
 	busy        time.Duration
-	longestWait time.Duration // wait in the queue
+	longestWait time.Duration // in the queue
 }
 
-// ownerWork counts the work of the owner since a time.
+// loopStats counts the work of the event loop since a point in time.
 type loopStats struct {
 	since          time.Time
 	commands       [commandKindCount]commandStats
-	maxQueueLength int           // most commands that waited
-	maxTickDelay   time.Duration // at most
+	maxQueueLength int // including the command that is being executed
+	maxTickDelay   time.Duration
 	lastTick       time.Time
 }
 
-// replyCounts counts what agents' calls were answered with since the start.
+// replyCounters counts the replies to agents' watch calls since the start.
 type replyCounters struct {
 	replies        atomic.Int64
-	withoutQuorum  atomic.Int64 // of them, while this controller was out of touch with the core's majority
-	fullMemberSets atomic.Int64 // that brought all members
-	memberDeltas   atomic.Int64 // that brought what changed of them
-	snapshots      atomic.Int64 // that brought a snapshot
+	withoutQuorum  atomic.Int64 // sent while this controller was not in contact with a quorum
+	fullMemberSets atomic.Int64 // with the full member set
+	memberDeltas   atomic.Int64 // with a member delta
+	snapshots      atomic.Int64 // with a snapshot
 }
 
-// count counts a reply.
+// count counts a reply by its contents.
 func (r *replyCounters) count(reply *distribute.WatchReply) {
 	r.replies.Add(1)
 	if !reply.HasQuorum {
@@ -77,25 +79,27 @@
 	}
 }
 
-// execute runs a command and counts it.
+// execute runs a command and updates the statistics.
 func (c *Controller) execute(cmd command) {
 	began := time.Now()
 	cmd.run()
-	work := &c.recentStats.commands[cmd.kind]
-	work.count++
-	work.busy += time.Since(began)
-	work.longestWait = max(work.longestWait, began.Sub(cmd.queued))
+	stats := &c.recentStats.commands[cmd.kind]
+	stats.count++
+	stats.busy += time.Since(began)
+	stats.longestWait = max(stats.longestWait, began.Sub(cmd.queued))
 	c.recentStats.maxQueueLength = max(c.recentStats.maxQueueLength, len(c.commands)+len(c.urgentCommands)+1)
 }
 
-// executeUrgent runs the messages of other replicas that wait now: they come before all other work, and before a tick judges who is silent.
+// drainUrgentCommands executes the queued messages of other replicas. They precede all other work
+// and any tick, whose failure detection depends on them.
 func (c *Controller) drainUrgentCommands() {
 	for range len(c.urgentCommands) {
 		c.execute(<-c.urgentCommands)
 	}
 }
 
-// executeWaiting runs all that waits now: what came while this machine stood still shows who is there before a tick judges who is silent.
+// drainCommands executes all queued commands. Calls that arrived while this process was stalled
+// must count before a tick checks for expired sessions.
 func (c *Controller) drainCommands() {
 	for range len(c.commands) {
 		c.drainUrgentCommands()
@@ -104,7 +108,7 @@
 	c.drainUrgentCommands()
 }
 
-// executeTick runs the regular work. It logs the last second's work where that was slow.
+// executeTick does the periodic work, and logs and accumulates the statistics once a second.
 func (c *Controller) executeTick() {
 	began := time.Now()
 	if !c.recentStats.lastTick.IsZero() {
@@ -116,9 +120,9 @@
 	}
 	c.recentStats.lastTick = began
 	c.tick()
-	work := &c.recentStats.commands[commandTick]
-	work.count++
-	work.busy += time.Since(began)
+	stats := &c.recentStats.commands[commandTick]
+	stats.count++
+	stats.busy += time.Since(began)
 	if began.Sub(c.recentStats.since) >= time.Second {
 		c.logLoopStats(began)
 		c.logSlowPropagation()
@@ -127,57 +131,61 @@
 	}
 }
 
-// slowest is the longest wait of any command, or the latest tick.
-func (w *loopStats) maxDelay() time.Duration {
-	longest := w.maxTickDelay
-	for i := range w.commands {
-		longest = max(longest, w.commands[i].longestWait)
+// maxDelay returns the longest delay of any command or tick.
+func (s *loopStats) maxDelay() time.Duration {
+	longest := s.maxTickDelay
+	for i := range s.commands {
+		longest = max(longest, s.commands[i].longestWait)
 	}
 	return longest
 }
 
-// add sums up another span of work.
-func (w *loopStats) add(more *loopStats) {
-	for i := range w.commands {
-		w.commands[i].count += more.commands[i].count
-		w.commands[i].busy += more.commands[i].busy
-		w.commands[i].longestWait = max(w.commands[i].longestWait, more.commands[i].longestWait)
+// add merges the statistics of another time span into s.
+func (s *loopStats) add(other *loopStats) {
+	for i := range s.commands {
+		s.commands[i].count += other.commands[i].count
+		s.commands[i].busy += other.commands[i].busy
+		s.commands[i].longestWait = max(s.commands[i].longestWait, other.commands[i].longestWait)
 	}
-	w.maxQueueLength = max(w.maxQueueLength, more.maxQueueLength)
-	w.maxTickDelay = max(w.maxTickDelay, more.maxTickDelay)
+	s.maxQueueLength = max(s.maxQueueLength, other.maxQueueLength)
+	s.maxTickDelay = max(s.maxTickDelay, other.maxTickDelay)
 }
 
-// logWork logs the work of about a second: always for who debugs, else if commands or ticks came late.
+// logLoopStats logs the statistics of the last interval: at info level if commands or ticks were
+// delayed, otherwise at debug level.
 func (c *Controller) logLoopStats(now time.Time) {
 	level := zerolog.DebugLevel
 	if c.recentStats.maxDelay() >= slowLoopThreshold {
 		level = zerolog.InfoLevel
 	}
-	line := c.log.WithLevel(level).Str("step", "owner").Dur("over", now.Sub(c.recentStats.since)).Int("sessions", len(c.sessions)).
+	event := c.log.WithLevel(level).Str("step", "owner").Dur("over", now.Sub(c.recentStats.since)).Int("sessions", len(c.sessions)).
 		Int("queue", c.recentStats.maxQueueLength).Dur("tick_late", c.recentStats.maxTickDelay).
 		Int64("replies", c.replies.replies.Load()).Int64("out_of_touch", c.replies.withoutQuorum.Load()).
-		Int64("with_members", c.replies.fullMemberSets.Load()).Int64("with_changes", c.replies.memberDeltas.Load()).Int64("with_snapshot", c.replies.snapshots.Load())
+		Int64("with_members", c.replies.fullMemberSets.Load()).
+		Int64("with_changes", c.replies.memberDeltas.Load()).Int64("with_snapshot", c.replies.snapshots.Load())
 	for kind, name := range commandNames {
-		work := &c.recentStats.commands[kind]
-		line = line.Dict(name, zerolog.Dict().Int("count", work.count).Dur("busy", work.busy).Dur("longest_wait", work.longestWait))
+		stats := &c.recentStats.commands[kind]
+		event = event.Dict(name, zerolog.Dict().Int("count", stats.count).
+			Dur("busy", stats.busy).Dur("longest_wait", stats.longestWait))
 	}
-	line.Msg("work of the owner")
+	event.Msg("event loop statistics")
 }
 
-// logProposals tells of proposals that began or were given up, and how this machine kept up meanwhile.
+// logProposals logs view changes that this replica proposes or abandons, with the delay of the
+// event loop in the current interval.
 func (c *Controller) logProposals(out *chain.Output) {
 	if a := out.Attempt; a != nil {
 		c.log.Info().Str("step", "propose").Uint64("epoch", a.Epoch).Uint64("round", a.Round).Interface("reasons", a.Reasons).
 			Interface("removed", a.Removed).Interface("added", a.Added).
-			Int("queue", len(c.commands)+len(c.urgentCommands)).Dur("slowest", c.recentStats.maxDelay()).Msg("another view is proposed")
+			Int("queue", len(c.commands)+len(c.urgentCommands)).Dur("slowest", c.recentStats.maxDelay()).Msg("proposing a new view")
 	}
 	if g := out.GivenUp; g != nil {
 		c.log.Info().Str("step", "propose").Uint64("epoch", g.Epoch).Uint64("round", g.Round).Int("asked", g.Asked).Int("promised", g.Promised).
-			Int("caught_up", g.CaughtUp).Int("accepted", g.Accepted).Dur("slowest", c.recentStats.maxDelay()).Msg("a proposal is given up")
+			Int("caught_up", g.CaughtUp).Int("accepted", g.Accepted).Dur("slowest", c.recentStats.maxDelay()).Msg("abandoning a view proposal")
 	}
 }
 
-// enqueue hands the owner a command.
+// enqueue queues a command for the event loop without waiting for its execution.
 func (c *Controller) enqueue(kind commandKind, run func()) {
 	queue := c.commands
 	if kind == commandChain {
@@ -189,7 +197,7 @@
 	}
 }
 
-// ask runs a command at the owner and waits for it.
+// runInLoop executes run in the event loop and waits until it is finished or ctx ends.
 func (c *Controller) runInLoop(ctx context.Context, run func()) error {
 	finished := make(chan struct{})
 	select {
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -10,29 +10,34 @@
 )
 
 const (
-	// tableEvery is how often the table of agents is told again, and tableSilence how long another's is believed.
+	// tableInterval is how often the table of agents is sent even if it did not change, and
+	// tableTimeout is how long the last table of another controller stays valid.
 	tableInterval = 700 * time.Millisecond
 	tableTimeout  = 2500 * time.Millisecond
-	// tablePace is the least time between two tables: agents that come together are told together.
+	// minTableInterval is the least time between two tables, so that agents that join together are
+	// sent in one table.
 	minTableInterval = 100 * time.Millisecond
-	// membersPace is the least time, for each member, between two sets of members that are shown: each set goes to everybody.
+	// publishIntervalPerMember is, for each member, the least time between two published member
+	// sets: each set is sent to every agent.
 	publishIntervalPerMember = time.Millisecond
-	// deltasKept is how many earlier sets of members a receiver may have that is told the difference only.
+	// maxPreviousMemberSets is the number of earlier member sets from which a receiver can be
+	// updated by a delta.
 	maxPreviousMemberSets = 8
 )
 
-// remoteTable is the agents with sessions elsewhere.
+// remoteTable holds the agents that have a session with another controller.
 type remoteTable struct {
-	agents         []distribute.Agent // by ID
+	agents         []distribute.Agent // sorted by ID
 	lastReceivedAt time.Time
 }
 
 func compareAgentIDs(a, b distribute.Agent) int { return cmp.Compare(a.ID, b.ID) }
 
-// memberDeltas has, by the digest of a set that was shown before, what leads from it to the set that is shown now.
+// memberDeltas maps the digest of an earlier member set to the delta from it to the published set.
 type memberDeltas map[uint64]*distribute.MemberDelta
 
-// showMembers keeps the set that was shown until now, and makes the differences from those kept to the next one.
+// memberDeltasTo retains old as a previous member set and returns the deltas from the retained sets
+// to next. A delta that is as large as the full set is left out.
 func (c *Controller) memberDeltasTo(old, next *distribute.MemberSet) memberDeltas {
 	c.previousMemberSets = append(c.previousMemberSets, old)
 	if len(c.previousMemberSets) > maxPreviousMemberSets {
@@ -48,7 +53,7 @@
 	return deltas
 }
 
-// tellTable tells the other controllers which agents have a session here.
+// sendTable sends the agents that have a session here to the other controllers.
 func (c *Controller) sendTable() {
 	c.tableSentAt, c.tablePending = time.Now(), false
 	self := c.replica.Self()
@@ -59,7 +64,7 @@
 	slices.SortFunc(table.Agents, compareAgentIDs)
 	encoded, err := rpc.EncodeOneWay(distribute.KindAgents, table)
 	if err != nil {
-		c.log.Error().Err(err).Str("step", "table").Msg("the table of agents cannot be encoded")
+		c.log.Error().Err(err).Str("step", "table").Msg("cannot encode the table of agents")
 		return
 	}
 	view := c.replica.View()
@@ -70,7 +75,8 @@
 	}
 }
 
-// tableChanged tells the table now, or with the next tick that may.
+// scheduleTable sends the changed table now, or with a later tick if the last one was sent too
+// recently.
 func (c *Controller) scheduleTable() {
 	c.tablePending, c.membersChanged = true, true
 	if time.Since(c.tableSentAt) >= minTableInterval {
@@ -78,7 +84,8 @@
 	}
 }
 
-// tellDueTable is called by each tick.
+// sendTableIfDue sends the table if it changed or if tableInterval has passed. It is called by each
+// tick.
 func (c *Controller) sendTableIfDue() {
 	since := time.Since(c.tableSentAt)
 	if c.tablePending && since >= minTableInterval || since > tableInterval {
@@ -86,7 +93,8 @@
 	}
 }
 
-// takeTable takes what another controller tells. A table that was told again needs no more than to be believed on.
+// receiveTable stores the table of another controller. An unchanged table only extends its
+// validity.
 func (c *Controller) receiveTable(table *distribute.AgentTable) {
 	known := c.remoteTables[table.Controller]
 	if known != nil && slices.Equal(known.agents, table.Agents) {
@@ -98,17 +106,18 @@
 	c.publish(false)
 }
 
-// expireTables forgets the tables of controllers that tell none any more.
+// expireTables removes the tables of controllers that stopped sending them.
 func (c *Controller) expireTables() {
-	for controller, t := range c.remoteTables {
-		if time.Since(t.lastReceivedAt) > tableTimeout {
+	for controller, table := range c.remoteTables {
+		if time.Since(table.lastReceivedAt) > tableTimeout {
 			delete(c.remoteTables, controller)
 			c.membersChanged = true
 		}
 	}
 }
 
-// pacedMembers is the members to be shown now: those shown before, if nothing changed or others were shown only just. A tick looks again.
+// rateLimitedMembers returns the member set to publish: the present one if nothing changed or if it
+// was published too recently. Each tick calls it again.
 func (c *Controller) rateLimitedMembers(old *publishedState) *distribute.MemberSet {
 	if old != nil && (!c.membersChanged || time.Since(c.membersPublishedAt) < time.Duration(c.knownAgentCount())*publishIntervalPerMember) {
 		return old.members
@@ -122,20 +131,22 @@
 	return members
 }
 
-// rosterSize is how many agents are known, those twice that have just moved from one controller to another.
+// knownAgentCount returns the number of sessions here and elsewhere. An agent that has just moved
+// between controllers counts twice.
 func (c *Controller) knownAgentCount() int {
 	size := len(c.sessions)
-	for _, t := range c.remoteTables {
-		size += len(t.agents)
+	for _, table := range c.remoteTables {
+		size += len(table.agents)
 	}
 	return size
 }
 
-// members is the agents with a session anywhere, each machine's newest life once.
+// collectMembers returns the agents with a session at any controller. Only the newest instance of
+// each machine is included.
 func (c *Controller) collectMembers() *distribute.MemberSet {
 	byAddr := make(map[string]distribute.Agent, c.knownAgentCount())
-	for _, t := range c.remoteTables {
-		for _, a := range t.agents {
+	for _, table := range c.remoteTables {
+		for _, a := range table.agents {
 			if known, ok := byAddr[a.Addr]; !ok || known.ID < a.ID {
 				byAddr[a.Addr] = a
 			}
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -10,11 +10,12 @@
 	"nettlefold/internal/rpc"
 )
 
-// Run serves until ctx ends, and then until the others do without it or its grace is nearly over.
+// Run serves until ctx ends. Then it hands off its role and goes on serving until the other
+// machines have a view without it or the shutdown grace is nearly used up.
 func (c *Controller) Run(ctx context.Context) error {
 	listener, err := c.network.Listen(c.settings.InternalAddr(c.settings.IP))
 	if err != nil {
-		return merry.Prepend(err, "controller: listen to machines")
+		return merry.Prepend(err, "controller: listen for machines")
 	}
 	if c.tallies != nil {
 		go c.tallies.run()
@@ -40,8 +41,9 @@
 	return nil
 }
 
-// own works through commands and ticks until a channel is closed, or until enough tells so after a tick.
-func (c *Controller) runLoop(end <-chan struct{}, enough func() bool) {
+// runLoop executes commands and ticks until end is closed, or until finished returns true after a
+// tick.
+func (c *Controller) runLoop(end <-chan struct{}, finished func() bool) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -54,7 +56,7 @@
 		case <-ticker.C:
 			c.drainCommands()
 			c.executeTick()
-			if enough != nil && enough() {
+			if finished != nil && finished() {
 				return
 			}
 		case <-end:
@@ -63,7 +65,8 @@
 	}
 }
 
-// handOver tells the other machines that this one is to end, and serves on until they have a view without it.
+// handOff announces the shutdown to the other machines, and goes on serving until they have a view
+// without this one.
 func (c *Controller) handOff() {
 	c.leaveStartedAt = time.Now()
 	limit := c.settings.Bounds.Grace - shutdownMargin
@@ -74,15 +77,15 @@
 	if limit > 0 && !c.handOffComplete() {
 		c.runLoop(nil, func() bool { return c.handOffComplete() || time.Since(c.leaveStartedAt) > limit })
 	}
-	c.log.Info().Str("step", "leave").Bool("handed_over", c.handOffComplete()).Dur("took", time.Since(c.leaveStartedAt)).Msg("ending")
+	c.log.Info().Str("step", "leave").Bool("handed_over", c.handOffComplete()).Dur("took", time.Since(c.leaveStartedAt)).Msg("shutting down")
 }
 
-// mayEnd tells whether the others have all that this machine is to hand over.
+// handOffComplete reports whether the other machines have all state that only this machine held.
 func (c *Controller) handOffComplete() bool {
 	return c.replica.MayEnd(c.sinceStart()) && (c.tallies == nil || c.tallies.flushed.Load())
 }
 
-// closeAPI lets the operator's calls that run come to their end.
+// shutDownAPI lets the operator's requests in progress finish, then closes the server.
 func (c *Controller) shutDownAPI(api *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -10,38 +10,41 @@
 )
 
 const (
-	// watchHold is how long an agent's call is held when there is nothing new: its heartbeat.
+	// longPollTimeout is how long an agent's call waits for an update. The repeated calls are the
+	// agent's heartbeats.
 	longPollTimeout = 350 * time.Millisecond
-	// sessionSilence ends a session: three heartbeats and what they may be late.
+	// sessionTimeout ends a session: three heartbeats and their possible delay.
 	sessionTimeout = 1200 * time.Millisecond
-	// suspectedSilence ends it when those that watch the agent do not reach it either.
+	// suspectedSessionTimeout ends a session whose agent is also suspected by the agents that probe
+	// it.
 	suspectedSessionTimeout = 700 * time.Millisecond
 )
 
-// session is an agent that calls here.
+// session is the state of an agent that calls this controller.
 type session struct {
 	agent       distribute.Agent
-	receivedSeq uint64 // in hand, applied or not
+	receivedSeq uint64 // received, not necessarily applied
 	appliedSeq  uint64
 	lastCallAt  time.Time
 	suspects    []string
 }
 
-// watch answers an agent when there is something newer than it has, or after a while.
+// watch handles a long poll: it replies as soon as there is an update for the agent, or after
+// longPollTimeout.
 func (c *Controller) watch(ctx context.Context, request *distribute.WatchRequest) (*distribute.WatchReply, error) {
 	c.enqueue(commandSession, func() { c.recordCall(request) })
 	began := c.sinceStart()
-	held := time.NewTimer(longPollTimeout)
-	defer held.Stop()
+	timer := time.NewTimer(longPollTimeout)
+	defer timer.Stop()
 	for {
 		now := c.published.Load()
-		fresh := now.state.Seq > request.ReceivedSeq
-		if fresh || !now.current || now.members.Digest != request.MembersDigest {
+		newer := now.state.Seq > request.ReceivedSeq
+		if newer || !now.current || now.members.Digest != request.MembersDigest {
 			return c.watchReply(began, now, request), nil
 		}
 		select {
 		case <-now.changed:
-		case <-held.C:
+		case <-timer.C:
 			return c.watchReply(began, now, request), nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -49,18 +52,23 @@
 	}
 }
 
-// replyTo answers a call that came at a time with what its caller lacks.
+// watchReply returns the reply to a watch call that began at the given time, with the updates that
+// its caller lacks.
 func (c *Controller) watchReply(began time.Duration, now *publishedState, request *distribute.WatchRequest) *distribute.WatchReply {
-	written := c.sinceStart()
-	reply := &distribute.WatchReply{HasQuorum: now.current, Epoch: now.view.Epoch, LongPollMS: (written - began).Milliseconds()}
+	sentAt := c.sinceStart()
+	reply := &distribute.WatchReply{
+		HasQuorum: now.current, Epoch: now.view.Epoch, LongPollMS: (sentAt - began).Milliseconds(),
+	}
 	if now.view.Epoch != request.Epoch {
 		reply.Controllers = now.controllerAddrs
 	}
-	if now.state.Seq > request.ReceivedSeq { // committed is committed, also where this replica is out of touch
+	// A committed operation is final, also where this replica has no quorum.
+	if now.state.Seq > request.ReceivedSeq {
 		reply.Snapshot = distribute.NewSnapshot(now.state, request.ConfigSeq)
-		reply.VersionAges = versionAges(now.versionHistories, written)
+		reply.VersionAges = versionAges(now.versionHistories, sentAt)
 	}
-	if now.current && now.members.Digest != request.MembersDigest { // else the caller turns elsewhere and takes none
+	// Without a quorum the caller moves to another controller and ignores the members.
+	if now.current && now.members.Digest != request.MembersDigest {
 		reply.MembersDelta = now.deltas[request.MembersDigest]
 		if reply.MembersDelta == nil {
 			reply.Members = now.members
@@ -70,15 +78,16 @@
 	return reply
 }
 
-func versionAges(named map[string]superseded.History, now time.Duration) map[string][]superseded.Age {
+// versionAges returns the ages of the models' wanted versions at a time.
+func versionAges(histories map[string]superseded.History, now time.Duration) map[string][]superseded.Age {
 	ages := map[string][]superseded.Age{}
-	for model, times := range named {
-		ages[model] = times.Ages(now)
+	for model, history := range histories {
+		ages[model] = history.Ages(now)
 	}
 	return ages
 }
 
-// touch books an agent's call.
+// recordCall updates the session of the agent that sent request, or starts one.
 func (c *Controller) recordCall(request *distribute.WatchRequest) {
 	s := c.sessions[request.Agent.Addr]
 	added := s == nil || s.agent != request.Agent
@@ -94,33 +103,35 @@
 	c.reportProgress()
 }
 
-// takeApplied tells the core at once when all agents here have applied something newer.
+// reportProgress updates the sequence numbers that all agents here have received and applied, and
+// sends a heartbeat at once if the applied one advanced.
 func (c *Controller) reportProgress() {
-	least, leastHas := uint64(chain.NoSessions), uint64(chain.NoSessions)
+	minApplied, minReceived := uint64(chain.NoSessions), uint64(chain.NoSessions)
 	for _, s := range c.sessions {
-		least, leastHas = min(least, s.appliedSeq), min(leastHas, s.receivedSeq)
+		minApplied, minReceived = min(minApplied, s.appliedSeq), min(minReceived, s.receivedSeq)
 	}
-	c.propagation.recordProgress(c.sinceStart(), leastHas, least)
-	if c.replica.SetApplied(least) && c.diskFailedAt.IsZero() {
+	c.propagation.recordProgress(c.sinceStart(), minReceived, minApplied)
+	if c.replica.SetApplied(minApplied) && c.diskFailedAt.IsZero() {
 		c.applyOutput(c.replica.Beat(c.sinceStart()))
 	}
 }
 
-// forgiveAbove is how late a tick is that takes its delay out of others' silence.
+// stallThreshold is the delay of a tick from which the delay is not counted as silence of others.
 const stallThreshold = suspectedSessionTimeout / 2
 
-// forgive takes a time for which this machine stood still out of the silence of agents and of other controllers' tables.
-func (c *Controller) extendTimeouts(stoodStill time.Duration) {
+// extendTimeouts discounts a stall of this process from the silence of agents and of other
+// controllers' tables.
+func (c *Controller) extendTimeouts(stall time.Duration) {
 	now := time.Now()
 	for _, s := range c.sessions {
-		s.lastCallAt = earlierTime(s.lastCallAt.Add(stoodStill), now)
+		s.lastCallAt = earlierTime(s.lastCallAt.Add(stall), now)
 	}
-	for _, t := range c.remoteTables {
-		t.lastReceivedAt = earlierTime(t.lastReceivedAt.Add(stoodStill), now)
+	for _, table := range c.remoteTables {
+		table.lastReceivedAt = earlierTime(table.lastReceivedAt.Add(stall), now)
 	}
 }
 
-// earlier is the earlier of two times.
+// earlierTime returns the earlier of two times.
 func earlierTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -128,7 +139,8 @@
 	return b
 }
 
-// expireSessions forgets agents that call no more, sooner where those that watch them miss them too.
+// expireSessions removes the sessions of agents that stopped calling; the timeout is shorter for
+// agents that others suspect.
 func (c *Controller) expireSessions() {
 	suspected := map[string]bool{}
 	for _, s := range c.sessions {
@@ -136,17 +148,17 @@
 			suspected[id] = true
 		}
 	}
-	gone := false
+	expired := false
 	for addr, s := range c.sessions {
 		silence := time.Since(s.lastCallAt)
 		if silence > sessionTimeout || silence > suspectedSessionTimeout && suspected[s.agent.ID] {
 			c.log.Info().Str("step", "session").Str("agent", s.agent.ID).Dur("silence", silence).Bool("suspected", suspected[s.agent.ID]).
-				Uint64("applied", s.appliedSeq).Msg("a session ends")
+				Uint64("applied", s.appliedSeq).Msg("session expired")
 			delete(c.sessions, addr)
-			gone = true
+			expired = true
 		}
 	}
-	if gone {
+	if expired {
 		c.reportProgress()
 		c.scheduleTable()
 	}
--- a/internal/controller/spread.go
+++ b/internal/controller/spread.go
@@ -6,20 +6,23 @@
 	"nettlefold/internal/metrics"
 )
 
-// slowSpread is the time from which a number that is not in force everywhere is worth a line in the log.
+// slowPropagationThreshold is the time from which a committed operation that some agents lack is
+// logged.
 const slowPropagationThreshold = 2 * time.Second
 
-// mostSpreading bounds the numbers that are followed at once.
+// maxPendingPropagations limits the sequence numbers that are tracked at once.
 const maxPendingPropagations = 64
 
-// spreading is a committed number that not all agents with sessions here have yet.
+// pendingPropagation is a committed sequence number that not all agents with sessions here have
+// applied yet.
 type pendingPropagation struct {
 	seq         uint64
-	committedAt time.Duration // committed here
-	received    bool          // all agents have it, applied or not
+	committedAt time.Duration // at this replica
+	received    bool          // by all agents, applied or not
 }
 
-// spread measures how long committed numbers take until the last agent with a session here has them in hand, and in force at its proxy.
+// propagationTracker measures the time from the commit of an operation until the last agent with a
+// session here has received it, and until the last one has applied it at its proxy.
 type propagationTracker struct {
 	newestSeq uint64
 	pending   []pendingPropagation
@@ -27,59 +30,62 @@
 	applied   metrics.Histogram
 }
 
-// committed takes a number that is committed here since now.
-func (s *propagationTracker) recordCommit(now time.Duration, seq uint64) {
-	if seq <= s.newestSeq {
+// recordCommit starts to track a sequence number that was committed at now.
+func (t *propagationTracker) recordCommit(now time.Duration, seq uint64) {
+	if seq <= t.newestSeq {
 		return
 	}
-	s.newestSeq = seq
-	s.pending = append(s.pending, pendingPropagation{seq: seq, committedAt: now})
-	if len(s.pending) > maxPendingPropagations {
-		s.pending = s.pending[1:]
+	t.newestSeq = seq
+	t.pending = append(t.pending, pendingPropagation{seq: seq, committedAt: now})
+	if len(t.pending) > maxPendingPropagations {
+		t.pending = t.pending[1:]
 	}
 }
 
-// reported takes the least number that any agent with a session here has, and the least that any has in force.
-func (s *propagationTracker) recordProgress(now time.Duration, has, applied uint64) {
-	rest := s.pending[:0]
-	for _, p := range s.pending {
-		if !p.received && has >= p.seq {
+// recordProgress takes the lowest sequence numbers that any agent with a session here has received
+// and applied.
+func (t *propagationTracker) recordProgress(now time.Duration, received, applied uint64) {
+	remaining := t.pending[:0]
+	for _, p := range t.pending {
+		if !p.received && received >= p.seq {
 			p.received = true
-			s.received.Observe(now - p.committedAt)
+			t.received.Observe(now - p.committedAt)
 		}
 		if applied >= p.seq {
-			s.applied.Observe(now - p.committedAt)
+			t.applied.Observe(now - p.committedAt)
 			continue
 		}
-		rest = append(rest, p)
+		remaining = append(remaining, p)
 	}
-	s.pending = rest
+	t.pending = remaining
 }
 
-// oldest is the number that has been spreading for the longest time, and for how long.
-func (s *propagationTracker) oldestPending(now time.Duration) (seq uint64, took time.Duration) {
-	if len(s.pending) == 0 {
+// oldestPending returns the sequence number that has been pending for the longest time, and for how
+// long.
+func (t *propagationTracker) oldestPending(now time.Duration) (seq uint64, took time.Duration) {
+	if len(t.pending) == 0 {
 		return 0, 0
 	}
-	return s.pending[0].seq, now - s.pending[0].committedAt
+	return t.pending[0].seq, now - t.pending[0].committedAt
 }
 
-// logSlowSpread names some agents that have not got what has been committed for long, once a second at most.
+// logSlowPropagation names some agents that lack an operation committed some time ago. It is called
+// once a second.
 func (c *Controller) logSlowPropagation() {
 	seq, took := c.propagation.oldestPending(c.sinceStart())
 	if took < slowPropagationThreshold {
 		return
 	}
-	const most = 5
+	const maxListedAgents = 5
 	var without, notApplied []string
 	for _, s := range c.sessions {
 		switch {
-		case s.receivedSeq < seq && len(without) < most:
+		case s.receivedSeq < seq && len(without) < maxListedAgents:
 			without = append(without, s.agent.ID)
-		case s.receivedSeq >= seq && s.appliedSeq < seq && len(notApplied) < most:
+		case s.receivedSeq >= seq && s.appliedSeq < seq && len(notApplied) < maxListedAgents:
 			notApplied = append(notApplied, s.agent.ID)
 		}
 	}
 	c.log.Info().Str("step", "spread").Uint64("seq", seq).Dur("took", took).Strs("without", without).Strs("not_applied", notApplied).
-		Msg("agents lack what is committed")
+		Msg("agents lack a committed operation")
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -9,35 +9,37 @@
 	"nettlefold/internal/replicated"
 )
 
-// Status is what a controller knows of the fleet: where it stands itself, the view, and each agent that has a session here.
+// Status is what a controller knows about the fleet: its own state, the view, and the agents that
+// have a session here.
 type Status struct {
 	Controller    string                             `json:"controller"`
-	Current       bool                               `json:"current"` // in touch with the core's majority
+	Current       bool                               `json:"current"` // in contact with a quorum of the core
 	DiskFails     bool                               `json:"disk_fails"`
 	Epoch         uint64                             `json:"epoch"`
 	Chain         []string                           `json:"chain"` // head first
 	Acceptors     []string                           `json:"acceptors"`
-	Learners      []string                           `json:"learners,omitempty"` // of the chain, without a vote
+	Learners      []string                           `json:"learners,omitempty"` // chain members without a vote
 	Seq           uint64                             `json:"seq"`                // of the newest committed operation known here
 	ConfigVersion int64                              `json:"config_version"`     // of the configuration in force
 	Evacuated     []string                           `json:"evacuated"`
 	Models        map[string]replicated.ModelVersion `json:"models"`
 	Leases        map[string]replicated.LeaseRecord  `json:"duties"`
-	Mixers        int                                `json:"mixers"` // with a session anywhere
+	Mixers        int                                `json:"mixers"` // with a session at any controller
 	Sessions      []SessionStatus                    `json:"sessions"`
-	Tallies       *TallyStatus                       `json:"tallies,omitempty"` // where they are kept
+	Tallies       *TallyStatus                       `json:"tallies,omitempty"` // nil where tallies are disabled
 }
 
-// SessionStatus is an agent that has its session here.
+// SessionStatus describes an agent that has its session here.
 type SessionStatus struct {
 	Agent    string   `json:"agent"`
 	Addr     string   `json:"addr"`
 	Zone     string   `json:"zone"`
-	Applied  uint64   `json:"applied"` // operation in force at its proxy
+	Applied  uint64   `json:"applied"` // sequence number of the operation in force at its proxy
 	SilentMS int64    `json:"silent_ms"`
-	Suspects []string `json:"suspects,omitempty"` // agents that it watches and does not reach
+	Suspects []string `json:"suspects,omitempty"` // agents that it probes and cannot reach
 }
 
+// getStatus handles GET /v1/status.
 func (c *Controller) getStatus(ctx echo.Context) error {
 	var status Status
 	if err := c.runInLoop(ctx.Request().Context(), func() { status = c.status() }); err != nil {
@@ -52,6 +54,7 @@
 	return ctx.JSONPretty(http.StatusOK, status, "  ")
 }
 
+// status returns the status of this controller. It must be called in the event loop.
 func (c *Controller) status() Status {
 	now := c.published.Load()
 	s := Status{
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -13,19 +13,22 @@
 )
 
 const (
-	// callLimit bounds an operation or a read: callers turn elsewhere after a second.
+	// requestTimeout limits an operation or a read: callers try another machine after a second.
 	requestTimeout = 900 * time.Millisecond
-	// largeBody is the size from which a caller waits for longer, and largeLimit how long it is then tried.
+	// largeBodyBytes is the body size from which callers wait longer, and largeRequestTimeout the
+	// limit for such operations.
 	largeBodyBytes      = 64 << 10
 	largeRequestTimeout = 1800 * time.Millisecond
-	// retryEvery is the pause after an attempt that met no chain or a busy one.
+	// retryInterval is the pause after an attempt that failed for lack of a chain or because it was
+	// busy.
 	retryInterval = 20 * time.Millisecond
-	// appliedWait bounds how long an acknowledgement waits for the mixers to apply what it acknowledges.
+	// applyWaitTimeout limits how long an acknowledgement waits for the mixers to apply the
+	// operation.
 	applyWaitTimeout = 500 * time.Millisecond
 )
 
-// submit has an operation taken: here if this is the head, else there. It tries for as long as its caller listens. Trying again is
-// safe, as what was taken is known again.
+// submit submits an operation to the head, which may be this replica, and retries until its caller
+// gives up. Retrying is safe because an operation that was already committed is recognized.
 func (c *Controller) submit(ctx context.Context, request *distribute.SubmitRequest) *distribute.SubmitReply {
 	limit := requestTimeout
 	if len(request.Operation.Body) >= largeBodyBytes {
@@ -51,6 +54,7 @@
 	}
 }
 
+// submitOnce submits an operation here if this is the head, otherwise it forwards it to the head.
 func (c *Controller) submitOnce(ctx context.Context, request *distribute.SubmitRequest) (*distribute.SubmitReply, error) {
 	now := c.published.Load()
 	head, known := now.view.Member(now.view.Head())
@@ -74,26 +78,27 @@
 	return reply, nil
 }
 
+// submitAsHead proposes an operation to this replica and waits until it is committed and confirmed.
 func (c *Controller) submitAsHead(ctx context.Context, request *distribute.SubmitRequest) (*distribute.SubmitReply, error) {
-	var seq, fence uint64
-	var quiet time.Duration
-	var at replicaInstance
-	var refused error
+	var seq, fencingToken uint64
+	var idle time.Duration
+	var instance replicaInstance
+	var proposeErr error
 	err := c.runInLoop(ctx, func() {
-		at = replicaInstance{c.replica.View().Epoch, c.incarnation}
+		instance = replicaInstance{c.replica.View().Epoch, c.incarnation}
 		if !c.diskFailedAt.IsZero() {
-			refused = chain.ErrNoChain
+			proposeErr = chain.ErrNoChain
 			return
 		}
-		if refused = contextError(ctx); refused != nil {
-			return // its caller turned elsewhere: an old order must not come after newer ones
+		if proposeErr = contextError(ctx); proposeErr != nil {
+			return // the caller gave up: a delayed operation must not follow newer ones
 		}
-		checked := c.replica.State()
+		stateBefore := c.replica.State()
 		var out chain.Output
-		seq, out, refused = c.replica.Propose(c.sinceStart(), &request.Operation)
-		fence = checked.FencingTokenAfter(&request.Operation, seq)
-		if refused == nil && request.Operation.Kind == replicated.KindLease {
-			quiet = c.leaseRenewals.RecordRenewal(c.sinceStart(), at.epoch, request.Operation.LeaseName, request.Operation.Holder)
+		seq, out, proposeErr = c.replica.Propose(c.sinceStart(), &request.Operation)
+		fencingToken = stateBefore.FencingTokenAfter(&request.Operation, seq)
+		if proposeErr == nil && request.Operation.Kind == replicated.KindLease {
+			idle = c.leaseRenewals.RecordRenewal(c.sinceStart(), instance.epoch, request.Operation.LeaseName, request.Operation.Holder)
 		}
 		c.applyOutput(out)
 	})
@@ -101,29 +106,31 @@
 		return nil, err
 	}
 	var refusal *chain.RefusedError
-	if errors.As(refused, &refusal) {
-		return c.rejectOperation(ctx, refusal, at)
+	if errors.As(proposeErr, &refusal) {
+		return c.rejectOperation(ctx, refusal, instance)
 	}
-	if refused != nil {
-		return nil, refused
+	if proposeErr != nil {
+		return nil, proposeErr
 	}
-	if err := c.waitCommitted(ctx, seq, at); err != nil {
+	if err := c.waitCommitted(ctx, seq, instance); err != nil {
 		return nil, err
 	}
-	if _, err := c.confirmView(ctx, at); err != nil { // what was taken before is told only while this is the head in force
+	if _, err := c.confirmView(ctx, instance); err != nil { // only the present head may acknowledge
 		return nil, err
 	}
 	reply := &distribute.SubmitReply{Outcome: distribute.OutcomeCommitted, Seq: seq}
 	if request.Operation.Kind == replicated.KindLease {
-		reply.PredecessorIdleMS = quiet.Milliseconds()
-		reply.FencingToken = fence // not the state's by now: another holder may have it already
+		reply.PredecessorIdleMS = idle.Milliseconds()
+		// The present state may already hold the token of another holder.
+		reply.FencingToken = fencingToken
 		return reply, nil
 	}
 	c.waitApplied(ctx, seq)
 	return reply, nil
 }
 
-// over tells whether a call's time is up, by the clock itself: in a process that stood still the context may not have noticed yet.
+// contextError returns the error of a context that has ended. It also compares the deadline with
+// the clock, because after a stall of the process the context may not have expired yet.
 func contextError(ctx context.Context) error {
 	if deadline, limited := ctx.Deadline(); limited && !time.Now().Before(deadline) {
 		return context.DeadlineExceeded
@@ -131,12 +138,15 @@
 	return ctx.Err()
 }
 
-// refuse answers that an operation cannot come into force, once it is sure that the state it was held against is the newest.
-func (c *Controller) rejectOperation(ctx context.Context, refusal *chain.RefusedError, at replicaInstance) (*distribute.SubmitReply, error) {
+// rejectOperation returns the reply to an operation that the state rejects. Unless the operation is
+// outdated, it first confirms that the state is the newest.
+func (c *Controller) rejectOperation(
+	ctx context.Context, refusal *chain.RefusedError, instance replicaInstance,
+) (*distribute.SubmitReply, error) {
 	if refusal.Verdict == replicated.Outdated {
 		return &distribute.SubmitReply{Outcome: distribute.OutcomeOutdated, Reason: refusal.Error()}, nil
 	}
-	if _, err := c.confirmView(ctx, at); err != nil {
+	if _, err := c.confirmView(ctx, instance); err != nil {
 		return nil, err
 	}
 	reply := &distribute.SubmitReply{Outcome: distribute.OutcomeConflict, Reason: refusal.Error()}
@@ -146,11 +156,11 @@
 	return reply, nil
 }
 
-// committed waits until a number is committed by the replica, and in the epoch, that gave it out.
-func (c *Controller) waitCommitted(ctx context.Context, seq uint64, at replicaInstance) error {
+// waitCommitted waits until seq is committed by the replica instance that assigned it.
+func (c *Controller) waitCommitted(ctx context.Context, seq uint64, instance replicaInstance) error {
 	for {
 		now := c.published.Load()
-		if now.instance() != at {
+		if now.instance() != instance {
 			return merry.New("the view or the replica changed while the operation was under way")
 		}
 		if now.state.Seq >= seq {
@@ -164,7 +174,7 @@
 	}
 }
 
-// applied waits for a bounded time until the agents that are heard from have applied a number.
+// waitApplied waits up to applyWaitTimeout until all agents with live sessions have applied seq.
 func (c *Controller) waitApplied(ctx context.Context, seq uint64) {
 	ctx, cancel := context.WithTimeout(ctx, applyWaitTimeout)
 	defer cancel()
@@ -181,13 +191,14 @@
 	}
 }
 
-// confirm asks the majority whether an epoch is still in force, and gives the state committed here since it was asked.
-func (c *Controller) confirmView(ctx context.Context, at replicaInstance) (*replicated.State, error) {
+// confirmView has a quorum confirm that the epoch of instance is still in force, and returns the
+// state published after that.
+func (c *Controller) confirmView(ctx context.Context, instance replicaInstance) (*replicated.State, error) {
 	confirmed := make(chan struct{})
 	var nonce uint64
 	stale := false
 	err := c.runInLoop(ctx, func() {
-		stale = !c.diskFailedAt.IsZero() || c.replica.View().Epoch != at.epoch || c.incarnation != at.incarnation
+		stale = !c.diskFailedAt.IsZero() || c.replica.View().Epoch != instance.epoch || c.incarnation != instance.incarnation
 		if stale {
 			return
 		}
@@ -206,7 +217,7 @@
 	select {
 	case <-confirmed:
 		now := c.published.Load()
-		if now.incarnation != at.incarnation {
+		if now.incarnation != instance.incarnation {
 			return nil, merry.New("confirm the view: the disk failed meanwhile")
 		}
 		return now.state, nil
@@ -215,7 +226,7 @@
 	}
 }
 
-// readHere answers a read if this is the tail.
+// readAsTail answers a read if this replica is the tail.
 func (c *Controller) readAsTail(ctx context.Context, request *distribute.ReadRequest) (*distribute.ReadReply, error) {
 	now := c.published.Load()
 	if now.view.Tail() != now.self {
@@ -231,7 +242,7 @@
 	return &distribute.ReadReply{Seq: state.Seq, Config: state.Config, Leases: state.Leases}, nil
 }
 
-// read gives the newest state, from the tail.
+// read reads the newest state from the tail, and retries until its time limit.
 func (c *Controller) read(ctx context.Context, request *distribute.ReadRequest) (*distribute.ReadReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -248,6 +259,7 @@
 	}
 }
 
+// readOnce reads from the tail, which may be this replica.
 func (c *Controller) readOnce(ctx context.Context, request *distribute.ReadRequest) (*distribute.ReadReply, error) {
 	now := c.published.Load()
 	tail, known := now.view.Member(now.view.Tail())
--- a/internal/controller/tallies.go
+++ b/internal/controller/tallies.go
@@ -18,19 +18,22 @@
 )
 
 const (
-	// contractTallies is the part of the rules that asks for tallies.
+	// contractTallies is the contract in the settings that enables tallies.
 	contractTallies = "apart"
-	// memoryShare is the part of a machine's memory, in percent, that adds may take, and bytesPerAdd what one takes.
+	// addsMemoryPercent is the part of a machine's memory that adds may use, and bytesPerAdd the
+	// memory that one add uses.
 	addsMemoryPercent = 35
 	bytesPerAdd       = 80
-	// diskShare is the part of a machine's disk, in percent, from which no more adds are taken: the control state needs the rest.
+	// logDiskPercent is the part of a machine's disk at which no more adds are accepted: the
+	// control state needs the rest.
 	logDiskPercent = 40
-	// peersEvery is how often the members of the view are looked at.
+	// peerRefreshInterval is how often the peers are updated from the seeds and the view.
 	peerRefreshInterval = 500 * time.Millisecond
 )
 
-// tallies keeps this machine's part of the tallies: one goroutine owns the replica and works through a queue of commands, another writes
-// the log. Their connections are their own, so that neither they nor the control state wait behind the other.
+// tallyService is this machine's replica of the tallies. One goroutine, the tally loop, owns the
+// replica and executes queued commands; another one writes the log. The connections are separate
+// from those of the control state, so that neither waits for the other.
 type tallyService struct {
 	log            zerolog.Logger
 	startTime      time.Time
@@ -38,25 +41,25 @@
 	directory      string
 	logOptions     tallylog.Options
 	replicaOptions tally.Options
-	maxLogBytes    int64 // bytes of the log from which no more adds are taken, 0: no limit
+	maxLogBytes    int64 // log size from which no more adds are accepted, 0 for no limit
 	commands       chan func()
 	batches        chan *tally.Batch
 	done           chan struct{}
-	loaded         atomic.Bool // the file is read: before, no command is taken
-	flushed        atomic.Bool // the others in reach have all that was taken here
+	loaded         atomic.Bool // the log is loaded; before that no command is accepted
+	flushed        atomic.Bool // the reachable peers have all adds accepted here
 	logBytes       atomic.Int64
 	peerAddrs      func() []string
-	tallyLog       *tallylog.Log // the writer's
+	tallyLog       *tallylog.Log // belongs to the writer goroutine
 
-	// What follows is the owner's.
+	// The fields below belong to the tally loop.
 	replica          *tally.Replica
 	pendingAdds      map[uint64]chan tally.Answer
 	lastToken        uint64
-	peersRefreshedAt time.Duration // when the peers were last looked at
+	peersRefreshedAt time.Duration // since the start, 0 before the first refresh
 }
 
-// newTallies makes this machine's tallies. A file for them is there when it returns; it is read when they run, as a long one takes seconds
-// and the control state does not wait for it.
+// newTallies creates the tally service. The log file exists when it returns. The file is read only
+// when the service runs, as a long one takes seconds and must not delay the control state.
 func (c *Controller) newTallies() error {
 	t := &tallyService{
 		log: c.log, startTime: time.Now(), pool: rpc.NewPoolWithNetwork(c.network),
@@ -83,13 +86,14 @@
 	return tallylog.Prepare(t.directory, t.logOptions)
 }
 
-// open reads the tallies' file and makes a replica of it; false after stop.
+// openLog reads the log and creates a replica from it, with retries. It returns false if the
+// service stops first.
 func (t *tallyService) openLog() bool {
 	for {
 		file, saved, err := tallylog.Open(t.directory, t.logOptions)
 		var damage *tallylog.DamageError
 		if errors.As(err, &damage) {
-			t.log.Error().Err(err).Str("step", "open tallies").Msg("the tallies on disk are damaged: they are set aside and learned anew")
+			t.log.Error().Err(err).Str("step", "open tallies").Msg("tally log is damaged; quarantining it and copying the tallies from the peers")
 			err = nil
 		}
 		if err == nil {
@@ -97,10 +101,10 @@
 			t.logBytes.Store(file.Size())
 			t.replica = tally.New(t.sinceStart(), t.replicaOptions, saved)
 			t.loaded.Store(true)
-			t.log.Info().Str("step", "open tallies").Int("adds", saved.Set.Size()).Bool("complete", saved.Complete).Msg("tallies read")
+			t.log.Info().Str("step", "open tallies").Int("adds", saved.Set.Size()).Bool("complete", saved.Complete).Msg("tallies loaded")
 			return true
 		}
-		t.log.Error().Err(err).Str("step", "open tallies").Msg("disk fails")
+		t.log.Error().Err(err).Str("step", "open tallies").Msg("cannot open the tally log; will retry")
 		select {
 		case <-time.After(reopenDelay):
 		case <-t.done:
@@ -109,27 +113,29 @@
 	}
 }
 
-// errReading is for calls that come before the file is read.
+// errLoading is returned to calls that arrive before the log is loaded.
 var errLoading = errors.New("the tallies are being read from disk")
 
-// errEnding is for calls that a controller's end cuts off.
+// errShuttingDown is returned to calls that the shutdown interrupts.
 var errShuttingDown = errors.New("this machine ends")
 
+// randomOrigin returns a random nonzero origin.
 func randomOrigin() tally.Origin {
 	var random [8]byte
 	rand.Read(random[:])
 	return tally.Origin(binary.LittleEndian.Uint64(random[:]) | 1)
 }
 
-// tallyPeers names the seeds and the members of the view in force.
+// tallyPeerAddrs returns the addresses of the seeds and of the members of the view in force.
 func (c *Controller) tallyPeerAddrs() []string {
 	now := c.published.Load()
 	return slices.Concat(now.seedAddrs, now.controllerAddrs)
 }
 
+// sinceStart returns the monotonic time since the service was created.
 func (t *tallyService) sinceStart() time.Duration { return time.Since(t.startTime) }
 
-// run owns the replica until stop.
+// run owns the replica and executes commands and ticks until stop.
 func (t *tallyService) run() {
 	if !t.openLog() {
 		return
@@ -150,12 +156,13 @@
 	}
 }
 
-// stop ends the goroutines; calls under way get no answer.
+// stop ends the goroutines. Calls in progress fail with errShuttingDown.
 func (t *tallyService) stop() {
 	close(t.done)
 	t.pool.Close()
 }
 
+// enqueue queues a command for the tally loop.
 func (t *tallyService) enqueue(command func()) {
 	select {
 	case t.commands <- command:
@@ -163,6 +170,7 @@
 	}
 }
 
+// tick does the periodic work.
 func (t *tallyService) tick() {
 	now := t.sinceStart()
 	if t.peersRefreshedAt == 0 || now-t.peersRefreshedAt >= peerRefreshInterval {
@@ -173,7 +181,7 @@
 	t.flushed.Store(t.replica.Flushed(now))
 }
 
-// leave says that this machine is about to end.
+// leave announces that this machine is about to shut down.
 func (t *tallyService) leave() {
 	if !t.loaded.Load() {
 		return
@@ -182,7 +190,7 @@
 	t.enqueue(func() { t.replica.Leave() })
 }
 
-// receive takes another machine's message.
+// receive passes a message of another machine to the replica.
 func (t *tallyService) receive(m *tally.Message) {
 	if !t.loaded.Load() {
 		return
@@ -190,13 +198,13 @@
 	t.enqueue(func() { t.applyOutput(t.replica.Receive(t.sinceStart(), m)) })
 }
 
-// perform does what a step wants.
+// applyOutput writes, sends and answers what a step of the replica produced.
 func (t *tallyService) applyOutput(out tally.Output) {
 	if out.Write != nil {
 		t.batches <- out.Write
 	}
-	for _, e := range out.Messages {
-		t.pool.Post(e.To, distribute.KindTally, e.Message)
+	for _, envelope := range out.Messages {
+		t.pool.Post(envelope.To, distribute.KindTally, envelope.Message)
 	}
 	for _, answer := range out.Answers {
 		if call := t.pendingAdds[answer.Token]; call != nil {
@@ -206,15 +214,15 @@
 	}
 }
 
-// write makes batches last, one after the other, until stop. After a failure it tries again and again to take back what the disk may have
-// of the batch.
+// runWriter appends batches to the log until stop. After a failure it retries until what the disk
+// may hold of the failed batch is removed.
 func (t *tallyService) runWriter() {
 	defer t.tallyLog.Close()
 	for {
 		select {
 		case batch := <-t.batches:
 			if err := t.tallyLog.Append(batch); err != nil {
-				t.log.Error().Err(err).Str("step", "write tallies").Msg("disk failed")
+				t.log.Error().Err(err).Str("step", "write tallies").Msg("write to the tally log failed")
 				t.enqueue(func() { t.applyOutput(t.replica.Failed(t.sinceStart())) })
 				if !t.recoverLog() {
 					return
@@ -234,7 +242,7 @@
 	}
 }
 
-// recover waits until the disk works again; false after stop.
+// recoverLog waits until the disk works again. It returns false if the service stops first.
 func (t *tallyService) recoverLog() bool {
 	for {
 		select {
@@ -246,6 +254,6 @@
 		if err == nil {
 			return true
 		}
-		t.log.Error().Err(err).Str("step", "recover tallies").Msg("disk still fails")
+		t.log.Error().Err(err).Str("step", "recover tallies").Msg("cannot recover the tally log; will retry")
 	}
 }
--- a/internal/controller/tallies_api.go
+++ b/internal/controller/tallies_api.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	maxAddBodyBytes = 4 << 10 // of an add's body
-	maxNameBytes    = 128     // of a tally's name, and of an add's id
-	maxAmount       = 1 << 53 // of one add, either way: whole numbers that JSON carries exactly
+	maxAddBodyBytes = 4 << 10 // body of an add request
+	maxNameBytes    = 128     // name of a tally, and ID of an add
+	maxAmount       = 1 << 53 // absolute amount of one add; JSON carries integers exactly up to 2^53
 )
 
-// addRequest is the body of an add.
+// addRequest is the body of an add request.
 type addRequest struct {
 	ID     string `json:"id"`
 	Amount *int64 `json:"by"`
 }
 
-// totalReply is the body of a read.
+// totalReply is the body of the response to a read.
 type totalReply struct {
 	Total int64 `json:"total"`
 }
@@ -37,7 +37,7 @@
 	errInvalidAmount = errors.New("by: want a whole number of at most 2^53, either way")
 )
 
-// parseAdd reads an add's body.
+// parseAdd parses and validates the body of an add request.
 func parseAdd(name string, body []byte) (tally.Add, error) {
 	var request addRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -54,12 +54,14 @@
 	return tally.Add{ID: request.ID, Tally: name, By: *request.Amount}, nil
 }
 
-// validName tells whether a name or an id can be kept: machines tell each other text, and text that is no UTF-8 is refused on the way.
+// validName reports whether a tally's name or an ID can be stored: machines exchange them as text,
+// and the decoder rejects text that is not UTF-8.
 func validName(name string) bool {
 	return name != "" && len(name) <= maxNameBytes && utf8.ValidString(name)
 }
 
-// statusOf has the answer's status for each outcome: 503 promises that nothing was done.
+// httpStatusByOutcome maps the outcome of an add to the HTTP status; 503 guarantees that the add
+// was not accepted.
 var httpStatusByOutcome = map[tally.Outcome]int{
 	tally.Acknowledged: http.StatusOK,
 	tally.Conflicting:  http.StatusConflict,
@@ -67,6 +69,7 @@
 	tally.Unclear:      http.StatusGatewayTimeout,
 }
 
+// postAdd handles POST /v1/tallies/:tally.
 func (t *tallyService) postAdd(ctx echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxAddBodyBytes+1))
 	if err != nil {
@@ -79,19 +82,19 @@
 	if err != nil {
 		return ctx.JSON(http.StatusBadRequest, errorResponse{err.Error()})
 	}
-	limited, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
+	callCtx, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
 	defer cancel()
 	began := time.Now()
-	answer := t.add(limited, add)
+	answer := t.add(callCtx, add)
 	t.log.Debug().Str("step", "add").Str("tally", add.Tally).Str("id", add.ID).Int64("by", add.By).Int("outcome", int(answer.Outcome)).
-		Str("reason", answer.Reason).Dur("took", time.Since(began)).Msg("add")
+		Str("reason", answer.Reason).Dur("took", time.Since(began)).Msg("tally add answered")
 	if answer.Outcome != tally.Acknowledged {
 		return ctx.JSON(httpStatusByOutcome[answer.Outcome], errorResponse{answer.Reason})
 	}
 	return ctx.JSON(http.StatusOK, struct{}{})
 }
 
-// add hands an add to the owner and waits for its outcome.
+// add passes an add to the tally loop and waits for its outcome.
 func (t *tallyService) add(ctx context.Context, add tally.Add) tally.Answer {
 	if !t.loaded.Load() {
 		return tally.Answer{Outcome: tally.Refused, Reason: errLoading.Error()}
@@ -112,40 +115,41 @@
 	}
 }
 
+// getTotal handles GET /v1/tallies/:tally.
 func (t *tallyService) getTotal(ctx echo.Context) error {
-	limited, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
+	callCtx, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
 	defer cancel()
 	name := ctx.Param("tally")
 	if !validName(name) {
 		return ctx.JSON(http.StatusBadRequest, errorResponse{errInvalidName.Error()})
 	}
-	total, err := t.readTotal(limited, name)
+	total, err := t.readTotal(callCtx, name)
 	if err != nil {
-		t.log.Debug().Err(err).Str("step", "total").Str("tally", name).Msg("not answered")
+		t.log.Debug().Err(err).Str("step", "total").Str("tally", name).Msg("tally read failed")
 		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
 	return ctx.JSON(http.StatusOK, totalReply{total})
 }
 
-// reading is what a read came to.
+// totalResult is the result of a read.
 type totalResult struct {
 	total int64
 	err   error
 }
 
-// total reads a tally at the owner.
+// readTotal reads a tally in the tally loop.
 func (t *tallyService) readTotal(ctx context.Context, name string) (int64, error) {
 	if !t.loaded.Load() {
 		return 0, errLoading
 	}
-	readings := make(chan totalResult, 1)
+	results := make(chan totalResult, 1)
 	t.enqueue(func() {
 		total, err := t.replica.Read(t.sinceStart(), name)
-		readings <- totalResult{total, err}
+		results <- totalResult{total, err}
 	})
 	select {
-	case read := <-readings:
-		return read.total, read.err
+	case result := <-results:
+		return result.total, result.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	case <-t.done:
--- a/internal/controller/tallies_status.go
+++ b/internal/controller/tallies_status.go
@@ -7,7 +7,7 @@
 	"nettlefold/internal/tally"
 )
 
-// TallyStatus is where the tallies of a controller stand.
+// TallyStatus describes the tallies of a controller.
 type TallyStatus struct {
 	Ready          bool              `json:"ready"` // reads are answered
 	NotReadyReason string            `json:"not_ready,omitempty"`
@@ -16,28 +16,28 @@
 	Adds           int               `json:"adds"`
 	Origins        int               `json:"origins"`
 	LogBytes       int64             `json:"log_bytes"`
-	Behind         uint64            `json:"behind"` // adds that a peer holds and this machine does not
+	Behind         uint64            `json:"behind"` // adds that a peer has and this machine lacks
 	Calls          uint64            `json:"calls"`  // adds that callers sent since the start
 	Acknowledged   uint64            `json:"acknowledged"`
 	Refused        uint64            `json:"refused"`
 	Unclear        uint64            `json:"unclear"`
-	Merged         uint64            `json:"merged"`     // adds that came from other machines
-	Duplicates     uint64            `json:"duplicates"` // held ids that came again
-	Conflicts      uint64            `json:"conflicts"`  // held ids that came with another tally or amount
+	Merged         uint64            `json:"merged"`     // adds received from other machines
+	Duplicates     uint64            `json:"duplicates"` // adds received again with a known ID
+	Conflicts      uint64            `json:"conflicts"`  // adds with a known ID but another tally or amount
 	Peers          []TallyPeerStatus `json:"peers"`
 }
 
-// TallyPeerStatus is another controller, as the tallies see it.
+// TallyPeerStatus describes another controller as a peer of the tally replica.
 type TallyPeerStatus struct {
 	Addr      string `json:"addr"`
 	Reachable bool   `json:"in_reach"`
 	SilentMS  int64  `json:"silent_ms"`
 	DiskFails bool   `json:"disk_fails,omitempty"`
-	Behind    uint64 `json:"behind"` // adds held here that it lacks
-	Ahead     uint64 `json:"ahead"`  // adds that it holds and this machine lacks
+	Behind    uint64 `json:"behind"` // adds that this machine has and the peer lacks
+	Ahead     uint64 `json:"ahead"`  // adds that the peer has and this machine lacks
 }
 
-// status asks the owner where the tallies stand.
+// status returns the status of the tallies from the tally loop.
 func (t *tallyService) status(ctx context.Context) (*TallyStatus, error) {
 	if !t.loaded.Load() {
 		return &TallyStatus{NotReadyReason: errLoading.Error()}, nil
@@ -54,6 +54,7 @@
 	}
 }
 
+// newTallyStatus converts a status of the replica.
 func (t *tallyService) newTallyStatus(s *tally.Status) *TallyStatus {
 	out := &TallyStatus{
 		Ready: s.Ready, NotReadyReason: s.NotReady, DiskFails: s.DiskFails, DiskSlow: s.DiskSlow,
@@ -69,7 +70,7 @@
 	return out
 }
 
-// addTo adds the tallies' figures to a set.
+// addMetrics adds the tally metrics to a set.
 func (s *TallyStatus) addMetrics(set *metrics.Set) {
 	set.AddFlag("tally_ready", s.Ready)
 	set.AddFlag("tally_disk_fails", s.DiskFails)
@@ -84,11 +85,11 @@
 	set.Add("tally_merged_total", float64(s.Merged))
 	set.Add("tally_duplicates", float64(s.Duplicates))
 	set.Add("tally_conflicts", float64(s.Conflicts))
-	inReach := 0
+	reachable := 0
 	for i := range s.Peers {
 		if s.Peers[i].Reachable {
-			inReach++
+			reachable++
 		}
 	}
-	set.Add("tally_peers_in_reach", float64(inReach))
+	set.Add("tally_peers_in_reach", float64(reachable))
 }
--- a/internal/durable/compact.go
+++ b/internal/durable/compact.go
@@ -10,59 +10,64 @@
 	"nettlefold/internal/chain"
 )
 
-// tidy drops what a new snapshot covers, and compacts a file that holds much else. What fails here is tried again another time.
+// compactIfNeeded counts the live records after a new snapshot, and compacts the file if it is
+// large and mostly obsolete. If that fails, the present file stays in use, and the next snapshot
+// tries again.
 func (s *Store) compactIfNeeded(records []chain.Record) {
 	if !slices.ContainsFunc(records, func(r chain.Record) bool { return r.Snapshot != nil }) {
 		return
 	}
-	kept, err := s.liveRecords()
+	live, err := s.liveRecords()
 	if err != nil {
 		return
 	}
 	s.liveBytes = 0
-	for key, value := range kept {
+	for key, value := range live {
 		s.liveBytes += int64(len(key) + len(value) + 40)
 	}
 	if s.sizeBytes > max(minCompactBytes, minCompactRatio*s.liveBytes) {
-		s.compact(kept) // on the old file all goes on if it fails
+		s.compact(live) // after a failure the old file stays in use
 	}
 }
 
-// Renew writes all that is kept into a new file. After a write or a sync that failed nothing tells what the old one holds for sure.
+// Rewrite writes all live records into a new file. After a failed write or sync it is unknown what
+// the old file holds.
 func (s *Store) Rewrite() error {
-	kept, err := s.liveRecords()
+	live, err := s.liveRecords()
 	if err != nil {
 		return err
 	}
-	return s.compact(kept)
+	return s.compact(live)
 }
 
-// kept is what the newest state needs: meta, its generation's snapshot, and the entries that follow it.
+// liveRecords returns the records that the newest state needs: the metadata, the snapshot of its
+// generation, and the entries that follow the snapshot.
 func (s *Store) liveRecords() (map[string]string, error) {
 	saved, err := s.Load()
 	if err != nil {
 		return nil, err
 	}
-	generation, after := saved.Meta.Generation, uint64(0)
+	generation, snapshotSeq := saved.Meta.Generation, uint64(0)
 	if saved.State != nil {
-		after = saved.State.Seq
+		snapshotSeq = saved.State.Seq
 	}
-	least := entryKey(generation, after+1)
-	kept := map[string]string{}
+	firstKey := entryKey(generation, snapshotSeq+1)
+	live := map[string]string{}
 	err = s.db.View(func(tx *buntdb.Tx) error {
 		return tx.Ascend("", func(key, value string) bool {
 			if key == metaKey || key == snapshotKey(generation) ||
-				strings.HasPrefix(key, least[:len("entry/")+8]) && key >= least {
-				kept[key] = value
+				strings.HasPrefix(key, firstKey[:len("entry/")+8]) && key >= firstKey {
+				live[key] = value
 			}
 			return true
 		})
 	})
-	return kept, err
+	return live, err
 }
 
-func (s *Store) compact(kept map[string]string) error {
-	next, err := createFile(s.dir, s.number+1, kept)
+// compact replaces the file by a new one with the live records.
+func (s *Store) compact(live map[string]string) error {
+	next, err := createFile(s.dir, s.number+1, live)
 	if err != nil {
 		return err
 	}
--- a/internal/durable/inspect.go
+++ b/internal/durable/inspect.go
@@ -13,34 +13,37 @@
 	"nettlefold/internal/replicated"
 )
 
-// Report is what a store's directory holds, read without changing it.
+// Report is the content of a store's directory, read without changing it.
 type Report struct {
 	Files   []FileReport
 	Meta    chain.Meta
 	State   *replicated.State // of the newest snapshot, nil if there is none
-	Entries []chain.Entry     // of the log's generation, by number
+	Entries []chain.Entry     // of the log's generation, by sequence number
 }
 
-// FileReport is what one file holds.
+// FileReport is the content of one file.
 type FileReport struct {
 	Path     string
 	Bytes    int
 	Records  int
 	Complete bool
-	// TornAt is the offset of an end that was being written when the power went, -1 if there is none; a start cuts it off.
+	// TornAt is the offset of a write torn by a power loss, -1 if there is none. Open truncates the
+	// file there.
 	TornAt int64
-	// Damage is a record that cannot be read although it was synced; a start sets the file aside.
+	// Damage describes a record that cannot be read although it was synced. A controller that
+	// starts on such a file quarantines the store.
 	Damage *DamageError
 }
 
-// Inspect reads a store offline. It fails if it cannot be read at all; damage is in the report.
+// Inspect reads a store offline. It fails if the store cannot be read at all; damage is part of the
+// report.
 func Inspect(dir string) (*Report, error) {
 	numbers, err := listNumbers(dir)
 	if err != nil {
 		return nil, merry.Prepend(err, "inspect")
 	}
 	if len(numbers) == 0 {
-		return nil, merry.New("inspect: " + dir + " holds no store")
+		return nil, merry.New("inspect: " + dir + " contains no store")
 	}
 	report := &Report{}
 	var newest map[string][]byte
@@ -62,18 +65,18 @@
 	return report, report.decode(newest)
 }
 
-// readFile replays a file's whole records.
+// readFile replays the valid records of a file.
 func readFile(path string, text []byte) (FileReport, map[string][]byte) {
 	file := FileReport{Path: path, Bytes: len(text), TornAt: -1}
-	found := scanLog(text)
+	result := scanLog(text)
 	switch {
-	case found.damaged:
-		file.Damage = &DamageError{path, found.validBytes, found.reason}
-	case found.reason != "":
-		file.TornAt = found.validBytes
+	case result.damaged:
+		file.Damage = &DamageError{path, result.validBytes, result.reason}
+	case result.reason != "":
+		file.TornAt = result.validBytes
 	}
 	values := map[string][]byte{}
-	for at := 0; at < int(found.validBytes); {
+	for at := 0; at < int(result.validBytes); {
 		parts, size, _ := parseCommand(text[at:])
 		key := string(parts[1])
 		values[key], _ = verifyChecksum(key, string(parts[2]))
@@ -84,6 +87,7 @@
 	return file, values
 }
 
+// decode sets the metadata, state and entries from the values of the newest file.
 func (r *Report) decode(values map[string][]byte) error {
 	if payload, ok := values[metaKey]; ok {
 		if err := cbor.Unmarshal(payload, &r.Meta); err != nil {
@@ -101,22 +105,23 @@
 		}
 		r.State = state
 	}
-	within := strings.TrimSuffix(entryKey(r.Meta.Generation, 0), fmt.Sprintf("%016x", 0))
+	keyPrefix := strings.TrimSuffix(entryKey(r.Meta.Generation, 0), fmt.Sprintf("%016x", 0))
 	for key, payload := range values {
-		if !strings.HasPrefix(key, within) {
+		if !strings.HasPrefix(key, keyPrefix) {
 			continue
 		}
-		var e chain.Entry
-		if err := cbor.Unmarshal(payload, &e); err != nil {
+		var entry chain.Entry
+		if err := cbor.Unmarshal(payload, &entry); err != nil {
 			return merry.Prepend(err, "inspect: "+key)
 		}
-		r.Entries = append(r.Entries, e)
+		r.Entries = append(r.Entries, entry)
 	}
 	slices.SortFunc(r.Entries, func(a, b chain.Entry) int { return int(int64(a.Seq) - int64(b.Seq)) })
 	return nil
 }
 
-// Fault is the first damage of a report, nil if there is none: a torn end is none.
+// Verify returns the first damage of a report, or an error if no file was completed. A torn write
+// is no error.
 func (r *Report) Verify() error {
 	complete := false
 	for _, f := range r.Files {
@@ -126,7 +131,7 @@
 		complete = complete || f.Complete
 	}
 	if !complete {
-		return merry.New("no file of the store was completed")
+		return merry.New("durable: verify: no file of the store was completed")
 	}
 	return nil
 }
--- a/internal/durable/load.go
+++ b/internal/durable/load.go
@@ -15,29 +15,29 @@
 	"nettlefold/internal/replicated"
 )
 
-// Load reads what a replica starts from. State is nil and Entries are empty where nothing was written. It fails with a *DamageError where
-// what was written once is not there.
+// Load returns the state that a replica starts from. State is nil and Entries is empty if nothing
+// was written. It fails with a *DamageError if records are missing that must have been written.
 func (s *Store) Load() (saved chain.Saved, err error) {
-	payload, written, err := s.get(metaKey)
+	payload, hasMeta, err := s.get(metaKey)
 	if err != nil {
 		return saved, err
 	}
-	if written {
+	if hasMeta {
 		if err := cbor.Unmarshal(payload, &saved.Meta); err != nil {
-			return saved, merry.Prepend(err, "store: read meta")
+			return saved, merry.Prepend(err, "durable: decode meta")
 		}
 	}
-	payload, taken, err := s.get(snapshotKey(saved.Meta.Generation))
+	payload, hasSnapshot, err := s.get(snapshotKey(saved.Meta.Generation))
 	if err != nil {
 		return saved, err
 	}
-	if taken {
+	if hasSnapshot {
 		var snapshot chain.Snapshot
 		if err := cbor.Unmarshal(payload, &snapshot); err != nil {
-			return saved, merry.Prepend(err, "store: read snapshot")
+			return saved, merry.Prepend(err, "durable: decode snapshot")
 		}
 		if saved.State, err = replicated.Decode(snapshot.State); err != nil {
-			return saved, merry.Prepend(err, "store: read snapshot")
+			return saved, merry.Prepend(err, "durable: decode snapshot")
 		}
 	}
 	saved.Entries, err = s.loadEntries(saved.Meta.Generation)
@@ -48,7 +48,8 @@
 	return saved, s.checkContiguous(&saved)
 }
 
-// complete holds what was loaded to being without gaps: a state that was taken over whole is there, and the entries go on from it.
+// checkContiguous checks that the loaded state has no gaps: the snapshot of a generation after the
+// first is present, and the entries follow it without a gap.
 func (s *Store) checkContiguous(saved *chain.Saved) error {
 	next := uint64(1)
 	if saved.State != nil {
@@ -65,24 +66,25 @@
 	return nil
 }
 
+// loadEntries returns the log entries of a generation.
 func (s *Store) loadEntries(generation uint64) (entries []chain.Entry, err error) {
-	from := entryKey(generation, 0)
-	within := from[:len("entry/")+9]
+	first := entryKey(generation, 0)
+	keyPrefix := first[:len("entry/")+9]
 	viewErr := s.db.View(func(tx *buntdb.Tx) error {
-		return tx.AscendGreaterOrEqual("", from, func(key, value string) bool {
-			if !strings.HasPrefix(key, within) {
+		return tx.AscendGreaterOrEqual("", first, func(key, value string) bool {
+			if !strings.HasPrefix(key, keyPrefix) {
 				return false
 			}
-			var e chain.Entry
+			var entry chain.Entry
 			payload, ok := verifyChecksum(key, value)
 			if !ok {
-				err = s.damageError("the checksum of " + key + " does not hold")
+				err = s.damageError("checksum mismatch of " + key)
 				return false
 			}
-			if err = cbor.Unmarshal(payload, &e); err != nil {
+			if err = cbor.Unmarshal(payload, &entry); err != nil {
 				return false
 			}
-			entries = append(entries, e)
+			entries = append(entries, entry)
 			return true
 		})
 	})
--- a/internal/durable/scan.go
+++ b/internal/durable/scan.go
@@ -7,26 +7,30 @@
 	"strconv"
 )
 
-// DamageError is state that was synced once and is not what was written. Offset is -1 where it is not one record that cannot be read.
+// DamageError reports that stored state was synced and cannot be read back as written. Offset is -1
+// if the error is not about a single record.
 type DamageError struct {
 	Path   string
 	Offset int64
 	Cause  string
 }
 
+// Error names the file, the offset in bytes, and the cause.
 func (e *DamageError) Error() string {
 	return fmt.Sprintf("%s: damaged at offset %d: %s", e.Path, e.Offset, e.Cause)
 }
 
+// castagnoli is the CRC-32C table.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seal puts a checksum of key and payload before the payload: the log's framing alone does not show a page that was lost.
+// addChecksum prepends a checksum of key and payload to the payload. The framing of the log alone
+// does not reveal a lost page.
 func addChecksum(key string, payload []byte) string {
 	sum := crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, payload)
 	return string(append([]byte{byte(sum >> 24), byte(sum >> 16), byte(sum >> 8), byte(sum)}, payload...))
 }
 
-// unseal gives the payload if the checksum holds.
+// verifyChecksum returns the payload of a value, and whether its checksum matches.
 func verifyChecksum(key, value string) ([]byte, bool) {
 	if len(value) < 4 {
 		return nil, false
@@ -35,35 +39,36 @@
 	return payload, addChecksum(key, payload)[:4] == value[:4]
 }
 
-// markKey is the key of the record that says that all before it was synced.
+// syncMarkerKey is the key of the record that says that all records before it were synced.
 const syncMarkerKey = "synced"
 
-// markStart is how such a record begins in the log.
+// syncMarkerPrefix is the start of a sync marker in the log.
 var syncMarkerPrefix = []byte("*3\r\n$3\r\nset\r\n$6\r\n" + syncMarkerKey + "\r\n")
 
-// extent is how much of a log's text can be relied on.
+// scanResult describes how much of a log is valid.
 type scanResult struct {
-	validBytes int64  // bytes of records that are whole, from the start
-	reason     string // why the first record behind them cannot be read, "" if there is none
-	// damaged tells that all up to a later place was synced once, so that record was whole. Else it was being written when the power
-	// went, and so may have been what follows it.
+	validBytes int64  // length of the valid records, from the start
+	reason     string // why the record after them cannot be read, "" if there is none
+	// damaged reports that a later part of the log contains a sync marker, so the unreadable record
+	// was valid once. Otherwise it was being written during a power loss, and so may have been what
+	// follows it.
 	damaged bool
 }
 
-// scan measures a log's text.
+// scanLog checks the records of a log from its start.
 func scanLog(text []byte) scanResult {
 	at := 0
 	for at < len(text) {
-		n, why := measureRecord(text[at:])
-		if why != "" {
-			return scanResult{int64(at), why, containsSyncMarker(text[at:])}
+		size, reason := measureRecord(text[at:])
+		if reason != "" {
+			return scanResult{int64(at), reason, containsSyncMarker(text[at:])}
 		}
-		at += n
+		at += size
 	}
 	return scanResult{validBytes: int64(at)}
 }
 
-// marked tells whether a whole mark begins behind the start of text.
+// containsSyncMarker reports whether a valid sync marker starts after the first byte of text.
 func containsSyncMarker(text []byte) bool {
 	for len(text) > 1 {
 		at := bytes.Index(text[1:], syncMarkerPrefix)
@@ -78,22 +83,24 @@
 	return false
 }
 
-// record measures the record that text begins with: "set" with a sealed value. The store deletes nothing.
+// measureRecord returns the size in bytes of the record at the start of text: a "set" command whose
+// value has a checksum. The store deletes no keys.
 func measureRecord(text []byte) (size int, reason string) {
 	parts, size, ok := parseCommand(text)
 	if !ok {
-		return 0, "the record is torn"
+		return 0, "torn record"
 	}
 	if len(parts) != 3 || string(parts[0]) != "set" {
-		return 0, "no such command"
+		return 0, "unknown command"
 	}
 	if _, ok := verifyChecksum(string(parts[1]), string(parts[2])); !ok {
-		return 0, "the checksum does not hold"
+		return 0, "checksum mismatch"
 	}
 	return size, ""
 }
 
-// command reads one command in the log's format: *N, then N times $LENGTH and as many bytes, each line ended by CR LF.
+// parseCommand parses one command in the format of the log: *N, then N times $LENGTH and as many
+// bytes, each terminated by CR LF.
 func parseCommand(text []byte) (parts [][]byte, size int, ok bool) {
 	n, at, ok := parseLength(text, 0, '*')
 	if !ok || n < 1 || n > 5 {
@@ -110,8 +117,10 @@
 	return parts, at, true
 }
 
-func parseLength(text []byte, at int, mark byte) (n, next int, ok bool) {
-	if at >= len(text) || text[at] != mark {
+// parseLength parses a line with a type byte and a number that starts at the offset at, and returns
+// the number and the offset of the next line.
+func parseLength(text []byte, at int, typeByte byte) (n, next int, ok bool) {
+	if at >= len(text) || text[at] != typeByte {
 		return 0, 0, false
 	}
 	end := bytes.Index(text[at:min(len(text), at+16)], []byte("\r\n"))
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -1,6 +1,7 @@
-// Package durable keeps a replica's records on disk, in buntdb's log. It adds what that log leaves open: it syncs and heeds the
-// result, checks every value's checksum, cuts off what was being written when the power went, tells that from damage, and compacts into
-// a new file, which is lasting before the old one goes, instead of renaming over it.
+// Package durable stores a replica's records on disk in the log of buntdb. Beyond what buntdb does,
+// it syncs the log and checks the result, verifies the checksum of every value, truncates a write
+// torn by a power loss, distinguishes that from damage, and compacts into a new file. The new file
+// is durable before the old one is removed, instead of being renamed over it.
 package durable
 
 import (
@@ -21,12 +22,13 @@
 
 const (
 	metaKey       = "meta"
-	completeKey   = "complete" // the last record of a compaction, and the first of a new store
+	completeKey   = "complete" // last record of a compaction, and first record of a new store
 	filePrefix    = "state-"
 	fileSuffix    = ".db"
 	damagedPrefix = "damaged-"
 
-	// compactAbove is the least size of a file that is compacted, and compactRatio how much more than what is live it must hold.
+	// minCompactBytes is the least size of a file that is compacted, and minCompactRatio its least
+	// ratio to the size of the live records.
 	minCompactBytes = 4 << 20
 	minCompactRatio = 4
 )
@@ -37,20 +39,21 @@
 	number     int
 	path       string
 	db         *buntdb.DB
-	syncFile   *os.File // for syncing what db writes
-	sizeBytes  int64    // of the file, by what was written
-	syncMarked bool     // nothing was synced since the newest mark
-	liveBytes  int64    // of it, what a compaction would keep, when last counted
+	syncFile   *os.File // to sync what db writes
+	sizeBytes  int64    // of the file, from the records written
+	syncMarked bool     // nothing was synced since the last sync marker
+	liveBytes  int64    // of the records that a compaction would keep, as last counted
 }
 
-// Open opens the store of a directory, and makes one where there is none. It fails with a *DamageError where the newest file is damaged.
+// Open opens the store in a directory, or creates one if there is none. It fails with a
+// *DamageError if the newest file is damaged.
 func Open(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, merry.Prepend(err, "store: make directory")
+		return nil, merry.Prepend(err, "durable: make directory")
 	}
 	numbers, err := listNumbers(dir)
 	if err != nil {
-		return nil, merry.Prepend(err, "store: list")
+		return nil, merry.Prepend(err, "durable: list")
 	}
 	for i := len(numbers) - 1; i >= 0; i-- {
 		s, err := openFile(dir, numbers[i])
@@ -69,13 +72,13 @@
 	return createFile(dir, number, nil)
 }
 
-// Present tells whether a directory holds a store, whole or not.
+// Exists reports whether a directory contains a store, intact or not.
 func Exists(dir string) bool {
 	numbers, err := listNumbers(dir)
 	return err == nil && len(numbers) > 0
 }
 
-// list gives the numbers of the files there are, lowest first.
+// listNumbers returns the numbers of the store's files in ascending order.
 func listNumbers(dir string) (numbers []int, err error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -94,11 +97,12 @@
 	return numbers, nil
 }
 
+// filePath returns the path of the store's file with a number.
 func filePath(dir string, number int) string {
 	return filepath.Join(dir, fmt.Sprintf("%s%06d%s", filePrefix, number, fileSuffix))
 }
 
-// openFile opens a file whose making was completed; nil if it was not.
+// openFile opens a file, or returns nil if its creation was not completed.
 func openFile(dir string, number int) (*Store, error) {
 	path := filePath(dir, number)
 	if err := repairFile(path); err != nil {
@@ -115,49 +119,49 @@
 	return s, nil
 }
 
-// fsync makes a file's contents lasting; tests have it fail.
+// fsync makes a file's contents durable. Tests replace it to inject failures.
 var fsync = (*os.File).Sync
 
-// repair cuts off what was being written when the power went, and syncs what is left: a process that was killed may have written it without
-// the sync, and whoever reads it now relies on it. It fails with a *DamageError, and changes nothing, where what cannot be read was synced
-// once.
+// repairFile truncates a write torn by a power loss and syncs the rest: a process that was killed
+// may have written records without syncing them, and the reader will rely on them. If an unreadable
+// record had been synced, it fails with a *DamageError and changes nothing.
 func repairFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return merry.Prepend(err, "store: read "+path)
+		return merry.Prepend(err, "durable: read "+path)
 	}
-	found := scanLog(text)
-	if found.damaged {
-		return &DamageError{path, found.validBytes, found.reason}
+	result := scanLog(text)
+	if result.damaged {
+		return &DamageError{path, result.validBytes, result.reason}
 	}
 	file, err := os.OpenFile(path, os.O_RDWR, 0o644)
 	if err != nil {
-		return merry.Prepend(err, "store: repair "+path)
+		return merry.Prepend(err, "durable: repair "+path)
 	}
 	defer file.Close()
-	if found.reason != "" {
-		if err := file.Truncate(found.validBytes); err != nil {
-			return merry.Prepend(err, "store: repair "+path)
+	if result.reason != "" {
+		if err := file.Truncate(result.validBytes); err != nil {
+			return merry.Prepend(err, "durable: repair "+path)
 		}
 	}
-	return merry.Prepend(fsync(file), "store: repair "+path)
+	return merry.Prepend(fsync(file), "durable: repair "+path)
 }
 
-// attach opens a file as it is.
+// openDatabase opens a file without repair.
 func openDatabase(dir string, number int) (*Store, error) {
 	s := &Store{dir: dir, number: number, path: filePath(dir, number)}
 	db, err := buntdb.Open(s.path)
 	if err != nil {
-		return nil, merry.Prepend(err, "store: open "+s.path)
+		return nil, merry.Prepend(err, "durable: open "+s.path)
 	}
 	s.db = db
 	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Never, AutoShrinkDisabled: true}); err != nil {
 		db.Close()
-		return nil, merry.Prepend(err, "store: configure "+s.path)
+		return nil, merry.Prepend(err, "durable: configure "+s.path)
 	}
 	if s.syncFile, err = os.OpenFile(s.path, os.O_RDWR, 0o644); err != nil {
 		db.Close()
-		return nil, merry.Prepend(err, "store: open "+s.path)
+		return nil, merry.Prepend(err, "durable: open "+s.path)
 	}
 	if info, err := s.syncFile.Stat(); err == nil {
 		s.sizeBytes = info.Size()
@@ -166,19 +170,19 @@
 	return s, nil
 }
 
-// create makes a new file of what is to be kept, lasting when it returns.
-func createFile(dir string, number int, kept map[string]string) (*Store, error) {
+// createFile creates a file with the given records. The file is durable when createFile returns.
+func createFile(dir string, number int, records map[string]string) (*Store, error) {
 	s, err := openDatabase(dir, number)
 	if err != nil {
 		return nil, err
 	}
-	keys := make([]string, 0, len(kept))
-	for key := range kept {
+	keys := make([]string, 0, len(records))
+	for key := range records {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		if err := s.set(key, kept[key]); err != nil {
+		if err := s.set(key, records[key]); err != nil {
 			s.discard()
 			return nil, err
 		}
@@ -195,15 +199,17 @@
 	return s, syncDir(dir)
 }
 
+// syncDir makes the entries of a directory durable.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
-		return merry.Prepend(err, "store: sync directory")
+		return merry.Prepend(err, "durable: sync directory")
 	}
 	defer d.Close()
-	return merry.Prepend(fsync(d), "store: sync directory")
+	return merry.Prepend(fsync(d), "durable: sync directory")
 }
 
+// removeOtherFiles removes the files with the given numbers except that of s.
 func (s *Store) removeOtherFiles(numbers []int) {
 	for _, n := range numbers {
 		if n != s.number {
@@ -212,24 +218,27 @@
 	}
 }
 
-// Close closes the store; nothing is lost by not doing so.
+// Close closes the store. No record is lost if a process ends without it.
 func (s *Store) Close() {
-	s.MarkSynced() // what cannot be marked is only not marked
+	s.MarkSynced() // a failure only leaves the records unmarked
 	s.close()
 }
 
+// close closes the database and the file without a sync marker.
 func (s *Store) close() {
 	s.db.Close()
 	s.syncFile.Close()
 }
 
+// discard closes the store and removes its file.
 func (s *Store) discard() {
 	s.close()
 	os.Remove(s.path)
 }
 
-// Mark notes behind what was synced that it was. Damage before a mark is known for what it is; what is not marked yet is taken for torn
-// where it cannot be read. The mark itself need not last.
+// MarkSynced appends a marker that says that all records before it were synced. An unreadable
+// record before a marker is damage; after the last marker it is taken for a torn write. The marker
+// itself need not be durable.
 func (s *Store) MarkSynced() error {
 	if s.syncMarked {
 		return nil
@@ -241,16 +250,16 @@
 	return nil
 }
 
-// SetAside renames the files of a damaged store, for whoever wants to look at them, and removes those set aside before. The directory then
-// holds no store.
+// Quarantine renames the files of a damaged store so that they can be inspected, and removes those
+// of an earlier quarantine. Afterwards the directory contains no store.
 func Quarantine(dir string) error {
 	numbers, err := listNumbers(dir)
 	if err != nil {
-		return merry.Prepend(err, "store: set aside")
+		return merry.Prepend(err, "durable: quarantine")
 	}
 	old, err := filepath.Glob(filepath.Join(dir, damagedPrefix+"*"))
 	if err != nil {
-		return merry.Prepend(err, "store: set aside")
+		return merry.Prepend(err, "durable: quarantine")
 	}
 	for _, path := range old {
 		os.Remove(path)
@@ -258,13 +267,14 @@
 	for _, n := range numbers {
 		path := filePath(dir, n)
 		if err := os.Rename(path, filepath.Join(dir, damagedPrefix+filepath.Base(path))); err != nil {
-			return merry.Prepend(err, "store: set aside "+path)
+			return merry.Prepend(err, "durable: quarantine "+path)
 		}
 	}
 	return syncDir(dir)
 }
 
-// Write makes records durable, in their order. After an error none of them may be relied on, and what the store holds is a prefix.
+// Write makes records durable in their order. After an error none of them may be relied on; the
+// store then holds a prefix of them.
 func (s *Store) Write(records []chain.Record) error {
 	if len(records) == 0 {
 		return nil
@@ -284,6 +294,7 @@
 	return nil
 }
 
+// put writes a record under its key.
 func (s *Store) put(r *chain.Record) error {
 	switch {
 	case r.Meta != nil:
@@ -295,32 +306,36 @@
 	}
 }
 
+// entryKey returns the key of a log entry; keys sort by generation and sequence number.
 func entryKey(generation, seq uint64) string { return fmt.Sprintf("entry/%08x/%016x", generation, seq) }
 
+// snapshotKey returns the key of the snapshot of a generation.
 func snapshotKey(generation uint64) string { return fmt.Sprintf("snapshot/%08x", generation) }
 
+// encode writes a value as CBOR with a checksum.
 func (s *Store) encode(key string, value any) error {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
-		return merry.Prepend(err, "store: encode "+key)
+		return merry.Prepend(err, "durable: encode "+key)
 	}
 	return s.set(key, addChecksum(key, encoded))
 }
 
+// set writes a value, without a sync.
 func (s *Store) set(key, value string) error {
 	err := s.db.Update(func(tx *buntdb.Tx) error {
 		_, _, err := tx.Set(key, value, nil)
 		return err
 	})
 	if err != nil {
-		return merry.Prepend(err, "store: write "+key)
+		return merry.Prepend(err, "durable: write "+key)
 	}
 	s.sizeBytes += int64(len(key) + len(value) + 40)
 	return nil
 }
 
-// get reads a value; there is none without an error.
-func (s *Store) get(key string) (payload []byte, there bool, err error) {
+// get reads a value and verifies its checksum; found is false if there is no such key.
+func (s *Store) get(key string) (payload []byte, found bool, err error) {
 	viewErr := s.db.View(func(tx *buntdb.Tx) error {
 		value, err := tx.Get(key)
 		if errors.Is(err, buntdb.ErrNotFound) {
@@ -329,19 +344,21 @@
 		if err != nil {
 			return err
 		}
-		if payload, there = verifyChecksum(key, value); !there {
-			return s.damageError("the checksum of " + key + " does not hold")
+		if payload, found = verifyChecksum(key, value); !found {
+			return s.damageError("checksum mismatch of " + key)
 		}
 		return nil
 	})
-	return payload, there, viewErr
+	return payload, found, viewErr
 }
 
+// damageError returns a DamageError without an offset.
 func (s *Store) damageError(cause string) *DamageError { return &DamageError{s.path, -1, cause} }
 
+// sync makes all records written so far durable.
 func (s *Store) sync() error {
 	if err := fsync(s.syncFile); err != nil {
-		return merry.Prepend(err, "store: sync "+s.path)
+		return merry.Prepend(err, "durable: sync "+s.path)
 	}
 	s.syncMarked = false
 	return nil
