--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -7,129 +7,135 @@
 )
 
 const (
-	// attemptsEvery is how often attempts are looked at.
+	// attemptCheckInterval is the interval at which attempts are checked for missing progress.
 	attemptCheckInterval = 200 * time.Millisecond
-	// goneSilence is how long an attempt has heard nothing that is ended because its backend is gone from the list: one that leaves in
-	// order is still answering then.
+	// removedBackendTimeout is how long an attempt may make no progress once its backend has been
+	// removed from the list. A backend that drains before its removal still sends data.
 	removedBackendTimeout = time.Second
-	// streamSilence is how long a stream that may be taken up elsewhere pauses before it is, at a backend that is silent to all.
+	// stalledStreamTimeout is how long a retryable attempt may make no progress at a backend that
+	// sends nothing to any request, before another backend is tried.
 	stalledStreamTimeout = 1500 * time.Millisecond
 )
 
-// attempts are those under way: what waits at a backend that will not answer is ended here, to be sent elsewhere or to get its final
-// answer at once.
+// attemptRegistry holds the active attempts, so that those at a backend that will not answer can be
+// cancelled and their requests retried elsewhere or refused at once.
 type attemptRegistry struct {
 	mu        sync.Mutex
 	active    map[*attempt]bool
-	removedAt map[string]time.Time // backends that left the list, and when
+	removedAt map[string]time.Time // by ID of the removed backend
 }
 
 func newAttemptRegistry() *attemptRegistry {
 	return &attemptRegistry{active: map[*attempt]bool{}, removedAt: map[string]time.Time{}}
 }
 
-func (s *attemptRegistry) add(a *attempt) {
-	s.mu.Lock()
-	s.active[a] = true
-	s.mu.Unlock()
+func (r *attemptRegistry) add(a *attempt) {
+	r.mu.Lock()
+	r.active[a] = true
+	r.mu.Unlock()
 }
 
-func (s *attemptRegistry) remove(a *attempt) {
-	s.mu.Lock()
-	delete(s.active, a)
-	s.mu.Unlock()
+func (r *attemptRegistry) remove(a *attempt) {
+	r.mu.Lock()
+	delete(r.active, a)
+	r.mu.Unlock()
 }
 
-// left notes that a backend is gone from the list.
-func (s *attemptRegistry) backendRemoved(id string) {
-	s.mu.Lock()
-	s.removedAt[id] = time.Now()
-	s.mu.Unlock()
+// backendRemoved records that a backend was removed from the list.
+func (r *attemptRegistry) backendRemoved(id string) {
+	r.mu.Lock()
+	r.removedAt[id] = time.Now()
+	r.mu.Unlock()
 }
 
-// overdue gives the attempts that have heard nothing for too long, and why each is in doubt; silent tells whether a backend is.
-func (s *attemptRegistry) overdue(now time.Duration, silent func(a *attempt) bool) (overdue map[*attempt]endReason) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// overdue returns the attempts without progress for too long and the reason to give up on each.
+// stalled reports whether the backend of an attempt is silent to all its requests.
+func (r *attemptRegistry) overdue(now time.Duration, stalled func(a *attempt) bool) (overdue map[*attempt]endReason) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	overdue = map[*attempt]endReason{}
-	for id, at := range s.removedAt {
+	for id, at := range r.removedAt {
 		if time.Since(at) > time.Minute {
-			delete(s.removedAt, id)
+			delete(r.removedAt, id)
 		}
 	}
-	for a := range s.active {
-		quiet := now - time.Duration(a.lastProgress.Load())
-		_, gone := s.removedAt[a.choice.ID]
+	for a := range r.active {
+		silence := now - time.Duration(a.lastProgress.Load())
+		_, removed := r.removedAt[a.choice.ID]
 		switch {
-		case gone && quiet > removedBackendTimeout:
+		case removed && silence > removedBackendTimeout:
 			overdue[a] = endReasonBackendRemoved
-		case a.retryable && quiet > stalledStreamTimeout && silent(a):
+		case a.retryable && silence > stalledStreamTimeout && stalled(a):
 			overdue[a] = endReasonBackendStalled
 		}
 	}
 	return overdue
 }
 
-// answerState is who decides on an attempt whose answer is awaited: it is settled once, by whoever comes first.
+// responseState is the state of an attempt's response. It leaves responsePending exactly once, by
+// whichever of startResponse and cancelIfPending comes first.
 type responseState = int32
 
-// The states.
+// Values of responseState.
 const (
 	responsePending   responseState = iota
-	responseStarted                 // it is passed on; nobody may take the attempt back
-	responseCancelled               // the attempt is ended, and its answer must not be passed on
+	responseStarted                 // the response is relayed; the attempt can't be cancelled any more
+	responseCancelled               // the attempt is cancelled; its response must not be relayed
 )
 
-// begin settles that the answer is passed on; false if the attempt was taken back before.
+// startResponse commits the attempt to relaying its response. It returns false if the attempt was
+// cancelled before.
 func (a *attempt) startResponse() bool {
 	return a.state.CompareAndSwap(responsePending, responseStarted)
 }
 
-// takeBack ends an attempt whose answer has not begun; one that has goes on.
-func (a *attempt) cancelIfPending(why endReason) {
+// cancelIfPending cancels an attempt whose response has not started.
+func (a *attempt) cancelIfPending(reason endReason) {
 	if a.state.CompareAndSwap(responsePending, responseCancelled) {
-		a.cancel(why)
+		a.cancel(reason)
 	}
 }
 
-// beginLimit ends an attempt that has not begun by a time.
+// firstByteTimer cancels an attempt whose response has not started by a deadline.
 type firstByteTimer struct {
 	mu      sync.Mutex
-	stopped bool // it has begun or ended
+	stopped bool // the response has started or the attempt has ended
 	timer   *time.Timer
 }
 
-// set has end called after a time, in place of what was set before.
-func (l *firstByteTimer) set(wait time.Duration, afterFunc func(time.Duration, func()) *time.Timer, end func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.stopped {
+// set schedules end after wait and replaces what was scheduled before. It does nothing after stop.
+func (t *firstByteTimer) set(wait time.Duration, afterFunc func(time.Duration, func()) *time.Timer, end func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stopped {
 		return
 	}
-	if l.timer != nil {
-		l.timer.Stop()
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	l.timer = afterFunc(wait, end)
+	t.timer = afterFunc(wait, end)
 }
 
-// stop lifts the limit for good.
-func (l *firstByteTimer) stop() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.stopped = true
-	if l.timer != nil {
-		l.timer.Stop()
+// stop disarms the timer for good.
+func (t *firstByteTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
-// limitBegin has an attempt end when its weights are too old to begin on. Call it at the owner.
+// armFirstByteTimer schedules the cancellation of an attempt for when its model version is too old
+// to start a response on. Call it from commandLoop.
 func (p *Proxy) armFirstByteTimer(now time.Duration, a *attempt) {
-	if by := p.dispatchTable.FirstByteDeadline(a.choice); by != 0 {
-		a.firstByteTimer.set(by-now, p.afterFunc, func() { a.cancelIfPending(endReasonFirstByteDeadline) })
+	if deadline := p.dispatchTable.FirstByteDeadline(a.choice); deadline != 0 {
+		a.firstByteTimer.set(deadline-now, p.afterFunc, func() { a.cancelIfPending(endReasonFirstByteDeadline) })
 	}
 }
 
-// limitBegins does so with all attempts, as other versions are wanted. Call it at the owner.
+// armFirstByteTimers rearms the timers of all active attempts after requested versions have changed.
+// Call it from commandLoop.
 func (p *Proxy) armFirstByteTimers(now time.Duration) {
 	p.attempts.mu.Lock()
 	defer p.attempts.mu.Unlock()
@@ -138,7 +144,7 @@
 	}
 }
 
-// watchAttempts ends attempts that wait in vain.
+// monitorAttempts periodically handles overdue attempts until ctx is cancelled.
 func (p *Proxy) monitorAttempts(ctx context.Context) {
 	ticker := time.NewTicker(attemptCheckInterval)
 	defer ticker.Stop()
@@ -153,45 +159,48 @@
 	}
 }
 
-// doubtful are the attempts that wait in vain, and why each is in doubt.
+// overdueAttempts holds the attempts to give up on and the reason for each.
 type overdueAttempts struct {
-	toCancel   map[*attempt]endReason // their answer has not begun: to be taken back
-	toTakeOver map[*attempt]endReason // their answer has begun: to be taken up elsewhere beside it
+	toCancel   map[*attempt]endReason // response not started: to be cancelled
+	toTakeOver map[*attempt]endReason // response started: another backend is to resume the stream
 }
 
-// endOverdue does something about the attempts that wait in vain at a time. An answer that has begun is never ended for its backend's
-// silence: an engine without memory stops streams for seconds and goes on with them. Where it may be taken up elsewhere, that is tried
-// beside it. A request whose answer has not begun is taken back if its backend is gone, or if another one would take it.
+// handleOverdue deals with the attempts that are overdue at a time. An attempt whose response has
+// started is never cancelled because its backend is silent: an engine that runs out of memory stops
+// streams for seconds and then continues them. If the stream is resumable, another backend is tried
+// in parallel. An attempt whose response has not started is cancelled if its backend was removed or
+// if another backend would admit the request.
 func (p *Proxy) handleOverdue(now time.Duration) { p.resolveOverdue(p.findOverdue(now)) }
 
-// findDoubtful finds the attempts that wait in vain at a time.
+// findOverdue returns the attempts that are overdue at a time.
 func (p *Proxy) findOverdue(now time.Duration) (found overdueAttempts) {
 	p.execute(func() {
 		found = overdueAttempts{toCancel: map[*attempt]endReason{}, toTakeOver: map[*attempt]endReason{}}
-		for a, why := range p.attempts.overdue(now, func(a *attempt) bool { return p.dispatchTable.Stalled(now, a.choice) }) {
+		for a, reason := range p.attempts.overdue(now, func(a *attempt) bool { return p.dispatchTable.Stalled(now, a.choice) }) {
 			switch {
 			case a.takeover.Load() != nil:
-				found.toTakeOver[a] = why
-			case why == endReasonBackendRemoved || p.canRetryElsewhere(now, a):
-				found.toCancel[a] = why
+				found.toTakeOver[a] = reason
+			case reason == endReasonBackendRemoved || p.canRetryElsewhere(now, a):
+				found.toCancel[a] = reason
 			}
 		}
 	})
 	return found
 }
 
-// endDoubtful does something about them.
+// resolveOverdue cancels or takes over the attempts that findOverdue returned.
 func (p *Proxy) resolveOverdue(found overdueAttempts) {
-	for a, why := range found.toCancel {
-		p.log.Debug().Str("step", "overdue").Str("peer", a.choice.Addr).Str("ending", string(why)).Msg("attempt ended")
-		a.cancelIfPending(why)
+	for a, reason := range found.toCancel {
+		p.log.Debug().Str("step", "overdue").Str("peer", a.choice.Addr).Str("ending", string(reason)).Msg("cancelling overdue attempt")
+		a.cancelIfPending(reason)
 	}
-	for a, why := range found.toTakeOver {
-		a.takeover.Load().start(why)
+	for a, reason := range found.toTakeOver {
+		a.takeover.Load().start(reason)
 	}
 }
 
-// fitsElsewhere tells whether another backend would take an attempt's request now. Call it at the owner.
+// canRetryElsewhere reports whether the retry budget and another backend would admit the request of
+// an attempt now. Call it from commandLoop.
 func (p *Proxy) canRetryElsewhere(now time.Duration, a *attempt) bool {
 	q := a.request
 	return p.dispatchTable.RetryAllowed(now, q.service) && p.dispatchTable.WouldAdmit(now, q.dispatchRequest(a.triedBackends))
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// aheadMost bounds the bytes of a client's next requests that are read while one runs.
+	// maxReadAheadBytes bounds what is read ahead of a client's next requests while one runs.
 	maxReadAheadBytes = 64 << 10
-	// aheadChunk is how many of them are read at a time.
+	// readAheadChunkBytes is the size of one read of readAhead.
 	readAheadChunkBytes = 4 << 10
 )
 
-// clientConn is a client's connection whose end is seen while a request runs, also behind bytes of the next one. net/http watches for that end by
-// reading a single byte; once it has one it sees no more. From then on this reads ahead.
+// clientConn is a client connection that notices a disconnect while a request runs, even if bytes of
+// a pipelined request precede it. net/http watches for the disconnect with a read of a single byte
+// and stops watching once it has got one; from then on readAhead continues the watch.
 type clientConn struct {
 	*net.TCPConn
 
 	mu            sync.Mutex
-	changed       sync.Cond          // of what follows
-	buffered      []byte             // was read and not asked for yet
-	err           error              // ended the connection's reading; nothing follows ahead
-	reading       bool               // a readAhead runs
-	cancelRequest context.CancelFunc // ends the request that runs
+	changed       sync.Cond          // signals changes of the fields below
+	buffered      []byte             // read ahead and not returned by Read yet
+	err           error              // final read error, returned once buffered is empty
+	reading       bool               // readAhead is running
+	cancelRequest context.CancelFunc // cancels the running request; nil between requests
 }
 
 func newClientConn(conn *net.TCPConn) *clientConn {
@@ -34,15 +35,15 @@
 	return c
 }
 
-// Read gives what was read ahead, and then what comes.
-func (c *clientConn) Read(into []byte) (int, error) {
+// Read returns the bytes that were read ahead first, then reads from the connection.
+func (c *clientConn) Read(buffer []byte) (int, error) {
 	c.mu.Lock()
 	for c.reading && len(c.buffered) == 0 && c.err == nil {
 		c.changed.Wait()
 	}
 	if len(c.buffered) > 0 {
 		defer c.mu.Unlock()
-		n := copy(into, c.buffered)
+		n := copy(buffer, c.buffered)
 		c.buffered = c.buffered[n:]
 		return n, nil
 	}
@@ -51,8 +52,8 @@
 		return 0, c.err
 	}
 	c.mu.Unlock()
-	n, err := c.TCPConn.Read(into)
-	if n == 1 && len(into) == 1 {
+	n, err := c.TCPConn.Read(buffer)
+	if n == 1 && len(buffer) == 1 { // the read by which net/http watches for a disconnect
 		c.mu.Lock()
 		c.reading = true
 		c.mu.Unlock()
@@ -61,7 +62,8 @@
 	return n, err
 }
 
-// readAhead reads until the connection ends, a read deadline interrupts it, or aheadMost is there.
+// readAhead reads until the connection ends, a read deadline interrupts it, or maxReadAheadBytes
+// are buffered.
 func (c *clientConn) readAhead() {
 	chunk := make([]byte, readAheadChunkBytes)
 	for {
@@ -75,22 +77,22 @@
 			}
 		}
 		c.reading = err == nil && len(c.buffered) < maxReadAheadBytes
-		over := !c.reading
+		finished := !c.reading
 		c.changed.Broadcast()
 		c.mu.Unlock()
-		if over {
+		if finished {
 			return
 		}
 	}
 }
 
-// runs has a request ended when the client leaves, until the function it gives is called.
-func (c *clientConn) cancelOnDisconnect(leave context.CancelFunc) (ended func()) {
+// cancelOnDisconnect has cancel called when the client disconnects, until stop is called.
+func (c *clientConn) cancelOnDisconnect(cancel context.CancelFunc) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cancelRequest = leave
+	c.cancelRequest = cancel
 	if c.err != nil {
-		leave()
+		cancel()
 	}
 	return func() {
 		c.mu.Lock()
@@ -99,10 +101,10 @@
 	}
 }
 
-// clientListener accepts clients' connections.
+// clientListener wraps the accepted TCP connections in a clientConn.
 type clientListener struct{ net.Listener }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it.
 func (l clientListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -115,10 +117,10 @@
 	return newClientConn(tcp), nil
 }
 
-// clientConnKey is the key of a request's connection in its context.
+// clientConnKey is the context key of a request's clientConn.
 type clientConnKey struct{}
 
-// withClientConn notes a connection in the context of its requests.
+// withClientConn stores a connection in the context of its requests.
 func withClientConn(ctx context.Context, conn net.Conn) context.Context {
 	if c, ok := conn.(*clientConn); ok {
 		return context.WithValue(ctx, clientConnKey{}, c)
@@ -126,16 +128,17 @@
 	return ctx
 }
 
-// untilClientLeaves gives a context that ends when the request's client leaves; end frees what it holds.
+// contextUntilDisconnect returns a context that is cancelled when the client of a request
+// disconnects; end releases its resources.
 func contextUntilDisconnect(parent context.Context) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(parent)
 	c, ok := parent.Value(clientConnKey{}).(*clientConn)
 	if !ok {
 		return ctx, cancel
 	}
-	ended := c.cancelOnDisconnect(cancel)
+	stop := c.cancelOnDisconnect(cancel)
 	return ctx, func() {
-		ended()
+		stop()
 		cancel()
 	}
 }
--- a/internal/proxy/end_reason.go
+++ b/internal/proxy/end_reason.go
@@ -9,34 +9,37 @@
 	"github.com/rs/zerolog"
 )
 
-// ending is why an attempt, or the answer that it brought, came to its end before it was whole. Each way by which this program can end a
-// connection to a client or to a backend in the middle of an answer has one.
+// endReason is why an attempt, or the response that it delivers, ended before it was complete. Every
+// way in which the proxy can end a client or backend connection during a response has its own value.
+// The values appear in logs and in the proxy_endings_total metric.
 type endReason string
 
-// The endings.
+// Values of endReason.
 const (
-	endReasonClientDisconnected endReason = "client_left"       // the client closed its connection or took no more bytes
-	endReasonDeadlineExceeded   endReason = "time_up"           // the route's time or the client's deadline was over
-	endReasonBackendFailed      endReason = "backend_broke_off" // the backend's connection ended or brought what is no answer
-	endReasonBackendRemoved     endReason = "backend_left"      // the backend left the platform's list and has been silent since
-	endReasonBackendStalled     endReason = "backend_silent"    // the backend has been silent to all requests for too long
-	endReasonFirstByteDeadline  endReason = "begin_limit"       // it had not begun when its weights were too old to begin on
-	endReasonGracePeriodOver    endReason = "grace_over"        // this program was told to end, and its grace was over
+	endReasonClientDisconnected endReason = "client_left"       // the client closed its connection or a write to it failed
+	endReasonDeadlineExceeded   endReason = "time_up"           // the route's timeout or the client's deadline has passed
+	endReasonBackendFailed      endReason = "backend_broke_off" // the backend's connection ended or delivered no valid response
+	endReasonBackendRemoved     endReason = "backend_left"      // the backend was removed from the list and has sent nothing since
+	endReasonBackendStalled     endReason = "backend_silent"    // the backend has sent nothing to any request for too long
+	endReasonFirstByteDeadline  endReason = "begin_limit"       // no response had started when the model version became too old to start on
+	endReasonGracePeriodOver    endReason = "grace_over"        // the grace period of the shutdown is over
 )
 
-// endings lists all of them, for the figures.
+// endReasons lists all values of endReason, for the metrics.
 var endReasons = []endReason{
-	endReasonClientDisconnected, endReasonDeadlineExceeded, endReasonBackendFailed, endReasonBackendRemoved, endReasonBackendStalled, endReasonFirstByteDeadline, endReasonGracePeriodOver,
+	endReasonClientDisconnected, endReasonDeadlineExceeded, endReasonBackendFailed, endReasonBackendRemoved,
+	endReasonBackendStalled, endReasonFirstByteDeadline, endReasonGracePeriodOver,
 }
 
-// Error makes an ending a cause with which an attempt is cancelled.
-func (e endReason) Error() string { return string(e) }
+// Error implements error, so that an endReason can be the cause of a cancelled context.
+func (r endReason) Error() string { return string(r) }
 
-// endingOf tells why reading an answer failed. ctx is the request's, which ends with its time or its client.
+// endReasonOf returns why reading or relaying a response failed with err. ctx is the context of the
+// request, which ends at its deadline or when its client disconnects.
 func endReasonOf(ctx context.Context, q *request, a *attempt, err error) endReason {
 	var cause endReason
 	switch {
-	case errors.Is(err, context.DeadlineExceeded): // its client took no bytes
+	case errors.Is(err, context.DeadlineExceeded): // a write to a client that reads nothing
 		return endReasonDeadlineExceeded
 	case errors.Is(err, errClientDisconnected) || q.Context().Err() != nil:
 		return endReasonClientDisconnected
@@ -48,56 +51,58 @@
 	return endReasonBackendFailed
 }
 
-// endingCounts counts the answers that were begun and could not be finished, by their endings.
+// endReasonCounts counts by reason the responses that started and could not be completed.
 type endReasonCounts struct {
 	counts map[endReason]*atomic.Uint64
 }
 
 func newEndReasonCounts() endReasonCounts {
 	c := endReasonCounts{counts: map[endReason]*atomic.Uint64{}}
-	for _, e := range endReasons {
-		c.counts[e] = new(atomic.Uint64)
+	for _, r := range endReasons {
+		c.counts[r] = new(atomic.Uint64)
 	}
 	return c
 }
 
-func (c endReasonCounts) add(e endReason) { c.counts[e].Add(1) }
+func (c endReasonCounts) add(r endReason) { c.counts[r].Add(1) }
 
-func (c endReasonCounts) count(e endReason) uint64 { return c.counts[e].Load() }
+func (c endReasonCounts) count(r endReason) uint64 { return c.counts[r].Load() }
 
-// cutOff notes that the answer to a request ends unfinished. What clients do themselves is told at the debug level alone.
-func (p *Proxy) recordAborted(q *request, a *attempt, move *streamTakeover, why endReason) {
+// recordAborted counts and logs a response that is aborted. Disconnects of clients are logged at the
+// debug level only.
+func (p *Proxy) recordAborted(q *request, a *attempt, takeover *streamTakeover, reason endReason) {
 	p.counters.aborted.Add(1)
-	p.endReasons.add(why)
+	p.endReasons.add(reason)
 	level := zerolog.InfoLevel
-	if why == endReasonClientDisconnected {
+	if reason == endReasonClientDisconnected {
 		level = zerolog.DebugLevel
 	}
 	event := p.log.WithLevel(level).Str("step", "relay").Str("peer", a.choice.Addr).Str("backend", a.choice.ID).
-		Int("sent", a.sendCount).Int("takeovers_tried", move.tryCount())
-	p.logAborted(event, q, why)
+		Int("sent", a.sendCount).Int("takeovers_tried", takeover.tryCount())
+	p.logAborted(event, q, reason)
 }
 
-// graceEnded notes the requests that are still open when the program's grace is over.
+// recordGracePeriodOver counts and logs the requests that are still open at the end of the grace
+// period.
 func (p *Proxy) recordGracePeriodOver(plan *shutdownPlan) {
-	for q, began := range p.openRequests.unfinished() {
+	for q, startedAt := range p.openRequests.unfinished() {
 		p.endReasons.add(endReasonGracePeriodOver)
-		event := p.log.Info().Str("step", "stop").Dur("begun_after_signal", began.Sub(plan.signalledAt))
+		event := p.log.Info().Str("step", "stop").Dur("begun_after_signal", startedAt.Sub(plan.signalledAt))
 		p.logAborted(event, q, endReasonGracePeriodOver)
 	}
 }
 
-// logCut completes the log line of an answer that was cut with the times that applied to its request: all in ms, left_ms is negative by how
-// late the request was ended.
-func (p *Proxy) logAborted(event *zerolog.Event, q *request, why endReason) {
+// logAborted completes the log line of an aborted response with the times that applied to its
+// request, in ms. left_ms is the time left to the deadline, negative if it has passed.
+func (p *Proxy) logAborted(event *zerolog.Event, q *request, reason endReason) {
 	now := time.Now()
-	var inForce int64
+	var currentVersion int64
 	if table := p.config.Load(); table != nil {
-		inForce = table.Version
+		currentVersion = table.Version
 	}
-	event.Str("request", q.id).Str("ending", string(why)).Bool("stopping", p.shutdownPlan.Load() != nil).
+	event.Str("request", q.id).Str("ending", string(reason)).Bool("stopping", p.shutdownPlan.Load() != nil).
 		Int64("open_ms", now.Sub(q.receivedAt).Milliseconds()).Float64("timeout_ms", q.route.TimeoutMS).
 		Str("deadline_ms", q.Header.Get(headerDeadline)).Int64("left_ms", q.effectiveDeadline.Sub(now).Milliseconds()).
-		Int64("config_taken", q.configVersion).Int64("config_now", inForce).
+		Int64("config_taken", q.configVersion).Int64("config_now", currentVersion).
 		Int64("timers_late_ms", p.timerLateness.maxInWindow(now).Milliseconds()).Msg("answer cut")
 }
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// maxEventBytes bounds an event that is held until it is whole; a longer one is passed on as it comes.
+// maxBufferedEventBytes bounds an incomplete event that is buffered; a longer one is forwarded in pieces.
 const maxBufferedEventBytes = 64 << 10
 
-// eventReader passes a stream of events on event by event, and knows the identity of the last one: a stream may be cut in the midst of
-// an event, which then comes again from where it is taken up.
+// eventFilter splits a stream of server-sent events into complete events and drops those that were
+// forwarded before. A stream may break off in the middle of an event; the backend that resumes it
+// sends that event again.
 type eventFilter struct {
-	lastID  string // identity of the last event that was passed on
-	partial []byte // the event that is not whole yet
+	lastID  string // ID of the last forwarded event
+	partial []byte // incomplete event at the end of the input
 }
 
-// take adds bytes, and gives the whole events that there are now, without those that came before.
-func (e *eventFilter) filter(more []byte) []byte {
-	e.partial = append(e.partial, more...)
+// filter adds input and returns the events that are complete now and were not forwarded before.
+func (e *eventFilter) filter(input []byte) []byte {
+	e.partial = append(e.partial, input...)
 	var out []byte
 	for {
 		end := eventEnd(e.partial)
@@ -40,31 +41,32 @@
 	}
 }
 
-// cut forgets an event that did not come whole.
+// discardPartial drops the incomplete event.
 func (e *eventFilter) discardPartial() { e.partial = nil }
 
-// passed tells whether an event was passed on before: identities are numbers that rise.
+// alreadyForwarded reports whether an event was forwarded before. IDs are increasing numbers.
 func (e *eventFilter) alreadyForwarded(id string) bool {
-	at, err1 := strconv.ParseInt(id, 10, 64)
+	number, err1 := strconv.ParseInt(id, 10, 64)
 	last, err2 := strconv.ParseInt(e.lastID, 10, 64)
 	if err1 != nil || err2 != nil {
 		return id == e.lastID
 	}
-	return at <= last
+	return number <= last
 }
 
-// eventEnd is where the first event ends, behind its empty line; -1 if it is not whole.
+// eventEnd returns the offset behind the blank line that ends the first event, or -1 if the event is
+// incomplete.
 func eventEnd(text []byte) int {
 	end := -1
-	for _, mark := range []string{"\n\n", "\r\n\r\n", "\r\r"} {
-		if at := bytes.Index(text, []byte(mark)); at >= 0 && (end < 0 || at+len(mark) < end) {
-			end = at + len(mark)
+	for _, separator := range []string{"\n\n", "\r\n\r\n", "\r\r"} {
+		if at := bytes.Index(text, []byte(separator)); at >= 0 && (end < 0 || at+len(separator) < end) {
+			end = at + len(separator)
 		}
 	}
 	return end
 }
 
-// eventID reads the identity of an event, "" if it has none.
+// eventID returns the ID of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for _, line := range strings.FieldsFunc(string(event), func(r rune) bool { return r == '\n' || r == '\r' }) {
 		if value, ok := strings.CutPrefix(line, "id:"); ok {
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -13,28 +13,28 @@
 	"nettlefold/internal/upstream"
 )
 
-// attempt is one sending of a request to a backend.
+// attempt is one transmission of a request to a backend.
 type attempt struct {
 	choice         *dispatch.Choice
 	response       *upstream.Response
 	err            error
-	started        bool            // the first bytes of the answer are there
-	release        func()          // frees what the attempt holds
-	firstByteTimer firstByteTimer  // ends it where it may not begin later
-	ctx            context.Context // of this attempt alone; its cause is an ending
+	started        bool            // the first bytes of the response have arrived
+	release        func()          // releases the resources of the attempt
+	firstByteTimer firstByteTimer  // cancels the attempt if its response may not start any more
+	ctx            context.Context // of this attempt alone; its cause may be an endReason
 	cancel         context.CancelCauseFunc
 	request        *request
-	triedBackends  []string     // backends that the request was sent to, this one too
-	sendCount      int          // how many of them may have run it, this one counted
-	retryable      bool         // it may be sent to another backend
-	state          atomic.Int32 // an answerState
-	lastProgress   atomic.Int64 // when the last bytes came, by the proxy's clock
-	firstBytes     []byte       // the first bytes of the answer, until they are passed on
-	firstErr       error        // what came with them
+	triedBackends  []string     // IDs of the backends tried so far, this one included
+	sendCount      int          // attempts that count against max_attempts, this one included
+	retryable      bool         // the request may be sent to another backend
+	state          atomic.Int32 // a responseState
+	lastProgress   atomic.Int64 // time of the last received bytes, a time.Duration on the clock of the proxy
+	firstBytes     []byte       // first bytes of the response body, until they are relayed
+	firstErr       error        // error of the read that returned firstBytes
 	takeover       atomic.Pointer[streamTakeover]
 }
 
-// notRun tells whether it is known that the backend did not run the request.
+// notExecuted reports whether the backend is known not to have executed the request.
 func (a *attempt) notExecuted() bool {
 	if a.err != nil {
 		var failed *upstream.Error
@@ -43,13 +43,14 @@
 	return a.response.Header.Get(headerNotExecuted) != "" || a.response.StatusCode == http.StatusMisdirectedRequest
 }
 
-// forward sends a request to a backend, to another where the rules and the budget allow it, and answers the client.
+// forward sends a request to a backend, retries it elsewhere as its route and the retry budget allow,
+// and answers the client.
 func (p *Proxy) forward(q *request) {
 	ctx, cancel := context.WithDeadline(q.Context(), q.effectiveDeadline)
 	defer cancel()
 	p.execute(func() { p.dispatchTable.RecordRequest(p.now(), q.service) })
 	var tried []string
-	sent, mayHaveRun := 0, false
+	sendCount, mayHaveRun := 0, false
 	for {
 		choice := p.pickBackend(q, tried)
 		if choice == nil {
@@ -62,7 +63,7 @@
 			return
 		}
 		tried = append(tried, choice.ID)
-		a := p.sendAttempt(ctx, q, choice, tried, sent+1, "")
+		a := p.sendAttempt(ctx, q, choice, tried, sendCount+1, "")
 		if a.err == nil && !a.notExecuted() {
 			p.relay(ctx, q, a)
 			return
@@ -77,47 +78,51 @@
 			mayHaveRun = true
 		}
 		if a.err == nil || !a.notExecuted() {
-			sent++
+			sendCount++
 		}
 		if ctx.Err() != nil {
 			p.refuseUnserved(q, mayHaveRun, "its time is up")
 			return
 		}
-		if mayHaveRun && !q.route.Repeatable() || sent >= max(1, q.route.MaxAttempts) || len(tried) > maxTriedBackends || !p.takeRetry(q, sent) {
+		if mayHaveRun && !q.route.Repeatable() || sendCount >= max(1, q.route.MaxAttempts) || len(tried) > maxTriedBackends || !p.takeRetry(q, sendCount) {
 			p.refuseUnserved(q, mayHaveRun, "it was not served")
 			return
 		}
 	}
 }
 
-// maxTried bounds the backends tried, those included that could not be reached.
+// maxTriedBackends bounds the additional backends tried for a request, unreachable ones included.
 const maxTriedBackends = 4
 
+// pickBackend picks a backend other than the tried ones. It returns nil if none may take the request.
 func (p *Proxy) pickBackend(q *request, tried []string) (choice *dispatch.Choice) {
 	p.execute(func() { choice = p.dispatchTable.Pick(p.now(), q.dispatchRequest(tried)) })
 	return choice
 }
 
-// decision is what choosing a backend needs to know of a request that was sent to some already.
+// dispatchRequest describes a request that was sent to the tried backends to the dispatch table.
 func (q *request) dispatchRequest(tried []string) *dispatch.Request {
 	return &dispatch.Request{
-		TargetMS: q.route.TargetLatencyMS, Rank: q.rank, RemainingMS: float64(time.Until(q.clientDeadline).Milliseconds()), PreviouslyRefused: q.likelyRetry || len(tried) > 0,
-		Service: q.service, Model: q.model, Parts: q.promptParts, PromptTokens: q.promptTokens, BodyBytes: len(q.body), IsolatedTenant: q.isolatedTenant(), TriedBackends: tried,
+		TargetMS: q.route.TargetLatencyMS, Rank: q.rank, RemainingMS: float64(time.Until(q.clientDeadline).Milliseconds()),
+		PreviouslyRefused: q.likelyRetry || len(tried) > 0, Service: q.service, Model: q.model, Parts: q.promptParts,
+		PromptTokens: q.promptTokens, BodyBytes: len(q.body), IsolatedTenant: q.isolatedTenant(), TriedBackends: tried,
 	}
 }
 
-// mayRepeat takes a place in the retry budget; what never reached a backend needs none.
-func (p *Proxy) takeRetry(q *request, sent int) (may bool) {
-	if sent == 0 {
+// takeRetry takes a retry from the budget of the service and reports whether one was left. A request
+// that has not reached any backend needs none.
+func (p *Proxy) takeRetry(q *request, sendCount int) (allowed bool) {
+	if sendCount == 0 {
 		return true
 	}
-	p.execute(func() { may = p.dispatchTable.TakeRetry(p.now(), q.service) })
-	return may
+	p.execute(func() { allowed = p.dispatchTable.TakeRetry(p.now(), q.service) })
+	return allowed
 }
 
-// send makes one attempt, the last of tried and the sent-th that may run, up to the first bytes of the answer's body. A stream that was cut
-// is taken up behind lastEvent.
-func (p *Proxy) sendAttempt(ctx context.Context, q *request, c *dispatch.Choice, tried []string, sent int, lastEvent string) *attempt {
+// sendAttempt sends a request to a backend and waits for the first bytes of the response body. tried
+// includes this backend and sendCount this attempt. A stream resumes after the event with the ID
+// lastEvent, unless it is "".
+func (p *Proxy) sendAttempt(ctx context.Context, q *request, c *dispatch.Choice, tried []string, sendCount int, lastEvent string) *attempt {
 	header := q.backendHeader.Clone()
 	header.Set(headerExpectedInstance, c.ID)
 	if c.Version != 0 {
@@ -136,11 +141,11 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	a := &attempt{
-		choice: c, ctx: ctx, cancel: cancel, request: q, triedBackends: tried, sendCount: sent,
-		retryable: q.route.Repeatable() && sent < max(1, q.route.MaxAttempts),
+		choice: c, ctx: ctx, cancel: cancel, request: q, triedBackends: tried, sendCount: sendCount,
+		retryable: q.route.Repeatable() && sendCount < max(1, q.route.MaxAttempts),
 	}
 	a.lastProgress.Store(int64(p.now()))
-	p.execute(func() { // in one step with the versions in force, or one that is named meanwhile would not limit it
+	p.execute(func() { // in one step, or the attempt would miss a version change in between
 		p.attempts.add(a)
 		p.armFirstByteTimer(p.now(), a)
 	})
@@ -158,8 +163,9 @@
 	return a
 }
 
-// readFirst waits for the first bytes of the answer's body. Until they are there nothing of the answer has been passed on, and the request may
-// still go elsewhere, or be told how it stands; from then on the attempt is not taken back.
+// readFirstBytes waits for the first bytes of the response body. Before they arrive nothing has been
+// relayed and the request may be retried elsewhere or refused; afterwards the attempt can't be
+// cancelled in favour of another one.
 func (a *attempt) readFirstBytes() {
 	if a.err != nil || a.notExecuted() {
 		return
@@ -179,7 +185,7 @@
 	a.firstBytes, a.firstErr = buffer[:n], err
 }
 
-// read gives the next bytes of the answer, the first ones from where they were kept.
+// read reads the next bytes of the response body, starting with firstBytes.
 func (a *attempt) read(buffer []byte) (n int, err error) {
 	if len(a.firstBytes) == 0 && a.firstErr == nil {
 		return a.response.Body.Read(buffer)
@@ -189,28 +195,30 @@
 	return n, err
 }
 
-// errTakenBack is an answer that began after its attempt had been taken back.
-var errAttemptCancelled = errors.New("the attempt was taken back")
+// errAttemptCancelled means that a response started after its attempt had been cancelled.
+var errAttemptCancelled = errors.New("response started after the attempt was cancelled")
 
-// errUnsealed is a success that is not a backend's: it lacks its seal.
-var errNoSeal = errors.New("the answer has no seal")
+// errNoSeal means that a successful response does not come from a genuine backend.
+var errNoSeal = errors.New("successful response lacks the X-Response-Seal header")
 
+// lacksSeal reports whether a successful response has no seal, which every backend sets.
 func lacksSeal(r *upstream.Response) bool {
 	return r.StatusCode >= 200 && r.StatusCode < 300 && r.Header.Get(headerResponseSeal) == ""
 }
 
-// connections is this mixer's part of the connections that a backend takes from all.
+// connectionLimit returns the share of this mixer in the connections that each backend of a service
+// accepts from all mixers together.
 func (p *Proxy) connectionLimit(service string) int {
-	const unstated, part = 64, 0.9
+	const defaultLimit, usableFraction = 64, 0.9
 	table := p.config.Load()
 	s := table.Service(service)
 	if s == nil || s.ConnectionLimit <= 0 {
-		return unstated
+		return defaultLimit
 	}
-	return int(part * s.ConnectionLimit / float64(max(1, p.mixerCount.Load())))
+	return int(usableFraction * s.ConnectionLimit / float64(max(1, p.mixerCount.Load())))
 }
 
-// book tells the table what became of an attempt that brought no answer.
+// recordFailedAttempt reports the outcome of an attempt without a usable response to the dispatch table.
 func (p *Proxy) recordFailedAttempt(a *attempt, ctx context.Context) {
 	outcome := dispatch.Failed
 	switch {
@@ -226,17 +234,19 @@
 	p.execute(func() { p.dispatchTable.End(p.now(), a.choice, outcome) })
 }
 
-// retryAfter is when a client that was refused should come again: soon enough to be served in time yet.
+// retryAfterSeconds returns when a refused client should retry: soon enough to meet the route's target
+// latency.
 func (q *request) retryAfterSeconds() float64 {
 	return min(maxRetryAfterSeconds, retryAfterTargetFraction*q.route.TargetLatencyMS/1000)
 }
 
-// giveUp answers at once for a request that is not served: with a promise and a time to come again if it has not run.
+// refuseUnserved answers a request that no backend has served. If it was not executed, the status
+// says so and names a time for the retry.
 func (p *Proxy) refuseUnserved(q *request, mayHaveRun bool, reason string) {
 	p.counters.unserved.Add(1)
 	switch {
 	case q.Context().Err() != nil:
-		panic(http.ErrAbortHandler) // its client is gone
+		panic(http.ErrAbortHandler) // the client has disconnected
 	case !mayHaveRun:
 		refuse(q.writer, http.StatusServiceUnavailable, q.retryAfterSeconds(), reason)
 	case time.Now().After(q.effectiveDeadline):
@@ -246,7 +256,7 @@
 	}
 }
 
-// finish ends an attempt that brought an answer.
+// finishAttempt ends an attempt that delivered a response.
 func (p *Proxy) finishAttempt(a *attempt, outcome dispatch.Outcome) {
 	a.response.Body.Close()
 	a.release()
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -7,18 +7,18 @@
 	"nettlefold/internal/metrics"
 )
 
-// counters counts what this process did since it started.
+// counters counts events since the start of the process.
 type counters struct {
-	requests atomic.Uint64 // taken from clients, with a configuration in force
-	inFlight atomic.Int64  // of them, now
+	requests atomic.Uint64 // requests received while a configuration was in force
+	inFlight atomic.Int64  // those of them that are running now
 	attempts atomic.Uint64 // requests sent to backends
-	deferred atomic.Uint64 // told to come again, as too many wait
-	unserved atomic.Uint64 // answered for by the proxy itself after it looked for a backend
-	resumed  atomic.Uint64 // streams taken up at another backend
-	aborted  atomic.Uint64 // answers that were begun and could not be finished
+	deferred atomic.Uint64 // requests refused with a retry time because too many wait
+	unserved atomic.Uint64 // requests that the proxy answered itself after it looked for a backend
+	resumed  atomic.Uint64 // streams resumed at another backend
+	aborted  atomic.Uint64 // responses that started and could not be completed
 }
 
-// Metrics gives what this proxy did and has in force.
+// Metrics returns the counters of the proxy and the revisions that it has applied.
 func (p *Proxy) Metrics(context.Context) (*metrics.Set, error) {
 	set := metrics.NewSet()
 	set.Add("proxy_requests_total", float64(p.counters.requests.Load()))
@@ -28,8 +28,8 @@
 	set.Add("proxy_requests_given_up_total", float64(p.counters.unserved.Load()))
 	set.Add("proxy_streams_resumed_total", float64(p.counters.resumed.Load()))
 	set.Add("proxy_answers_cut_total", float64(p.counters.aborted.Load()))
-	for _, e := range endReasons {
-		set.Add(`proxy_endings_total{ending="`+string(e)+`"}`, float64(p.endReasons.count(e)))
+	for _, r := range endReasons {
+		set.Add(`proxy_endings_total{ending="`+string(r)+`"}`, float64(p.endReasons.count(r)))
 	}
 	set.AddFlag("proxy_stopping", p.shutdownPlan.Load() != nil)
 	if table := p.config.Load(); table != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy is the data plane's program on each front machine: it takes clients' requests, has the dispatch table decide where
-// each goes, forwards it and streams the answer back. What is in force it hears from the agent beside it.
+// Package proxy implements the data plane of a front machine. It accepts client requests, picks a
+// backend for each through the dispatch table, forwards the request and streams the response back.
+// Configuration, backend list and state in force come from the agent on the same machine.
 package proxy
 
 import (
@@ -27,12 +28,14 @@
 )
 
 const (
+	// feedCallTimeout bounds one call to the local agent.
 	feedCallTimeout = 700 * time.Millisecond
-	feedInterval    = 40 * time.Millisecond // between two calls, so that news comes in batches
-	// loadsEvery is how often the agent is told of loads that changed.
+	// feedInterval is the pause between two feed calls, so that updates arrive in batches.
+	feedInterval = 40 * time.Millisecond
+	// loadReportInterval is the interval at which changed loads are reported to the agent.
 	loadReportInterval = 50 * time.Millisecond
-	// acceptAfterTerm is how long new connections are still taken after SIGTERM: the platform looks at readiness every second and
-	// hands connections out until it has missed it twice.
+	// acceptAfterSIGTERM is how long new connections are still accepted after SIGTERM. The platform
+	// checks readiness every second and routes connections here until two checks have failed.
 	acceptAfterSIGTERM  = 2500 * time.Millisecond
 	readHeaderTimeout   = 20 * time.Second
 	idleTimeout         = 75 * time.Second
@@ -42,24 +45,26 @@
 	defaultMaxBodyBytes = 4 << 20
 )
 
-// Proxy is one front machine's data plane.
+// Proxy is the data plane of one front machine.
 type Proxy struct {
 	settings     *local.Settings
 	log          zerolog.Logger
 	start        time.Time
 	agent        *rpc.Client
 	config       atomic.Pointer[config.Table]
-	shutdownPlan atomic.Pointer[shutdownPlan] // nil until it is told to end
-	mixerCount   atomic.Int64                 // mixers that share the backends' connections
-	commands     chan func()
+	shutdownPlan atomic.Pointer[shutdownPlan] // nil until shutdown begins
+	mixerCount   atomic.Int64                 // mixers that share the backends' connection limits
+	commands     chan func()                  // run by commandLoop
 	done         chan struct{}
-	// afterFunc is time.AfterFunc: by it attempts that may not begin later are ended.
+	// afterFunc is time.AfterFunc outside of tests; it runs the first-byte timers.
 	afterFunc func(wait time.Duration, end func()) *time.Timer
 
-	// What follows is the owner's.
+	// The following fields belong to the goroutine of commandLoop.
+
 	dispatchTable *dispatch.Table
-	applied       feed.Request
-	// weights has the versions of models that were last told in the log.
+	// applied holds the revisions of the feed that are in force.
+	applied feed.Request
+	// loggedVersions maps a model to its last logged version.
 	loggedVersions map[string]int64
 
 	counters        counters
@@ -70,10 +75,10 @@
 	timerLateness   timerLateness
 
 	poolsMu sync.Mutex
-	pools   map[string]*upstream.Pool // by the backend's identity
+	pools   map[string]*upstream.Pool // by backend ID
 }
 
-// New makes a proxy.
+// New returns a proxy that has no configuration yet. Run starts it.
 func New(settings *local.Settings, log zerolog.Logger) *Proxy {
 	p := &Proxy{
 		settings:        settings,
@@ -111,9 +116,11 @@
 	return p
 }
 
+// now returns the time since the proxy was created, on the monotonic clock.
 func (p *Proxy) now() time.Duration { return time.Since(p.start) }
 
-// do runs a command at the owner of the table and waits for it.
+// execute runs a command on the goroutine of commandLoop and waits for it. It does nothing once the
+// proxy is done.
 func (p *Proxy) execute(command func()) {
 	finished := make(chan struct{})
 	select {
@@ -123,6 +130,7 @@
 	}
 }
 
+// commandLoop runs the commands of execute one after another. Its goroutine owns the dispatch table.
 func (p *Proxy) commandLoop() {
 	for {
 		select {
@@ -134,15 +142,15 @@
 	}
 }
 
-// Run serves until ctx ends, and then finishes what it has taken.
+// Run serves clients until ctx is cancelled, then finishes the accepted requests and returns.
 func (p *Proxy) Run(ctx context.Context) error {
-	ready, err := net.Listen("tcp", p.settings.ReadyAddr)
+	readyListener, err := net.Listen("tcp", p.settings.ReadyAddr)
 	if err != nil {
-		return merry.Prepend(err, "proxy: listen for readiness")
+		return merry.Prepend(err, "proxy: listen on readiness address")
 	}
-	front, err := net.Listen("tcp", p.settings.FrontAddr)
+	frontListener, err := net.Listen("tcp", p.settings.FrontAddr)
 	if err != nil {
-		return merry.Prepend(err, "proxy: listen to clients")
+		return merry.Prepend(err, "proxy: listen on front address")
 	}
 	go p.commandLoop()
 	go p.pollFeed(ctx)
@@ -152,9 +160,9 @@
 	readiness.HideBanner, readiness.HidePort = true, true
 	readiness.GET("/v1/readiness", p.handleReadiness)
 	readyServer := &http.Server{Handler: readiness, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
-	go readyServer.Serve(ready)
+	go readyServer.Serve(readyListener)
 	server := p.newServer()
-	go server.Serve(clientListener{front})
+	go server.Serve(clientListener{frontListener})
 	<-ctx.Done()
 	p.shutDown(server)
 	readyServer.Close()
@@ -162,7 +170,7 @@
 	return nil
 }
 
-// newServer makes the server that clients connect to.
+// newServer returns the HTTP server for client connections.
 func (p *Proxy) newServer() *http.Server {
 	return &http.Server{
 		Handler:           http.HandlerFunc(p.serve),
@@ -173,18 +181,19 @@
 	}
 }
 
-// stop ends the server: not ready at once, connections closed after the answers that run, nothing begun that may not end in time, and no
-// request cut while there is time.
+// shutDown stops the server gracefully: it reports not ready at once, refuses requests that might
+// outlast the grace period, and closes each connection after its running response. Responses are
+// aborted only when the grace period is over.
 func (p *Proxy) shutDown(server *http.Server) {
-	p.log.Info().Str("step", "stop").Msg("finishing what was taken")
+	p.log.Info().Str("step", "stop").Msg("shutting down: finishing accepted requests")
 	plan := newShutdownPlan(time.Now(), p.settings.Bounds.Grace)
 	p.shutdownPlan.Store(plan)
 	time.Sleep(min(acceptAfterSIGTERM, time.Until(plan.deadline)))
 	p.closeConnections(server, plan)
 }
 
-// closeConnections closes clients' connections, each after the answer that runs on it. What was read from one that is closed as idle could not
-// be answered, so nothing is begun from then on.
+// closeConnections closes client connections, each after its running response. A request read from
+// a connection that is being closed as idle could not be answered, so none is forwarded from here on.
 func (p *Proxy) closeConnections(server *http.Server, plan *shutdownPlan) {
 	p.shutdownPlan.Store(plan.withConnectionsClosing())
 	ctx, cancel := context.WithDeadline(context.Background(), plan.deadline)
@@ -195,6 +204,7 @@
 	}
 }
 
+// handleReadiness reports ready while a configuration is in force and no shutdown has begun.
 func (p *Proxy) handleReadiness(ctx echo.Context) error {
 	if p.shutdownPlan.Load() != nil || p.config.Load() == nil {
 		return ctx.NoContent(http.StatusServiceUnavailable)
@@ -202,19 +212,19 @@
 	return ctx.NoContent(http.StatusOK)
 }
 
-// follow keeps asking the agent for news.
+// pollFeed keeps requesting updates from the agent until ctx is cancelled.
 func (p *Proxy) pollFeed(ctx context.Context) {
 	for ctx.Err() == nil {
 		var request feed.Request
 		p.execute(func() { request = p.applied })
 		call, cancel := context.WithTimeout(ctx, feedCallTimeout)
 		reply := new(feed.Reply)
-		asked := p.now()
+		requestedAt := p.now()
 		err := p.agent.Call(call, feed.KindFeed, &request, reply)
 		cancel()
 		if err == nil {
 			table := p.compileConfig(reply, request.ConfigSeq)
-			p.execute(func() { p.applyReplyWithConfig(asked, reply, table) })
+			p.execute(func() { p.applyReplyWithConfig(requestedAt, reply, table) })
 		}
 		select {
 		case <-time.After(feedInterval):
@@ -223,34 +233,37 @@
 	}
 }
 
-// compile makes the table of a reply's configuration, nil if there is none but that which is in force. It runs beside the owner, for which all
-// requests wait.
-func (p *Proxy) compileConfig(reply *feed.Reply, inForce uint64) *config.Table {
+// compileConfig compiles the configuration of a reply. It returns nil if the reply has none, the
+// one in force, or one that cannot be decoded. It must not run in commandLoop, which all requests
+// wait for.
+func (p *Proxy) compileConfig(reply *feed.Reply, appliedSeq uint64) *config.Table {
 	s := reply.Snapshot
-	if s == nil || len(s.Config) == 0 || s.ConfigSeq == inForce {
+	if s == nil || len(s.Config) == 0 || s.ConfigSeq == appliedSeq {
 		return nil
 	}
 	doc, err := config.Decode(s.Config)
 	if err != nil {
-		p.log.Error().Err(err).Str("step", "apply").Uint64("seq", s.Seq).Msg("a committed configuration cannot be read")
+		p.log.Error().Err(err).Str("step", "apply").Uint64("seq", s.Seq).Msg("cannot decode the committed configuration")
 		return nil
 	}
 	return config.Compile(doc)
 }
 
-// take puts news in force, the reply to a call that was made at a time.
-func (p *Proxy) applyReply(asked time.Duration, reply *feed.Reply) {
-	p.applyReplyWithConfig(asked, reply, p.compileConfig(reply, p.applied.ConfigSeq))
+// applyReply compiles and applies the reply to a feed call made at requestedAt. Call it from
+// commandLoop.
+func (p *Proxy) applyReply(requestedAt time.Duration, reply *feed.Reply) {
+	p.applyReplyWithConfig(requestedAt, reply, p.compileConfig(reply, p.applied.ConfigSeq))
 }
 
-// takeCompiled is take with the table of the reply's configuration, nil if it brought none that can be read.
-func (p *Proxy) applyReplyWithConfig(asked time.Duration, reply *feed.Reply, table *config.Table) {
+// applyReplyWithConfig applies a reply whose configuration compileConfig has compiled to table, nil
+// if there is none to apply. Call it from commandLoop.
+func (p *Proxy) applyReplyWithConfig(requestedAt time.Duration, reply *feed.Reply, table *config.Table) {
 	now := p.now()
 	if reply.AgentID != p.applied.AgentID {
 		p.applied.AgentID, p.applied.ListRevision, p.applied.MembersDigest, p.applied.LoadsRevision = reply.AgentID, 0, 0, 0
 	}
 	if s := reply.Snapshot; s != nil && s.Seq > p.applied.SnapshotSeq {
-		p.applySnapshot(now, s, table, versionHistories(asked, reply))
+		p.applySnapshot(now, s, table, versionHistories(requestedAt, reply))
 	}
 	if reply.Members != nil {
 		p.applyMembers(reply.Members)
@@ -265,29 +278,29 @@
 	p.applied.LoadsRevision = reply.LoadsRevision
 }
 
-// takeList puts the list, or changes to the one in force, in force.
+// applyList applies a full backend list, or a delta if its base is the list in force.
 func (p *Proxy) applyList(now time.Duration, list *feed.List) {
-	gone := list.Removed
+	removed := list.Removed
 	switch list.BaseRevision {
 	case 0:
-		gone = p.dispatchTable.SetBackends(now, list.Backends, list.Phases)
+		removed = p.dispatchTable.SetBackends(now, list.Backends, list.Phases)
 	case p.applied.ListRevision:
-		p.dispatchTable.UpdateBackends(now, list.Backends, list.Phases, gone)
-	default: // changes to another list: the whole is asked for
+		p.dispatchTable.UpdateBackends(now, list.Backends, list.Phases, removed)
+	default: // delta to another list: request the full list
 		p.applied.ListRevision = 0
 		return
 	}
 	p.applied.ListRevision = list.Revision
-	for _, id := range gone {
+	for _, id := range removed {
 		p.applied.ForgetBackend(p.dispatchTable.Index(), id)
 		p.closePool(id)
 		p.attempts.backendRemoved(id)
 	}
 }
 
-// tellLoads tells the agent what is at backends from here, when it changes.
+// reportLoads reports the load that this proxy puts on backends to the agent whenever it changes.
 func (p *Proxy) reportLoads(ctx context.Context) {
-	var told map[string]dispatch.Load
+	var reported map[string]dispatch.Load
 	ticker := time.NewTicker(loadReportInterval)
 	defer ticker.Stop()
 	for {
@@ -298,20 +311,22 @@
 		}
 		var loads map[string]dispatch.Load
 		p.execute(func() { loads = p.dispatchTable.OwnLoads() })
-		if maps.Equal(loads, told) {
+		if maps.Equal(loads, reported) {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, feedCallTimeout)
 		if p.agent.Send(call, feed.KindLoads, loads) == nil {
-			told = loads
+			reported = loads
 		}
 		cancel()
 	}
 }
 
-// versionsOf dates the versions of models that a reply tells of.
-func versionHistories(asked time.Duration, reply *feed.Reply) map[string]superseded.History {
-	written := asked + time.Duration(reply.LongPollMS)*time.Millisecond
+// versionHistories converts the version ages of a reply to times on the clock of the proxy. The
+// reply was not written before requestedAt plus its long-poll time, so the time in transit makes no
+// version look younger.
+func versionHistories(requestedAt time.Duration, reply *feed.Reply) map[string]superseded.History {
+	written := requestedAt + time.Duration(reply.LongPollMS)*time.Millisecond
 	versions := map[string]superseded.History{}
 	for model, ages := range reply.VersionAges {
 		versions[model] = superseded.FromAges(written, ages)
@@ -319,6 +334,8 @@
 	return versions
 }
 
+// applySnapshot applies a snapshot as a whole, or not at all if its new configuration could not be
+// decoded; the snapshot is then requested again.
 func (p *Proxy) applySnapshot(now time.Duration, s *distribute.Snapshot, table *config.Table, versions map[string]superseded.History) {
 	if len(s.Config) > 0 && s.ConfigSeq != p.applied.ConfigSeq {
 		if table == nil {
@@ -334,17 +351,18 @@
 	p.applied.SnapshotSeq = s.Seq
 }
 
-// logWeights tells which versions of models are wanted now, and since when they are known to be.
+// logModelVersions logs the requested model versions that changed, with the known ages of versions.
 func (p *Proxy) logModelVersions(now time.Duration, s *distribute.Snapshot, versions map[string]superseded.History) {
 	for model, wanted := range s.Models {
 		if p.loggedVersions[model] == wanted.Version {
 			continue
 		}
 		p.loggedVersions[model] = wanted.Version
-		p.log.Info().Str("step", "weights").Str("model", model).Int64("version", wanted.Version).Uint64("seq", s.Seq).Interface("ages", versions[model].Ages(now)).Msg("version wanted")
+		p.log.Info().Str("step", "weights").Str("model", model).Int64("version", wanted.Version).Uint64("seq", s.Seq).Interface("ages", versions[model].Ages(now)).Msg("requested model version changed")
 	}
 }
 
+// applyMembers applies the set of mixers.
 func (p *Proxy) applyMembers(set *distribute.MemberSet) {
 	p.applied.MembersDigest = set.Digest
 	members := dispatch.Members{}
@@ -359,7 +377,7 @@
 	p.dispatchTable.SetMembers(members)
 }
 
-// pool gives the connections to a backend.
+// pool returns the connection pool of a backend and sets its limit.
 func (p *Proxy) pool(id, addr string, limit int) *upstream.Pool {
 	p.poolsMu.Lock()
 	defer p.poolsMu.Unlock()
@@ -372,6 +390,7 @@
 	return pool
 }
 
+// closePool closes and removes the connection pool of a backend.
 func (p *Proxy) closePool(id string) {
 	p.poolsMu.Lock()
 	pool := p.pools[id]
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -13,20 +13,22 @@
 	"nettlefold/internal/dispatch"
 )
 
-// relayBuffer is how much of an answer is read at a time.
+// relayBufferBytes is the size of one read of a response body.
 const relayBufferBytes = 16 << 10
 
-// firstBuffer is how much of it is read before anything is passed on.
+// firstReadBytes is the size of the read that has to succeed before anything is relayed.
 const firstReadBytes = 4 << 10
 
-// writeMargin is how long after a request's limit the writing of its answer is ended, so that its time is known to be up then.
+// writeDeadlineMargin is the time from the deadline of a request to the write deadline of its client
+// connection. When a write fails, the deadline of the request is then known to have passed.
 const writeDeadlineMargin = 50 * time.Millisecond
 
-// errClientGone is a client that takes no more bytes.
-var errClientDisconnected = errors.New("the client is gone")
+// errClientDisconnected means that a write to the client failed.
+var errClientDisconnected = errors.New("client disconnected")
 
-// relay passes an answer on to the client. One that is cut off is taken up at another backend where its route allows that, inside the
-// same answer; one that cannot be finished ends with its connection, so that it does not look whole.
+// relay relays a response to the client. A resumable stream that breaks off is resumed at another
+// backend within the same response. For a response that cannot be completed the client connection is
+// closed, so that the response does not look complete.
 func (p *Proxy) relay(ctx context.Context, q *request, a *attempt) {
 	client := http.NewResponseController(q.writer)
 	client.SetWriteDeadline(q.effectiveDeadline.Add(writeDeadlineMargin))
@@ -36,9 +38,9 @@
 		events = &eventFilter{lastID: q.Header.Get(headerLastEvent)}
 	}
 	for {
-		move := newStreamTakeover(ctx, p, a, events)
-		err := p.copyResponse(q, a, events, move)
-		next := move.finish(err == nil)
+		takeover := newStreamTakeover(ctx, p, a, events)
+		err := p.copyResponse(q, a, events, takeover)
+		next := takeover.finish(err == nil)
 		if err == nil {
 			p.finishAttempt(a, dispatch.Completed)
 			client.SetWriteDeadline(time.Time{})
@@ -48,13 +50,13 @@
 		if ctx.Err() != nil || errors.Is(err, errClientDisconnected) || errors.Is(err, context.DeadlineExceeded) {
 			outcome = dispatch.Cancelled
 		}
-		why := endReasonOf(ctx, q, a, err)
+		reason := endReasonOf(ctx, q, a, err)
 		p.finishAttempt(a, outcome)
 		if next == nil && events != nil && outcome != dispatch.Cancelled {
 			next = p.resumeStream(ctx, q, a, events.lastID)
 		}
 		if next == nil {
-			p.recordAborted(q, a, move, why)
+			p.recordAborted(q, a, takeover, reason)
 			panic(http.ErrAbortHandler)
 		}
 		events.discardPartial()
@@ -63,7 +65,7 @@
 	}
 }
 
-// writeHead passes the head of an answer on.
+// writeHeader relays the status and headers of a response.
 func (q *request) writeHeader(a *attempt, stopping bool) {
 	out := q.writer.Header()
 	for name, values := range a.response.Header {
@@ -75,7 +77,7 @@
 		}
 	}
 	if a.response.Header["Content-Type"] == nil {
-		out["Content-Type"] = nil // none is to be guessed
+		out["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	if a.response.ContentLength < 0 {
 		out.Del("Content-Length")
@@ -89,16 +91,16 @@
 	}
 }
 
-// copy passes the bytes of an answer on as they come; of one that may be taken up elsewhere only whole events. It ends without error
-// if the answer came whole.
-func (p *Proxy) copyResponse(q *request, a *attempt, events *eventFilter, move *streamTakeover) error {
-	flush := http.NewResponseController(q.writer)
+// copyResponse relays the bytes of a response as they arrive, but only complete events of a
+// resumable stream. It returns nil if the response was complete.
+func (p *Proxy) copyResponse(q *request, a *attempt, events *eventFilter, takeover *streamTakeover) error {
+	flusher := http.NewResponseController(q.writer)
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := a.read(buffer)
 		if n > 0 {
 			p.recordProgress(q, a)
-			if err := move.forwardBytes(buffer[:n], q.writer, flush); err != nil {
+			if err := takeover.forwardBytes(buffer[:n], q.writer, flusher); err != nil {
 				return err
 			}
 		}
@@ -112,8 +114,8 @@
 	}
 }
 
-// endEvents passes on what follows the last event of an answer that came whole. Where only the connection's end tells that it did, an event
-// that is not whole means that it did not.
+// flushLastEvent relays the bytes behind the last complete event of a response that ended. If only
+// the close of the connection delimits the response, an incomplete event means that it was cut off.
 func (p *Proxy) flushLastEvent(q *request, a *attempt, events *eventFilter) error {
 	if events == nil || len(events.partial) == 0 {
 		return nil
@@ -125,7 +127,8 @@
 	return classifyWriteError(err)
 }
 
-// writeError tells a client that is gone from one that took no bytes until its time was up.
+// classifyWriteError distinguishes a client that read nothing until the deadline from one that has
+// disconnected.
 func classifyWriteError(err error) error {
 	switch {
 	case err == nil:
@@ -136,37 +139,38 @@
 	return errClientDisconnected
 }
 
-// resume takes a stream up at another backend behind the last event that was passed on; nil if it may not or cannot be. former is the attempt
-// that it goes on from.
+// resumeStream resumes the stream of the attempt former at another backend, after the last forwarded
+// event. It returns nil if the attempts, the retry budget or the backends don't allow that, and then
+// adds the failed attempts to former.
 func (p *Proxy) resumeStream(ctx context.Context, q *request, former *attempt, lastEvent string) *attempt {
-	tried, sent := former.triedBackends, former.sendCount
-	for sent < max(1, q.route.MaxAttempts) && len(tried) <= maxTriedBackends && ctx.Err() == nil {
+	tried, sendCount := former.triedBackends, former.sendCount
+	for sendCount < max(1, q.route.MaxAttempts) && len(tried) <= maxTriedBackends && ctx.Err() == nil {
 		choice := p.pickBackend(q, tried)
-		if choice == nil || choice.RetryAfterMS > 0 || !p.takeRetry(q, sent) {
+		if choice == nil || choice.RetryAfterMS > 0 || !p.takeRetry(q, sendCount) {
 			if choice != nil && choice.RetryAfterMS == 0 {
 				p.execute(func() { p.dispatchTable.End(p.now(), choice, dispatch.Cancelled) })
 			}
 			return nil
 		}
 		tried = append(slices.Clone(tried), choice.ID)
-		a := p.sendAttempt(ctx, q, choice, tried, sent+1, lastEvent)
+		a := p.sendAttempt(ctx, q, choice, tried, sendCount+1, lastEvent)
 		if a.err == nil && a.response.StatusCode == http.StatusOK && !a.notExecuted() {
 			return a
 		}
 		if !a.notExecuted() {
-			sent++
+			sendCount++
 		}
 		p.recordFailedAttempt(a, ctx)
 		if a.err == nil {
 			a.response.Body.Close()
 		}
 		a.release()
-		former.triedBackends, former.sendCount = tried, sent
+		former.triedBackends, former.sendCount = tried, sendCount
 	}
 	return nil
 }
 
-// began books the beginning of an answer, once its first bytes are there.
+// recordProgress reports to the dispatch table that bytes of a response have arrived.
 func (p *Proxy) recordProgress(q *request, a *attempt) {
 	a.lastProgress.Store(int64(p.now()))
 	if a.started {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -14,7 +14,7 @@
 	"nettlefold/internal/upstream"
 )
 
-// Headers of requests and answers.
+// Names of request and response headers.
 const (
 	headerRequestID        = "X-Request-Id"
 	headerDeadline         = upstream.DeadlineHeader
@@ -36,19 +36,23 @@
 )
 
 const (
-	// defaultDeadline is a request's whose client names none and whose route has no time either.
+	// defaultDeadline is the deadline of a request if neither its client nor its route sets one.
 	defaultDeadline = 30 * time.Second
-	// retryLater is when a client that was refused should come again, in seconds, and retryStarting one that came too early.
-	maxRetryAfterSeconds     = 0.3
+	// maxRetryAfterSeconds bounds the time after which a refused client should retry.
+	maxRetryAfterSeconds = 0.3
+	// startupRetryAfterSeconds is the retry time while no configuration is in force yet.
 	startupRetryAfterSeconds = 1.0
-	// retryShare is the part of a route's target after which a refused client should come again, if that is sooner.
+	// retryAfterTargetFraction is the fraction of the route's target latency after which a refused
+	// client should retry.
 	retryAfterTargetFraction = 0.1
-	// againShare is the part of its route's time below which a request is taken for one that came again.
+	// likelyRetryFraction is the fraction of the route's timeout below which a client's deadline marks
+	// its request as a retry.
 	likelyRetryFraction = 0.98
-	routeRanksPerTenant = 3 // routes' ranks within a tenant's
+	// routeRanksPerTenant is the number of route ranks within one tenant rank.
+	routeRanksPerTenant = 3
 )
 
-// request is one that a client sent, with what its route and tenant say.
+// request is a client's request together with the settings of its route and tenant.
 type request struct {
 	*http.Request
 	writer            http.ResponseWriter
@@ -57,20 +61,21 @@
 	service           string
 	tenant            *config.Tenant
 	body              []byte
-	clientDeadline    time.Time // when its client gives it up
-	effectiveDeadline time.Time // when it is given up here
-	receivedAt        time.Time // when its head was read
-	// configVersion is that of the configuration it is served by.
-	configVersion int64
-	likelyRetry   bool // it has less time than its route gives: its client was refused before, or is in a hurry
+	clientDeadline    time.Time // when the client gives up
+	effectiveDeadline time.Time // when the proxy gives up: at clientDeadline or the route's timeout
+	receivedAt        time.Time // when the request header had been read
+	configVersion     int64     // version of the configuration that the request is served by
+	// likelyRetry is set if the client allows less time than the route: it was refused before, or it
+	// is in a hurry.
+	likelyRetry   bool
 	promptTokens  int
 	promptParts   []kvindex.Part
 	model         string
-	rank          int         // of route and tenant, 0 is the most urgent
-	backendHeader http.Header // as it goes to a backend, but for what differs with the backend
+	rank          int         // priority of tenant and route; 0 is the most urgent
+	backendHeader http.Header // header for all backends, without the fields that differ by backend
 }
 
-// serve takes one request of a client.
+// serve handles a request of a client.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request) {
 	if p.shutdownPlan.Load() != nil {
 		w.Header().Set("Connection", "close")
@@ -101,7 +106,8 @@
 	p.forward(q)
 }
 
-// refuse answers for the system itself. A status that promises that the request has not run may say when to come again.
+// refuse answers a request on behalf of the proxy. retryAfter is in seconds, 0 for none; it goes with
+// a status that says that the request was not executed.
 func refuse(w http.ResponseWriter, status int, retryAfter float64, reason string) {
 	if retryAfter > 0 {
 		w.Header().Set(headerRetryAfter, strconv.FormatFloat(retryAfter, 'f', 2, 64))
@@ -111,8 +117,9 @@
 	io.WriteString(w, reason+"\n")
 }
 
-// place finds the route and the tenant, or refuses.
-func (q *request) resolveRoute(table *config.Table, splits *trafficSplitter) bool {
+// resolveRoute finds the route, tenant, service and deadline of the request. If there is no route or
+// the key is unknown, it refuses the request and returns false.
+func (q *request) resolveRoute(table *config.Table, splitter *trafficSplitter) bool {
 	now := time.Now()
 	q.receivedAt, q.configVersion = now, table.Version
 	q.route = table.Route(q.Host, q.URL.Path)
@@ -127,38 +134,39 @@
 			return false
 		}
 	}
-	q.service = q.route.PickService(splits.draw(q.route))
-	limit := defaultDeadline
+	q.service = q.route.PickService(splitter.draw(q.route))
+	timeout := defaultDeadline
 	if q.route.TimeoutMS > 0 {
-		limit = time.Duration(q.route.TimeoutMS * float64(time.Millisecond))
+		timeout = time.Duration(q.route.TimeoutMS * float64(time.Millisecond))
 	}
-	q.effectiveDeadline, q.clientDeadline = now.Add(limit), now.Add(limit)
+	q.effectiveDeadline, q.clientDeadline = now.Add(timeout), now.Add(timeout)
 	if ms, err := strconv.ParseFloat(q.Header.Get(headerDeadline), 64); err == nil && ms > 0 {
 		q.clientDeadline = now.Add(time.Duration(ms * float64(time.Millisecond)))
 		if q.clientDeadline.Before(q.effectiveDeadline) {
 			q.effectiveDeadline = q.clientDeadline
 		}
-		q.likelyRetry = ms < likelyRetryFraction*limit.Seconds()*1000
+		q.likelyRetry = ms < likelyRetryFraction*timeout.Seconds()*1000
 	}
 	return true
 }
 
-// read takes the body whole and what the headers say of the prompt, or refuses: at the request's limit if the body has not come by then.
+// readBody reads the whole body and the headers that describe the prompt. If the body is too large or
+// has not arrived by the deadline, it refuses the request and returns false.
 func (q *request) readBody(table *config.Table) bool {
 	connection := http.NewResponseController(q.writer)
 	connection.SetReadDeadline(q.effectiveDeadline)
-	most := table.Limits.MaxBodyBytes
-	if most <= 0 {
-		most = defaultMaxBodyBytes
+	maxBytes := table.Limits.MaxBodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if q.ContentLength > most {
+	if q.ContentLength > maxBytes {
 		refuse(q.writer, http.StatusRequestEntityTooLarge, 0, "the body is too large")
 		return false
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(q.writer, q.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(q.writer, q.Body, maxBytes))
 	if err != nil {
-		var large *http.MaxBytesError
-		if errors.As(err, &large) {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			refuse(q.writer, http.StatusRequestEntityTooLarge, 0, "the body is too large")
 			return false
 		}
@@ -186,7 +194,7 @@
 	return true
 }
 
-// parseParts reads ID:TOKENS parted by commas, up to what cannot be read.
+// parseParts parses a comma-separated list of ID:TOKENS up to the first malformed item.
 func parseParts(text string) (parts []kvindex.Part) {
 	for _, item := range strings.Split(text, ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(item), ":")
@@ -199,21 +207,23 @@
 	return parts
 }
 
-// ownHeaders are set by this system alone, whatever a client sent.
-var reservedHeaders = []string{headerTenantName, headerExpectedInstance, headerExpectVersion, headerPriority, headerCacheSalt, headerKVFetch, headerKVSave}
+// reservedHeaders are set by the proxy only; values sent by clients are dropped.
+var reservedHeaders = []string{
+	headerTenantName, headerExpectedInstance, headerExpectVersion, headerPriority, headerCacheSalt, headerKVFetch, headerKVSave,
+}
 
-// hopHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// outgoing makes the headers as they go to a backend.
+// setBackendHeader derives the header for backends and the rank of the request.
 func (q *request) setBackendHeader(table *config.Table) {
 	h := q.Header.Clone()
-	for _, named := range strings.Split(h.Get("Connection"), ",") {
-		if named = strings.TrimSpace(named); named != "" {
-			h.Del(named)
+	for _, name := range strings.Split(h.Get("Connection"), ",") {
+		if name = strings.TrimSpace(name); name != "" {
+			h.Del(name)
 		}
 	}
 	for _, name := range hopByHopHeaders {
@@ -233,7 +243,8 @@
 	q.backendHeader, q.rank = h, rank
 }
 
-// wall is the name that keeps an isolated tenant's prompts apart.
+// isolatedTenant returns the name of a tenant whose prompts must not share a prefix cache with
+// others, "" if the request has no such tenant.
 func (q *request) isolatedTenant() string {
 	if q.tenant != nil && q.tenant.Isolated {
 		return q.tenant.Name
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -7,63 +7,65 @@
 	"time"
 )
 
-// endMargin is kept of the grace for the program's own end.
+// exitMargin is the part of the grace period that is reserved for the exit of the process.
 const exitMargin = 250 * time.Millisecond
 
-// stopping is when the program was told to end, and when the last answer must have ended.
+// shutdownPlan holds the times of a graceful shutdown.
 type shutdownPlan struct {
-	signalledAt        time.Time
-	deadline           time.Time
-	closingConnections bool // clients' connections are being closed, maybe as a request is read from them
+	signalledAt        time.Time // when the shutdown began
+	deadline           time.Time // when the last response must have ended
+	closingConnections bool      // client connections are being closed, possibly while a request is read from one
 }
 
-// newStopping plans the end of a program with a grace.
+// newShutdownPlan plans a shutdown that begins now and may take as long as grace.
 func newShutdownPlan(now time.Time, grace time.Duration) *shutdownPlan {
 	return &shutdownPlan{signalledAt: now, deadline: now.Add(max(0, grace-exitMargin))}
 }
 
-// mayBegin tells whether a request is sure to end before the program does, as its own time is over before. How long such requests lasted
-// lately says nothing sure: one that was begun by that was cut when the engines had more to do than before.
-func (s *shutdownPlan) admits(limit time.Time) bool {
-	return !s.closingConnections && !limit.After(s.deadline)
+// admits reports whether a request with the given deadline may start: only if it is sure to end
+// before the shutdown does. The recent duration of similar requests is no criterion: requests
+// admitted by it were aborted when the engines became busier.
+func (s *shutdownPlan) admits(requestDeadline time.Time) bool {
+	return !s.closingConnections && !requestDeadline.After(s.deadline)
 }
 
-// close gives the plan once connections are being closed.
+// withConnectionsClosing returns the plan for the phase in which client connections are closed.
 func (s *shutdownPlan) withConnectionsClosing() *shutdownPlan {
 	return &shutdownPlan{signalledAt: s.signalledAt, deadline: s.deadline, closingConnections: true}
 }
 
-// refuseStopping answers a request that is not begun any more: it has not run, and may be sent elsewhere at once.
+// refuseShuttingDown refuses a request that was not started because of the shutdown. The request has
+// not been executed and may be retried elsewhere at once.
 func (q *request) refuseShuttingDown() {
 	q.writer.Header().Set("Connection", "close")
 	refuse(q.writer, http.StatusServiceUnavailable, q.retryAfterSeconds(), "this mixer is about to end")
 }
 
-// openRequests are those that were sent on and have not ended, and since when.
+// requestTracker tracks the requests that are being forwarded.
 type requestTracker struct {
 	mu         sync.Mutex
-	startTimes map[*request]time.Time
+	startTimes map[*request]time.Time // by open request
 }
 
 func newRequestTracker() *requestTracker {
 	return &requestTracker{startTimes: map[*request]time.Time{}}
 }
 
-// began notes that a request is sent on, and gives what notes its end.
-func (o *requestTracker) add(q *request, now time.Time) (ended func()) {
-	o.mu.Lock()
-	o.startTimes[q] = now
-	o.mu.Unlock()
+// add records that a request is being forwarded, and returns a function that removes it.
+func (t *requestTracker) add(q *request, now time.Time) (remove func()) {
+	t.mu.Lock()
+	t.startTimes[q] = now
+	t.mu.Unlock()
 	return func() {
-		o.mu.Lock()
-		delete(o.startTimes, q)
-		o.mu.Unlock()
+		t.mu.Lock()
+		delete(t.startTimes, q)
+		t.mu.Unlock()
 	}
 }
 
-// unfinished gives the requests that run, and since when.
-func (o *requestTracker) unfinished() map[*request]time.Time {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return maps.Clone(o.startTimes)
+// unfinished returns the start times of the open requests.
+func (t *requestTracker) unfinished() map[*request]time.Time {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return maps.Clone(t.startTimes)
 }
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -9,26 +9,27 @@
 	"nettlefold/internal/dispatch"
 )
 
-// errTakenOver ends the copying of an attempt whose stream another one goes on with.
-var errTakenOver = errors.New("another backend goes on with the stream")
+// errTakenOver ends the copying of a response whose stream another attempt continues.
+var errTakenOver = errors.New("stream was taken over by another backend")
 
-// takeover has a stream that stands still go on at another backend. The stream is left where it is until the other one has begun to answer
-// behind the last event that was passed on; whichever brings the next event first goes on, and the other is ended.
+// streamTakeover resumes a stalled stream at another backend. The stalled attempt keeps running until
+// the other backend has started to respond after the last forwarded event. Whichever attempt delivers
+// the next event first continues the stream; the other one is cancelled.
 type streamTakeover struct {
 	proxy   *Proxy
 	attempt *attempt
-	events  *eventFilter // nil where the stream may not be taken up
+	events  *eventFilter // nil if the stream is not resumable
 	ctx     context.Context
 	cancel  context.CancelFunc
 
 	mu        sync.Mutex
-	tries     int           // how often another backend was looked for
-	tryDone   chan struct{} // closed when the try that runs is over; nil while none does
-	closed    bool          // no other try may begin
-	successor *attempt
+	tries     int           // number of started tries
+	tryDone   chan struct{} // closed at the end of the running try; nil if none is running
+	closed    bool          // no further try may start
+	successor *attempt      // continues the stream; nil if it was not taken over
 }
 
-// newTakeover is for an attempt whose answer begins to be passed on.
+// newStreamTakeover prepares the takeover of an attempt whose response starts to be relayed.
 func newStreamTakeover(ctx context.Context, p *Proxy, a *attempt, events *eventFilter) *streamTakeover {
 	t := &streamTakeover{proxy: p, attempt: a, events: events}
 	t.ctx, t.cancel = context.WithCancel(ctx)
@@ -36,8 +37,8 @@
 	return t
 }
 
-// passOn writes bytes of the attempt's answer to the client, unless another attempt goes on by now.
-func (t *streamTakeover) forwardBytes(bytes []byte, client http.ResponseWriter, flush *http.ResponseController) error {
+// forwardBytes writes bytes of the attempt's response to the client, unless a successor has taken over.
+func (t *streamTakeover) forwardBytes(bytes []byte, client http.ResponseWriter, flusher *http.ResponseController) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.successor != nil {
@@ -52,13 +53,14 @@
 	if _, err := client.Write(bytes); err != nil {
 		return classifyWriteError(err)
 	}
-	flush.Flush()
+	flusher.Flush()
 	return nil
 }
 
-// start tries to have the stream go on elsewhere, in the background, unless that is tried already or may not be. It never waits: while bytes are
-// being passed on to a slow client the stream does not stand still for its backend's sake.
-func (t *streamTakeover) start(why endReason) {
+// start tries to resume the stream elsewhere in the background, unless a try is running or the stream
+// may not be resumed. It never blocks: while forwardBytes waits for a slow client, the stream is not
+// stalled because of its backend.
+func (t *streamTakeover) start(reason endReason) {
 	if !t.mu.TryLock() {
 		return
 	}
@@ -69,57 +71,58 @@
 	done := make(chan struct{})
 	t.tryDone = done
 	t.tries++
-	last := t.events.lastID
+	lastEvent := t.events.lastID
 	go func() {
-		t.run(last, why)
+		t.run(lastEvent, reason)
 		close(done)
 	}()
 }
 
-// try has another backend go on behind an event.
-func (t *streamTakeover) run(last string, why endReason) {
+// run tries to have another backend continue the stream after the event with the ID lastEvent.
+func (t *streamTakeover) run(lastEvent string, reason endReason) {
 	p, a := t.proxy, t.attempt
-	next := p.resumeStream(t.ctx, a.request, a, last)
+	next := p.resumeStream(t.ctx, a.request, a, lastEvent)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.tryDone = nil
 	if next == nil {
 		return
 	}
-	if t.closed || t.events.lastID != last {
+	if t.closed || t.events.lastID != lastEvent {
 		p.finishAttempt(next, dispatch.Cancelled)
-		a.triedBackends, a.sendCount = next.triedBackends, next.sendCount // it may have run there
+		a.triedBackends, a.sendCount = next.triedBackends, next.sendCount // next may have been executed
 		return
 	}
 	t.successor, t.closed = next, true
-	p.log.Debug().Str("step", "takeover").Str("peer", a.choice.Addr).Str("ending", string(why)).Msg("stream goes on elsewhere")
-	a.cancel(why)
+	p.log.Debug().Str("step", "takeover").Str("peer", a.choice.Addr).Str("ending", string(reason)).Msg("stream resumed at another backend")
+	a.cancel(reason)
 }
 
-// tried tells how often another backend was looked for.
+// tryCount returns the number of tries that were started.
 func (t *streamTakeover) tryCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.tries
 }
 
-// finish ends the takeover with the copying of its attempt, and gives the attempt that goes on, if there is one. Where the answer came whole a
-// try that still runs is ended; else it is waited for, as it may yet save the answer.
-func (t *streamTakeover) finish(whole bool) *attempt {
-	if whole {
+// finish ends the takeover when the attempt's response has been copied or has failed, and returns the
+// successor, if any. After a complete response a running try is cancelled; after a failure finish
+// waits for it, because it may still save the response.
+func (t *streamTakeover) finish(complete bool) *attempt {
+	if complete {
 		t.cancel()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.closed = t.closed || whole
+	t.closed = t.closed || complete
 	for t.tryDone != nil {
-		running := t.tryDone
+		tryDone := t.tryDone
 		t.mu.Unlock()
-		<-running
+		<-tryDone
 		t.mu.Lock()
 	}
 	t.closed = true
-	if whole && t.successor != nil { // it was chosen as the answer ended
+	if complete && t.successor != nil { // took over just as the response was completed
 		t.proxy.finishAttempt(t.successor, dispatch.Cancelled)
 		return nil
 	}
--- a/internal/proxy/timer_lateness.go
+++ b/internal/proxy/timer_lateness.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// latenessWindow is how long a late timer is remembered.
+// latenessWindow is how long an observation of a late timer counts.
 const latenessWindow = 5 * time.Second
 
-// timerLateness remembers how late timers of this process were served, which tells whether it is short of processor time.
+// timerLateness tracks how late timers of this process fire, an indicator of CPU starvation.
 type timerLateness struct {
 	mu         sync.Mutex
-	worst      time.Duration // the worst of the window
-	observedAt time.Time     // when that was seen
+	worst      time.Duration // greatest lateness within latenessWindow
+	observedAt time.Time     // when worst was observed
 }
 
-// fired notes that a timer that was due at a time is served now.
+// record adds a timer that was due at a time and is handled now.
 func (l *timerLateness) record(due, now time.Time) {
 	late := now.Sub(due)
 	l.mu.Lock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// worst gives how late a timer was at worst within the window.
+// maxInWindow returns the greatest lateness within latenessWindow.
 func (l *timerLateness) maxInWindow(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/traffic_split.go
+++ b/internal/proxy/traffic_split.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	// goldenStep is the fractional part of the golden ratio. Its multiples fill [0, 1) evenly however many there are, so that each part of
-	// a split gets its share of few requests too; independent draws stray by 0.03 in 200.
+	// goldenRatioFraction is the fractional part of the golden ratio. Its multiples modulo 1 form a
+	// low-discrepancy sequence, so that each service of a split gets its share of few requests too.
+	// Independent random draws deviate by 0.03 in 200.
 	goldenRatioFraction = 0.6180339887498949
-	// mostSplits bounds the routes whose place is remembered.
+	// maxTrackedRoutes bounds the routes whose position in the sequence is kept.
 	maxTrackedRoutes = 4096
 )
 
-// splits draws which part of a route's traffic_split each request goes to. Each route's sequence goes on when the configuration changes;
-// it begins at random, as otherwise all mixers would send their first requests to the same part.
+// trafficSplitter draws the number that decides to which service of its route's traffic_split a
+// request goes. The sequence of a route continues when the configuration changes. It starts at a
+// random number, because otherwise all mixers would send their first requests to the same service.
 type trafficSplitter struct {
 	mu   sync.Mutex
 	next map[string]float64 // by routeKey
@@ -24,7 +26,7 @@
 
 func newTrafficSplitter() *trafficSplitter { return &trafficSplitter{next: map[string]float64{}} }
 
-// draw gives a route's next number in [0, 1).
+// draw returns the next number in [0, 1) for a route, 0 if the route has no split.
 func (s *trafficSplitter) draw(r *config.Route) float64 {
 	if len(r.Split) == 0 {
 		return 0
@@ -32,20 +34,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := routeKey(r)
-	drawn, known := s.next[key]
+	number, known := s.next[key]
 	if !known {
-		drawn = rand.Float64()
+		number = rand.Float64()
 		if len(s.next) >= maxTrackedRoutes {
 			clear(s.next)
 		}
 	}
-	following := drawn + goldenRatioFraction
-	if following >= 1 {
-		following--
+	next := number + goldenRatioFraction
+	if next >= 1 {
+		next--
 	}
-	s.next[key] = following
-	return drawn
+	s.next[key] = next
+	return number
 }
 
-// routeKey tells routes apart, also across configurations.
+// routeKey identifies a route across configurations.
 func routeKey(r *config.Route) string { return r.Host + r.PathPrefix }
