--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -9,26 +9,27 @@
 	"nettlefold/internal/dispatch"
 )
 
+// TestOverdueAttempts checks which attempts without progress are reported as overdue and why.
 func TestOverdueAttempts(t *testing.T) {
 	const now = 10 * time.Second
-	attemptAt := func(id string, heard time.Duration, mayMove bool) *attempt {
-		a := &attempt{choice: &dispatch.Choice{ID: id}, retryable: mayMove}
-		a.lastProgress.Store(int64(heard))
+	newAttempt := func(id string, lastProgress time.Duration, retryable bool) *attempt {
+		a := &attempt{choice: &dispatch.Choice{ID: id}, retryable: retryable}
+		a.lastProgress.Store(int64(lastProgress))
 		return a
 	}
-	gone := attemptAt("gone", now-2*time.Second, false)
-	leaving := attemptAt("gone", now-100*time.Millisecond, false) // it still answers
-	silent := attemptAt("silent", now-2*time.Second, true)
-	bound := attemptAt("silent", now-2*time.Second, false) // it may have run, and may not run again
-	busy := attemptAt("busy", now-2*time.Second, true)     // its backend answers others
-	s := newAttemptRegistry()
-	for _, a := range []*attempt{gone, leaving, silent, bound, busy} {
-		s.add(a)
+	removed := newAttempt("removed", now-2*time.Second, false)
+	draining := newAttempt("removed", now-100*time.Millisecond, false) // still makes progress
+	stalled := newAttempt("stalled", now-2*time.Second, true)
+	notRetryable := newAttempt("stalled", now-2*time.Second, false)
+	busy := newAttempt("busy", now-2*time.Second, true) // its backend responds to other requests
+	registry := newAttemptRegistry()
+	for _, a := range []*attempt{removed, draining, stalled, notRetryable, busy} {
+		registry.add(a)
 	}
-	s.backendRemoved("gone")
-	overdue := s.overdue(now, func(a *attempt) bool { return a.choice.ID == "silent" })
-	require.Equal(t, map[*attempt]endReason{gone: endReasonBackendRemoved, silent: endReasonBackendStalled}, overdue)
-	s.remove(silent)
-	s.remove(gone)
-	require.Empty(t, s.overdue(now, func(a *attempt) bool { return a.choice.ID == "silent" }))
+	registry.backendRemoved("removed")
+	overdue := registry.overdue(now, func(a *attempt) bool { return a.choice.ID == "stalled" })
+	require.Equal(t, map[*attempt]endReason{removed: endReasonBackendRemoved, stalled: endReasonBackendStalled}, overdue)
+	registry.remove(stalled)
+	registry.remove(removed)
+	require.Empty(t, registry.overdue(now, func(a *attempt) bool { return a.choice.ID == "stalled" }), "overdue attempts after their removal")
 }
--- a/internal/proxy/backend_list_test.go
+++ b/internal/proxy/backend_list_test.go
@@ -11,37 +11,39 @@
 	"nettlefold/internal/feed"
 )
 
-// TestChangesToAnotherListAreNotTaken: the whole list is asked for instead.
+// TestListDeltaWithUnknownBase checks that a delta to another list than the applied one is dropped and
+// the full list is requested.
 func TestListDeltaWithUnknownBase(t *testing.T) {
-	r := newFixture(t, func(http.ResponseWriter, *http.Request) {})
-	take := func(list *feed.List) (have uint64, size int) {
-		r.proxy.execute(func() {
-			r.proxy.applyReply(r.proxy.now(), &feed.Reply{AgentID: "a1", List: list})
-			have, size = r.proxy.applied.ListRevision, r.proxy.dispatchTable.BackendCount()
+	f := newFixture(t, func(http.ResponseWriter, *http.Request) {})
+	apply := func(list *feed.List) (revision uint64, backends int) {
+		f.proxy.execute(func() {
+			f.proxy.applyReply(f.proxy.now(), &feed.Reply{AgentID: "a1", List: list})
+			revision, backends = f.proxy.applied.ListRevision, f.proxy.dispatchTable.BackendCount()
 		})
-		return have, size
+		return revision, backends
 	}
-	have, size := take(&feed.List{Revision: 5, BaseRevision: 1, Backends: []dispatch.BackendInfo{{ID: "i-new"}}})
-	require.Equal(t, uint64(5), have)
-	require.Equal(t, 2, size)
-	have, size = take(&feed.List{Revision: 9, BaseRevision: 7, Removed: []string{"i-new"}})
-	require.Zero(t, have)
-	require.Equal(t, 2, size)
-	have, size = take(&feed.List{Revision: 9, Backends: []dispatch.BackendInfo{{ID: "i-0"}}})
-	require.Equal(t, uint64(9), have)
-	require.Equal(t, 1, size)
+	revision, backends := apply(&feed.List{Revision: 5, BaseRevision: 1, Backends: []dispatch.BackendInfo{{ID: "i-new"}}})
+	require.Equal(t, uint64(5), revision, "revision after a delta to the applied list")
+	require.Equal(t, 2, backends, "backends after a delta to the applied list")
+	revision, backends = apply(&feed.List{Revision: 9, BaseRevision: 7, Removed: []string{"i-new"}})
+	require.Zero(t, revision, "revision after a delta to an unknown list")
+	require.Equal(t, 2, backends, "backends after a delta to an unknown list")
+	revision, backends = apply(&feed.List{Revision: 9, Backends: []dispatch.BackendInfo{{ID: "i-0"}}})
+	require.Equal(t, uint64(9), revision, "revision after a full list")
+	require.Equal(t, 1, backends, "backends after a full list")
 }
 
-// TestAConfigurationThatCannotBeReadChangesNothing: what came with it is not put in force either, and it is asked for again.
+// TestMalformedConfigIgnored checks that a snapshot with a malformed configuration is not applied at
+// all, so that it is requested again.
 func TestMalformedConfigIgnored(t *testing.T) {
-	r := newFixture(t, func(http.ResponseWriter, *http.Request) {})
-	before := r.proxy.config.Load()
-	r.proxy.execute(func() {
-		r.proxy.applyReply(r.proxy.now(), &feed.Reply{
+	f := newFixture(t, func(http.ResponseWriter, *http.Request) {})
+	before := f.proxy.config.Load()
+	f.proxy.execute(func() {
+		f.proxy.applyReply(f.proxy.now(), &feed.Reply{
 			AgentID: "a1", Snapshot: &distribute.Snapshot{Seq: 2, ConfigSeq: 2, Config: []byte("{"), Evacuated: map[string]uint64{"a": 2}},
 		})
-		require.Equal(t, uint64(1), r.proxy.applied.SnapshotSeq)
-		require.Equal(t, uint64(1), r.proxy.applied.ConfigSeq)
+		require.Equal(t, uint64(1), f.proxy.applied.SnapshotSeq)
+		require.Equal(t, uint64(1), f.proxy.applied.ConfigSeq)
 	})
-	require.Same(t, before, r.proxy.config.Load())
+	require.Same(t, before, f.proxy.config.Load())
 }
--- a/internal/proxy/deadlines_test.go
+++ b/internal/proxy/deadlines_test.go
@@ -19,159 +19,165 @@
 	"nettlefold/internal/settings/local"
 )
 
-// finalAnswerLimit is when a request on the route /short/ must have its final answer at the latest.
+// finalResponseLimit bounds the time to the final response on the route /short/.
 const finalResponseLimit = shortRouteTimeout + 500*time.Millisecond
 
-// TestWorkOfAClientThatHasGoneIsDropped: when a client closes its connection the backend's is closed too, and nobody else gets the request.
+// TestClientDisconnectCancelsAttempt checks that a disconnect of the client cancels the request at the
+// backend and that the request is not retried.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	for _, path := range []string{"/stream/", "/open/", "/once/"} {
-		begun, dropped := make(chan struct{}), make(chan struct{})
+		started, cancelled := make(chan struct{}), make(chan struct{})
 		serve := func(_ http.ResponseWriter, r *http.Request) {
-			close(begun)
+			close(started)
 			<-r.Context().Done()
-			close(dropped)
+			close(cancelled)
 		}
-		r := newFixture(t, serve, serve)
-		ctx, leave := context.WithCancel(context.Background())
-		request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.frontend.URL+path, strings.NewReader("x"))
+		f := newFixture(t, serve, serve)
+		ctx, disconnect := context.WithCancel(context.Background())
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.frontend.URL+path, strings.NewReader("x"))
 		require.NoError(t, err)
 		request.Host = "h"
 		request.Header.Set(headerRequestID, "id-1")
 		request.Header.Set(headerAPIKey, "k1")
-		ended := make(chan error, 1)
+		result := make(chan error, 1)
 		go func() {
 			_, err := http.DefaultClient.Do(request)
-			ended <- err
+			result <- err
 		}()
-		<-begun
-		leave()
-		require.Error(t, <-ended)
-		<-dropped
-		require.Len(t, r.receivedRequests(), 1, path)
+		<-started
+		disconnect()
+		require.Error(t, <-result)
+		<-cancelled
+		require.Len(t, f.receivedRequests(), 1, "attempts at %s", path)
 	}
 }
 
-// TestTheRoutesTimeIsKept: a request that is not answered within its route's time gets its final answer then, also if its client would wait
-// for longer, and the backend is handed no more time than that.
+// TestRouteTimeout checks that a request gets its final response at the route's timeout, even if the
+// client would wait longer, and that the backend is given no more time than that.
 func TestRouteTimeout(t *testing.T) {
-	handed := make(chan string, 1)
-	r := newFixture(t, func(_ http.ResponseWriter, q *http.Request) {
-		handed <- q.Header.Get(headerDeadline)
-		<-q.Context().Done()
+	backendDeadline := make(chan string, 1)
+	f := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
+		backendDeadline <- r.Header.Get(headerDeadline)
+		<-r.Context().Done()
 	})
-	began := time.Now()
-	answer, _, err := r.post("/short/", "k1", "", headerDeadline, "60000")
+	startedAt := time.Now()
+	response, _, err := f.post("/short/", "k1", "", headerDeadline, "60000")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusGatewayTimeout, answer.StatusCode)
-	require.GreaterOrEqual(t, time.Since(began), shortRouteTimeout)
-	ms, err := strconv.Atoi(<-handed)
+	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
+	require.GreaterOrEqual(t, time.Since(startedAt), shortRouteTimeout, "time to the final response")
+	ms, err := strconv.Atoi(<-backendDeadline)
 	require.NoError(t, err)
-	require.LessOrEqual(t, int64(ms), shortRouteTimeout.Milliseconds())
+	require.LessOrEqual(t, int64(ms), shortRouteTimeout.Milliseconds(), "deadline at the backend in ms")
 }
 
-// TestWithoutAConfigurationNothingIsDenied: a mixer that knows no configuration yet promises that the request has not run, and is not ready.
+// TestNoConfiguration checks that a proxy without a configuration refuses requests with a status that
+// says that they were not executed.
 func TestNoConfiguration(t *testing.T) {
 	p := New(&local.Settings{IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
-	front := httptest.NewServer(http.HandlerFunc(p.serve))
-	defer front.Close()
-	answer, err := http.Get(front.URL + "/any/")
+	frontend := httptest.NewServer(http.HandlerFunc(p.serve))
+	defer frontend.Close()
+	response, err := http.Get(frontend.URL + "/any/")
 	require.NoError(t, err)
-	answer.Body.Close()
-	require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
-	require.NotEmpty(t, answer.Header.Get(headerRetryAfter))
+	response.Body.Close()
+	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
+	require.NotEmpty(t, response.Header.Get(headerRetryAfter), "Retry-After")
 }
 
-// dialFront opens a client's connection.
-func (r *fixture) dialFrontend() net.Conn {
-	r.t.Helper()
-	conn, err := net.Dial("tcp", r.frontend.Listener.Addr().String())
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { conn.Close() })
+// dialFrontend opens a client connection.
+func (f *fixture) dialFrontend() net.Conn {
+	f.t.Helper()
+	conn, err := net.Dial("tcp", f.frontend.Listener.Addr().String())
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { conn.Close() })
 	return conn
 }
 
-// TestTheRoutesTimeIsKeptWhileABodyIsRead: a client that sends its body too slowly, with a length or in chunks, gets its final answer at its
-// route's time: that the request has not run.
+// TestRouteTimeoutReadingBody checks that a client that sends its body too slowly is refused at the
+// route's timeout, with a status that says that the request was not executed.
 func TestRouteTimeoutReadingBody(t *testing.T) {
 	for name, text := range map[string]string{
-		"with a length": "Content-Length: 100\r\n\r\nhalf",
-		"in chunks":     "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-		"not begun":     "Content-Length: 100\r\n\r\n",
+		"with Content-Length": "Content-Length: 100\r\n\r\nhalf",
+		"chunked":             "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+		"no body bytes":       "Content-Length: 100\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newFixture(t, serveOK)
-			conn := r.dialFrontend()
-			began := time.Now()
+			f := newFixture(t, serveOK)
+			conn := f.dialFrontend()
+			startedAt := time.Now()
 			fmt.Fprintf(conn, "POST /short/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: id-1\r\nApi-Key: k1\r\n%s", text)
-			require.NoError(t, conn.SetReadDeadline(began.Add(finalResponseLimit)))
-			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			require.NoError(t, conn.SetReadDeadline(startedAt.Add(finalResponseLimit)))
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			require.NoError(t, err)
-			require.Equal(t, http.StatusRequestTimeout, answer.StatusCode)
-			require.GreaterOrEqual(t, time.Since(began), shortRouteTimeout)
-			require.True(t, answer.Close, "what is left of the body is no request")
-			require.Empty(t, r.receivedRequests())
+			require.Equal(t, http.StatusRequestTimeout, response.StatusCode)
+			require.GreaterOrEqual(t, time.Since(startedAt), shortRouteTimeout, "time to the final response")
+			require.True(t, response.Close, "Connection: close, because the rest of the body is no request")
+			require.Empty(t, f.receivedRequests(), "requests at the backend")
 		})
 	}
 }
 
-// TestTheRoutesTimeIsKeptBehindAHead: a backend sends the head of its answer in time and no byte of its body.
+// TestRouteTimeoutAfterResponseHeader checks the timeout for a backend that sends a response header but
+// no byte of the body.
 func TestRouteTimeoutAfterResponseHeader(t *testing.T) {
-	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headerResponseSeal, "seal")
 		w.WriteHeader(http.StatusOK)
 		http.NewResponseController(w).Flush()
-		<-q.Context().Done()
+		<-r.Context().Done()
 	})
-	began := time.Now()
-	answer, _, err := r.post("/short/", "k1", "")
+	startedAt := time.Now()
+	response, _, err := f.post("/short/", "k1", "")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusGatewayTimeout, answer.StatusCode)
-	require.Less(t, time.Since(began), finalResponseLimit)
+	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
+	require.Less(t, time.Since(startedAt), finalResponseLimit, "time to the final response")
 }
 
-// TestAConnectionServesOnBehindABody: the time for reading one request's body does not end the connection's next request.
+// TestReadDeadlineResetBetweenRequests checks that the read deadline for the body of one request does
+// not end the next request on the connection.
 func TestReadDeadlineResetBetweenRequests(t *testing.T) {
 	release := make(chan struct{})
-	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
-		if q.URL.Path == "/once/slow" {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/once/slow" {
 			<-release
 		}
-		serveOK(w, q)
+		serveOK(w, r)
 	})
-	conn := r.dialFrontend()
+	conn := f.dialFrontend()
 	reader := bufio.NewReader(conn)
-	ask := func(path string) *http.Response {
+	post := func(path string) *http.Response {
 		fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: id-1\r\nApi-Key: k1\r\nContent-Length: 4\r\n\r\nbody", path)
-		answer, err := http.ReadResponse(reader, nil)
+		response, err := http.ReadResponse(reader, nil)
 		require.NoError(t, err)
-		_, err = io.Copy(io.Discard, answer.Body)
+		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
-		return answer
+		return response
 	}
-	require.Equal(t, http.StatusOK, ask("/short/").StatusCode)
-	time.AfterFunc(2*shortRouteTimeout, func() { close(release) }) // the first one's time is over then
-	require.Equal(t, http.StatusOK, ask("/once/slow").StatusCode)
+	require.Equal(t, http.StatusOK, post("/short/").StatusCode)
+	time.AfterFunc(2*shortRouteTimeout, func() { close(release) }) // after the deadline of the first request
+	require.Equal(t, http.StatusOK, post("/once/slow").StatusCode)
 }
 
-// goneLimit is within what time work for a client that has left must end.
+// disconnectLimit bounds the time from a client's disconnect to the end of the work for it.
 const disconnectLimit = 500 * time.Millisecond
 
-// TestAClientLeavesWhileItsBodyIsRead: nothing is sent on for it.
+// TestClientDisconnectReadingBody checks that a request whose client disconnects while its body is read
+// is not forwarded.
 func TestClientDisconnectReadingBody(t *testing.T) {
-	r := newFixture(t, serveOK)
-	conn := r.dialFrontend()
+	f := newFixture(t, serveOK)
+	conn := f.dialFrontend()
 	fmt.Fprintf(conn, "POST /stream/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: id-1\r\nApi-Key: k1\r\nContent-Length: 100\r\n\r\nhalf")
-	require.Eventually(t, func() bool { return r.proxy.counters.inFlight.Load() == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.proxy.counters.inFlight.Load() == 1 }, time.Second, time.Millisecond)
 	conn.Close()
-	require.Eventually(t, func() bool { return r.proxy.counters.inFlight.Load() == 0 }, disconnectLimit, time.Millisecond)
-	require.Empty(t, r.receivedRequests())
+	require.Eventually(t, func() bool { return f.proxy.counters.inFlight.Load() == 0 }, disconnectLimit, time.Millisecond)
+	require.Empty(t, f.receivedRequests(), "requests at the backend")
 }
 
-// TestTheRoutesTimeIsKeptForAClientThatTakesNoBytes: its answer ends at the route's time, and so does the backend's work.
+// TestRouteTimeoutBlockedClient checks that the response to a client that reads nothing ends at the
+// route's timeout, and with it the backend's work.
 func TestRouteTimeoutBlockedClient(t *testing.T) {
-	dropped := make(chan struct{})
-	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
-		defer close(dropped)
+	cancelled := make(chan struct{})
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+		defer close(cancelled)
 		w.Header().Set(headerResponseSeal, "seal")
 		for piece := make([]byte, 1<<20); ; {
 			if _, err := w.Write(piece); err != nil {
@@ -179,32 +185,32 @@
 			}
 		}
 	})
-	conn := r.dialFrontend()
+	conn := f.dialFrontend()
 	fmt.Fprintf(conn, "POST /short/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: id-1\r\nApi-Key: k1\r\nContent-Length: 0\r\n\r\n")
 	select {
-	case <-dropped:
+	case <-cancelled:
 	case <-time.After(finalResponseLimit):
-		require.Fail(t, "the backend is still at work")
+		require.Fail(t, "backend request not cancelled", "%v after its start", finalResponseLimit)
 	}
-	require.Eventually(t, func() bool { return r.proxy.endReasons.count(endReasonDeadlineExceeded) == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.proxy.endReasons.count(endReasonDeadlineExceeded) == 1 }, time.Second, time.Millisecond)
 }
 
-// TestARepeatEndsNoLaterThanTheFirst: each backend that a request is sent to is handed what is left of one and the same time.
+// TestRetrySharesDeadline checks that all attempts of a request get the same deadline.
 func TestRetrySharesDeadline(t *testing.T) {
-	const works, slack = 100 * time.Millisecond, 20 * time.Millisecond
-	ends := make(chan time.Time, 2)
-	breaksOffLate := func(_ http.ResponseWriter, q *http.Request) {
-		ms, _ := strconv.Atoi(q.Header.Get(headerDeadline))
-		ends <- time.Now().Add(time.Duration(ms) * time.Millisecond)
-		time.Sleep(works)
+	const workTime, tolerance = 100 * time.Millisecond, 20 * time.Millisecond
+	deadlines := make(chan time.Time, 2)
+	abortLate := func(_ http.ResponseWriter, r *http.Request) {
+		ms, _ := strconv.Atoi(r.Header.Get(headerDeadline))
+		deadlines <- time.Now().Add(time.Duration(ms) * time.Millisecond)
+		time.Sleep(workTime)
 		panic(http.ErrAbortHandler)
 	}
-	r := newFixture(t, breaksOffLate, breaksOffLate)
-	asked := time.Now()
-	_, _, err := r.post("/stream/", "k1", "", headerDeadline, "1000")
+	f := newFixture(t, abortLate, abortLate)
+	startedAt := time.Now()
+	_, _, err := f.post("/stream/", "k1", "", headerDeadline, "1000")
 	require.NoError(t, err)
-	require.Len(t, ends, 2)
+	require.Len(t, deadlines, 2, "attempts")
 	for range 2 {
-		require.WithinRange(t, <-ends, asked.Add(time.Second-slack), asked.Add(time.Second+slack))
+		require.WithinRange(t, <-deadlines, startedAt.Add(time.Second-tolerance), startedAt.Add(time.Second+tolerance))
 	}
 }
--- a/internal/proxy/events_test.go
+++ b/internal/proxy/events_test.go
@@ -6,19 +6,21 @@
 	"github.com/stretchr/testify/require"
 )
 
+// sampleEvents is a stream whose last event has another field before its ID.
 const sampleEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nversions: 3\nid: 3\ndata: c\n\n"
 
-// TestEventsAtEverySplit passes a stream on in two pieces, cut at each byte.
+// TestEventFilterSplitInput feeds a stream in two pieces, split at each byte.
 func TestEventFilterSplitInput(t *testing.T) {
 	for at := range len(sampleEvents) {
 		e := &eventFilter{}
 		out := string(e.filter([]byte(sampleEvents[:at]))) + string(e.filter([]byte(sampleEvents[at:])))
-		require.Equal(t, sampleEvents, out, "cut at %d", at)
+		require.Equal(t, sampleEvents, out, "forwarded events, input split at byte %d", at)
 		require.Equal(t, "3", e.lastID)
 	}
 }
 
-// TestAStreamIsTakenUpAtEveryCut cuts a stream at each byte and goes on behind the last event, at a backend that may repeat it.
+// TestEventFilterResume breaks a stream off at each byte and resumes it after the last complete event,
+// at a backend that may repeat earlier events.
 func TestEventFilterResume(t *testing.T) {
 	for at := range len(sampleEvents) {
 		for _, repeats := range []bool{false, true} {
@@ -30,7 +32,7 @@
 				rest = sampleEvents
 			}
 			out += string(e.filter([]byte(rest)))
-			require.Equal(t, sampleEvents, out, "cut at %d", at)
+			require.Equal(t, sampleEvents, out, "forwarded events, stream broken off at byte %d, repeated events: %v", at, repeats)
 		}
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -21,6 +21,7 @@
 	"nettlefold/internal/superseded"
 )
 
+// testConfig is the configuration of newFixture.
 const testConfig = `{"version":1,"routes":[
  {"host":"h","path_prefix":"/once/","kind":"non_idempotent","timeout_ms":3000,"target_latency_ms":300,"max_attempts":3,"service":"llm"},
  {"host":"h","path_prefix":"/stream/","kind":"streaming","timeout_ms":3000,"target_latency_ms":1000,"max_attempts":2,"service":"llm","resumable":true},
@@ -31,36 +32,36 @@
  "limits":{"max_body_bytes":1000},
  "tenants":[{"name":"t1","api_keys":["k1"],"priority":1},{"name":"walled","api_keys":["k2"],"isolated":true}]}`
 
-// shortRoute is the time of the route /short/.
+// shortRouteTimeout is the timeout of the route /short/ of testConfig.
 const shortRouteTimeout = 100 * time.Millisecond
 
-// rigVersionLimit is how long a request may begin on weights that are superseded.
+// testVersionLimit is how long a request may start on a superseded model version.
 const testVersionLimit = time.Hour
 
-// rig is a proxy that was fed by hand, and its backends.
+// fixture is a proxy with test backends that gets its feed replies from the test.
 type fixture struct {
 	t        *testing.T
 	proxy    *Proxy
 	frontend *httptest.Server
 	mu       sync.Mutex
-	received []*http.Request // by backends, in their order
+	received []*http.Request // requests received by all backends, in order
 }
 
-// newRig feeds a proxy a list of backends, each served by a function.
+// newFixture starts a proxy with one backend for each handler. The backends have the IDs i-0, i-1, ...
 func newFixture(t *testing.T, backends ...http.HandlerFunc) *fixture {
 	t.Helper()
 	settings := &local.Settings{IP: "10.0.0.1", Zone: "a", FirstPort: 7340}
 	settings.Bounds.Version = testVersionLimit
 	settings.Bounds.RetryBudgetRatio, settings.Bounds.RetryBudgetSlack, settings.Bounds.BudgetWindow = 0.2, 100, 10*time.Second
-	r := &fixture{t: t, proxy: New(settings, zerolog.Nop())}
+	f := &fixture{t: t, proxy: New(settings, zerolog.Nop())}
 	list := &feed.List{Revision: 1}
 	for i, serve := range backends {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 			body, _ := io.ReadAll(request.Body)
 			request.Body = io.NopCloser(strings.NewReader(string(body)))
-			r.mu.Lock()
-			r.received = append(r.received, request)
-			r.mu.Unlock()
+			f.mu.Lock()
+			f.received = append(f.received, request)
+			f.mu.Unlock()
 			w.Header().Set(headerRequestID, request.Header.Get(headerRequestID))
 			serve(w, request)
 		}))
@@ -69,67 +70,73 @@
 			ID: fmt.Sprint("i-", i), Service: "llm", Addr: server.Listener.Addr().String(), Zone: "a", Slots: 64, Versions: map[string]int64{"m": 1},
 		})
 	}
-	go r.proxy.commandLoop()
-	t.Cleanup(func() { close(r.proxy.done) })
-	r.proxy.execute(func() {
-		r.proxy.applyReply(r.proxy.now(), &feed.Reply{
+	go f.proxy.commandLoop()
+	t.Cleanup(func() { close(f.proxy.done) })
+	f.proxy.execute(func() {
+		f.proxy.applyReply(f.proxy.now(), &feed.Reply{
 			AgentID: "a1", List: list, Snapshot: &distribute.Snapshot{Seq: 1, ConfigSeq: 1, Config: []byte(testConfig)},
 			Members: &distribute.MemberSet{Digest: 1, Agents: []distribute.Agent{{ID: "a1", Addr: "10.0.0.1:7340"}}},
 		})
 	})
-	r.frontend = httptest.NewUnstartedServer(nil)
-	r.frontend.Config, r.frontend.Listener = r.proxy.newServer(), clientListener{r.frontend.Listener}
-	r.frontend.Start()
-	t.Cleanup(r.frontend.Close)
-	return r
+	f.frontend = httptest.NewUnstartedServer(nil)
+	f.frontend.Config, f.frontend.Listener = f.proxy.newServer(), clientListener{f.frontend.Listener}
+	f.frontend.Start()
+	t.Cleanup(f.frontend.Close)
+	return f
 }
 
-// requests gives what the backends saw so far.
-func (r *fixture) receivedRequests() []*http.Request {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]*http.Request(nil), r.received...)
+// receivedRequests returns the requests that the backends have received so far.
+func (f *fixture) receivedRequests() []*http.Request {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]*http.Request(nil), f.received...)
 }
 
-// ask sends a request of a client. The answer's body is read; the error is its end's.
-func (r *fixture) post(path, key, body string, headers ...string) (*http.Response, string, error) {
-	r.t.Helper()
-	request, err := http.NewRequest(http.MethodPost, r.frontend.URL+path, strings.NewReader(body))
-	require.NoError(r.t, err)
+// post sends a request with extra headers (name, value, ...) and reads the whole response body. It
+// returns an error if the body ends prematurely.
+func (f *fixture) post(path, key, body string, headers ...string) (*http.Response, string, error) {
+	f.t.Helper()
+	request, err := http.NewRequest(http.MethodPost, f.frontend.URL+path, strings.NewReader(body))
+	require.NoError(f.t, err)
 	request.Host = "h"
 	request.Header.Set(headerRequestID, "id-1")
 	request.Header.Set(headerAPIKey, key)
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, "", err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	return answer, string(text), err
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	return response, string(text), err
 }
 
+// serveOK is a backend that responds successfully.
 func serveOK(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(headerResponseSeal, "seal")
 	io.WriteString(w, "done")
 }
 
+// serveNotExecuted is a backend that refuses a request as not executed.
 func serveNotExecuted(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(headerNotExecuted, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
+// serveMisdirected is a backend that responds as an instance other than the expected one.
 func serveMisdirected(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusMisdirectedRequest)
 }
 
-// breaksOff ends the connection with no answer: the request may have run.
+// abortConnection closes the connection without a response, so the request may have been executed.
 func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
+// TestRefusedRequests checks the statuses of requests that the configuration does not allow, and of a
+// request that arrives before any configuration.
 func TestRefusedRequests(t *testing.T) {
-	r := newFixture(t, serveOK)
+	f := newFixture(t, serveOK)
 	for _, c := range []struct {
 		path, key, body string
 		status          int
@@ -141,70 +148,77 @@
 		{"/open/x", "", "", 200},
 		{"/once/x", "k1", "", 200},
 	} {
-		answer, _, err := r.post(c.path, c.key, c.body)
+		response, _, err := f.post(c.path, c.key, c.body)
 		require.NoError(t, err)
-		require.Equal(t, c.status, answer.StatusCode, "%s %s", c.path, c.key)
+		require.Equal(t, c.status, response.StatusCode, "status of %s with key %q", c.path, c.key)
 	}
-	require.Len(t, r.receivedRequests(), 2)
-	fresh := New(&local.Settings{IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
+	require.Len(t, f.receivedRequests(), 2, "requests forwarded to the backend")
+	unconfigured := New(&local.Settings{IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
 	recorder := httptest.NewRecorder()
-	fresh.serve(recorder, httptest.NewRequest(http.MethodPost, "/once/x", nil))
-	require.Equal(t, 503, recorder.Code, "no configuration yet is no 404")
-	require.NotEmpty(t, recorder.Header().Get(headerRetryAfter))
+	unconfigured.serve(recorder, httptest.NewRequest(http.MethodPost, "/once/x", nil))
+	require.Equal(t, 503, recorder.Code, "status without a configuration")
+	require.NotEmpty(t, recorder.Header().Get(headerRetryAfter), "Retry-After without a configuration")
 }
 
+// TestForwardedRequest checks which parts of a request and which headers reach the backend.
 func TestForwardedRequest(t *testing.T) {
-	r := newFixture(t, serveOK)
-	answer, text, err := r.post("/stream/a//b?c=%2F", "k2", "the body",
+	f := newFixture(t, serveOK)
+	response, text, err := f.post("/stream/a//b?c=%2F", "k2", "the body",
 		headerModel, "m", headerTokenUsage, "120,10", headerPromptPrefix, "p1:100,p2:20", headerDeadline, "2000",
-		headerCacheSalt, "mine", headerTenantName, "somebody", headerExpectedInstance, "other", headerKVFetch, "10.9.9.9:1", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "yes")
+		headerCacheSalt, "mine", headerTenantName, "somebody", headerExpectedInstance, "other", headerKVFetch, "10.9.9.9:1",
+		"Connection", "X-Hop", "X-Hop", "1", "X-Kept", "yes")
 	require.NoError(t, err)
 	require.Equal(t, "done", text)
-	require.Equal(t, "seal", answer.Header.Get(headerResponseSeal))
-	seen := r.receivedRequests()[0]
-	require.Equal(t, "/stream/a//b?c=%2F", seen.RequestURI)
-	require.Equal(t, "h", seen.Host)
-	body, _ := io.ReadAll(seen.Body)
+	require.Equal(t, "seal", response.Header.Get(headerResponseSeal))
+	received := f.receivedRequests()[0]
+	require.Equal(t, "/stream/a//b?c=%2F", received.RequestURI)
+	require.Equal(t, "h", received.Host)
+	body, _ := io.ReadAll(received.Body)
 	require.Equal(t, "the body", string(body))
 	for name, want := range map[string]string{
 		headerExpectedInstance: "i-0", headerTenantName: "walled", headerCacheSalt: "v1/walled", headerExpectVersion: "1", headerAPIKey: "", headerKVFetch: "",
 		"X-Hop": "", "X-Kept": "yes", headerModel: "m", headerPromptPrefix: "p1:100,p2:20", headerRequestID: "id-1",
 	} {
-		require.Equal(t, want, seen.Header.Get(name), name)
+		require.Equal(t, want, received.Header.Get(name), "header %s at the backend", name)
 	}
-	require.NotEqual(t, "2000", seen.Header.Get(headerDeadline), "it is handed what is left")
+	require.NotEqual(t, "2000", received.Header.Get(headerDeadline), "deadline at the backend: want the remaining ms")
 }
 
+// TestRetryNotExecuted checks that a request that was not executed is retried up to max_attempts, also
+// if it is not idempotent.
 func TestRetryNotExecuted(t *testing.T) {
 	for name, first := range map[string]http.HandlerFunc{"not executed": serveNotExecuted, "another instance": serveMisdirected} {
 		t.Run(name, func(t *testing.T) {
-			r := newFixture(t, first, first, first, first)
-			answer, _, err := r.post("/once/x", "k1", "")
+			f := newFixture(t, first, first, first, first)
+			response, _, err := f.post("/once/x", "k1", "")
 			require.NoError(t, err)
-			require.Equal(t, 503, answer.StatusCode, "a promise: it has not run")
-			require.Len(t, r.receivedRequests(), 3, "three attempts and no more")
-			require.NotEmpty(t, answer.Header.Get(headerRetryAfter))
+			require.Equal(t, 503, response.StatusCode, "status of a request that was not executed")
+			require.Len(t, f.receivedRequests(), 3, "attempts")
+			require.NotEmpty(t, response.Header.Get(headerRetryAfter), "Retry-After")
 		})
 	}
 }
 
+// TestNoRetryOfNonIdempotentRequest checks that a non-idempotent request is not retried if it may have
+// been executed. Its status must not be 429, 503, 408 or 421, which promise that it was not executed.
 func TestNoRetryOfNonIdempotentRequest(t *testing.T) {
-	r := newFixture(t, abortConnection, abortConnection)
-	answer, _, err := r.post("/once/x", "k1", "")
+	f := newFixture(t, abortConnection, abortConnection)
+	response, _, err := f.post("/once/x", "k1", "")
 	require.NoError(t, err)
-	require.Len(t, r.receivedRequests(), 1)
-	require.Equal(t, 502, answer.StatusCode, "no 429, 503, 408 or 421: they would promise that it did not run")
+	require.Len(t, f.receivedRequests(), 1, "attempts")
+	require.Equal(t, 502, response.StatusCode, "status of a request that may have been executed")
 }
 
+// TestRetryOfRepeatableRequest checks that a repeatable request is retried up to max_attempts.
 func TestRetryOfRepeatableRequest(t *testing.T) {
-	r := newFixture(t, abortConnection, abortConnection, abortConnection)
-	answer, _, err := r.post("/stream/x", "k1", "")
+	f := newFixture(t, abortConnection, abortConnection, abortConnection)
+	response, _, err := f.post("/stream/x", "k1", "")
 	require.NoError(t, err)
-	require.Len(t, r.receivedRequests(), 2, "two attempts")
-	require.Equal(t, 502, answer.StatusCode)
+	require.Len(t, f.receivedRequests(), 2, "attempts")
+	require.Equal(t, 502, response.StatusCode)
 }
 
-// events streams some events from one on, and then ends as told.
+// writeEvents streams the events from to to, then the text partial, and then calls end.
 func writeEvents(w http.ResponseWriter, from, to int, partial string, end func()) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(headerResponseSeal, fmt.Sprint("seal-", from))
@@ -216,6 +230,8 @@
 	end()
 }
 
+// TestStreamResume checks that a stream that breaks off in an event is resumed at another backend
+// within the same response.
 func TestStreamResume(t *testing.T) {
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headerLastEvent) == "" {
@@ -224,33 +240,37 @@
 		}
 		writeEvents(w, 4, 6, "", func() {})
 	}
-	r := newFixture(t, serve, serve)
-	answer, text, err := r.post("/stream/x", "k1", "")
+	f := newFixture(t, serve, serve)
+	response, text, err := f.post("/stream/x", "k1", "")
 	require.NoError(t, err)
-	require.Equal(t, "seal-1", answer.Header.Get(headerResponseSeal), "the head of the first")
+	require.Equal(t, "seal-1", response.Header.Get(headerResponseSeal), "seal: want that of the first backend")
 	want := ""
 	for i := 1; i <= 6; i++ {
 		want += fmt.Sprintf("id: %d\ndata: %d\n\n", i, i)
 	}
 	require.Equal(t, want, text)
-	require.Equal(t, "3", r.receivedRequests()[1].Header.Get(headerLastEvent))
-	require.NotEqual(t, r.receivedRequests()[0].Header.Get(headerExpectedInstance), r.receivedRequests()[1].Header.Get(headerExpectedInstance), "at another backend")
+	received := f.receivedRequests()
+	require.Equal(t, "3", received[1].Header.Get(headerLastEvent))
+	require.NotEqual(t, received[0].Header.Get(headerExpectedInstance), received[1].Header.Get(headerExpectedInstance), "backend of the second attempt")
 }
 
+// TestNonResumableStreamAborts checks that a stream that breaks off and can't be resumed does not look
+// complete to the client.
 func TestNonResumableStreamAborts(t *testing.T) {
 	serve := func(w http.ResponseWriter, _ *http.Request) {
 		writeEvents(w, 1, 3, "", func() { panic(http.ErrAbortHandler) })
 	}
-	r := newFixture(t, serve, serve)
-	_, text, err := r.post("/cut/x", "k1", "")
-	require.Error(t, err, "it must not look complete")
-	require.Len(t, r.receivedRequests(), 1)
-	require.Equal(t, 3, strings.Count(text, "data: "), "what came was passed on")
-	_, _, err = r.post("/stream/x", "k1", "")
-	require.Error(t, err, "both attempts were cut")
+	f := newFixture(t, serve, serve)
+	_, text, err := f.post("/cut/x", "k1", "")
+	require.Error(t, err, "reading a stream that broke off on a route that is not resumable")
+	require.Len(t, f.receivedRequests(), 1, "attempts")
+	require.Equal(t, 3, strings.Count(text, "data: "), "events relayed before the stream broke off")
+	_, _, err = f.post("/stream/x", "k1", "")
+	require.Error(t, err, "reading a stream that broke off at both attempts")
 }
 
-// TestAnAnswerThatEndsWithItsConnection: an event that is not whole shows that it was cut, nothing else would.
+// TestResponseDelimitedByConnectionClose checks that a stream without a length counts as broken off if
+// it ends with an incomplete event. Nothing else shows the failure.
 func TestResponseDelimitedByConnectionClose(t *testing.T) {
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -265,45 +285,48 @@
 			io.WriteString(conn, "id: 2\ndata: x\n\nid: 3\nda")
 		}
 	}
-	r := newFixture(t, serve, serve)
-	_, text, err := r.post("/stream/x", "k1", "")
+	f := newFixture(t, serve, serve)
+	_, text, err := f.post("/stream/x", "k1", "")
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n", text)
 }
 
+// TestBackendErrorPassThrough checks that an error response of a backend is relayed unchanged.
 func TestBackendErrorPassThrough(t *testing.T) {
-	r := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerResponseSeal, "seal")
 		w.WriteHeader(http.StatusInternalServerError)
 		io.WriteString(w, "broken")
 	})
-	answer, text, err := r.post("/once/x", "k1", "")
+	response, text, err := f.post("/once/x", "k1", "")
 	require.NoError(t, err)
-	require.Equal(t, 500, answer.StatusCode)
-	require.Equal(t, "seal", answer.Header.Get(headerResponseSeal))
+	require.Equal(t, 500, response.StatusCode)
+	require.Equal(t, "seal", response.Header.Get(headerResponseSeal))
 	require.Equal(t, "broken", text)
 }
 
-// TestSnapshotsNeverGoBack: an older one that comes late changes nothing.
+// TestStaleSnapshotIgnored checks that a snapshot with a sequence number that was applied already
+// changes nothing.
 func TestStaleSnapshotIgnored(t *testing.T) {
-	r := newFixture(t, serveOK)
-	r.proxy.execute(func() {
-		r.proxy.applyReply(r.proxy.now(), &feed.Reply{AgentID: "a2", Snapshot: &distribute.Snapshot{Seq: 1, ConfigSeq: 9, Config: []byte(`{"version":1,"routes":[],"services":[]}`)}})
+	f := newFixture(t, serveOK)
+	f.proxy.execute(func() {
+		f.proxy.applyReply(f.proxy.now(), &feed.Reply{AgentID: "a2", Snapshot: &distribute.Snapshot{Seq: 1, ConfigSeq: 9, Config: []byte(`{"version":1,"routes":[],"services":[]}`)}})
 	})
-	answer, _, err := r.post("/once/x", "k1", "")
+	response, _, err := f.post("/once/x", "k1", "")
 	require.NoError(t, err)
-	require.Equal(t, 200, answer.StatusCode)
+	require.Equal(t, 200, response.StatusCode)
 }
 
-// TestWhatHasNotBegunOnOldWeightsIsTakenBack: a backend on old weights has a request and gives no answer until their limit.
+// TestFirstByteDeadlineOnSupersededWeights checks that an attempt on a superseded model version is
+// cancelled if its response has not started by the first-byte deadline.
 func TestFirstByteDeadlineOnSupersededWeights(t *testing.T) {
-	arrived, gaveUp := make(chan struct{}), make(chan struct{})
-	r := newFixture(t, func(_ http.ResponseWriter, request *http.Request) {
+	arrived, cancelled := make(chan struct{}), make(chan struct{})
+	f := newFixture(t, func(_ http.ResponseWriter, request *http.Request) {
 		close(arrived)
 		<-request.Context().Done()
-		close(gaveUp)
+		close(cancelled)
 	})
-	r.proxy.afterFunc = func(wait time.Duration, end func()) *time.Timer {
+	f.proxy.afterFunc = func(wait time.Duration, end func()) *time.Timer {
 		require.Positive(t, wait)
 		require.LessOrEqual(t, wait, testVersionLimit)
 		go func() {
@@ -312,35 +335,36 @@
 		}()
 		return time.NewTimer(wait)
 	}
-	table := r.proxy.config.Load()
+	table := f.proxy.config.Load()
 	client := httptest.NewRequest(http.MethodPost, "/stream/x", nil)
 	client.Host = "h"
 	client.Header.Set(headerAPIKey, "k1")
 	client.Header.Set(headerModel, "m")
 	q := &request{Request: client, writer: httptest.NewRecorder(), id: "id-1"}
-	require.True(t, q.resolveRoute(table, r.proxy.trafficSplitter))
+	require.True(t, q.resolveRoute(table, f.proxy.trafficSplitter))
 	require.True(t, q.readBody(table))
-	r.proxy.execute(func() {
-		versions := map[string]superseded.History{"m": superseded.History{}.With(2, r.proxy.now())}
-		r.proxy.dispatchTable.SetState(r.proxy.now(), nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, versions)
+	f.proxy.execute(func() {
+		versions := map[string]superseded.History{"m": superseded.History{}.With(2, f.proxy.now())}
+		f.proxy.dispatchTable.SetState(f.proxy.now(), nil, nil, map[string]replicated.ModelVersion{"m": {Version: 2}}, versions)
 	})
-	choice := r.proxy.pickBackend(q, nil)
-	a := r.proxy.sendAttempt(t.Context(), q, choice, []string{choice.ID}, 1, "")
+	choice := f.proxy.pickBackend(q, nil)
+	a := f.proxy.sendAttempt(t.Context(), q, choice, []string{choice.ID}, 1, "")
 	require.Error(t, a.err)
-	require.False(t, a.notExecuted(), "it may have begun unseen")
-	<-gaveUp
+	require.False(t, a.notExecuted(), "a request that reached the backend may have been executed")
+	<-cancelled
 	a.release()
 }
 
-// TestAnUnsealedSuccessIsNone: a success without its backend's seal is passed on to nobody; what it answered may have run.
+// TestUnsealedResponse checks that a success without a seal is not relayed, and is retried only on
+// repeatable routes because the request may have been executed.
 func TestUnsealedResponse(t *testing.T) {
 	unsealed := func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fake") }
-	for path, runs := range map[string]int{"/once/": 1, "/cut/": 1, "/open/": 1, "/stream/": 2} {
-		r := newFixture(t, unsealed, unsealed)
-		answer, text, err := r.post(path, "k1", "")
+	for path, attempts := range map[string]int{"/once/": 1, "/cut/": 1, "/open/": 1, "/stream/": 2} {
+		f := newFixture(t, unsealed, unsealed)
+		response, text, err := f.post(path, "k1", "")
 		require.NoError(t, err)
-		require.Equal(t, http.StatusBadGateway, answer.StatusCode, path)
+		require.Equal(t, http.StatusBadGateway, response.StatusCode, path)
 		require.NotContains(t, text, "fake")
-		require.Len(t, r.receivedRequests(), runs, "%s: it is repeated only where it may be", path)
+		require.Len(t, f.receivedRequests(), attempts, "attempts at %s", path)
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -12,83 +12,87 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNothingIsBegunThatMayOutlastTheGrace plays a request that comes at any moment about the signal, with any time of its own, under three
-// settings of the grace: after the signal it is begun exactly if it ends before the program does, however long it takes.
+// TestShutdownPlanAdmits varies the arrival of a request after the signal, its timeout and the grace
+// period. A request must be admitted exactly if its timeout ends before the shutdown does, however long
+// it takes.
 func TestShutdownPlanAdmits(t *testing.T) {
 	const step = 50 * time.Millisecond
-	at := time.Unix(1000, 0)
+	signalledAt := time.Unix(1000, 0)
 	for _, grace := range []time.Duration{2 * time.Second, 8 * time.Second, 30 * time.Second} {
-		s := newShutdownPlan(at, grace)
-		require.Equal(t, at.Add(grace-exitMargin), s.deadline, "what was begun has the whole grace")
-		for came := time.Duration(0); came <= grace; came += step {
-			for own := step; own <= 2*grace; own += step {
-				limit := at.Add(came + own)
-				latest := limit // it is answered by then, whatever its backend does
-				begun := s.admits(limit)
-				require.False(t, begun && latest.After(s.deadline), "grace %v: came after %v, has %v", grace, came, own)
-				require.Equal(t, came+own <= grace-exitMargin, begun, "grace %v: came after %v, has %v", grace, came, own)
+		s := newShutdownPlan(signalledAt, grace)
+		require.Equal(t, signalledAt.Add(grace-exitMargin), s.deadline, "deadline of requests that are running already")
+		for arrival := time.Duration(0); arrival <= grace; arrival += step {
+			for timeout := step; timeout <= 2*grace; timeout += step {
+				limit := signalledAt.Add(arrival + timeout)
+				latestEnd := limit // whatever the backend does
+				admitted := s.admits(limit)
+				require.False(t, admitted && latestEnd.After(s.deadline), "grace %v: admitted %v after the signal with timeout %v", grace, arrival, timeout)
+				require.Equal(t, arrival+timeout <= grace-exitMargin, admitted, "grace %v: admitted %v after the signal with timeout %v", grace, arrival, timeout)
 			}
 		}
 	}
-	require.False(t, newShutdownPlan(at, 0).admits(at.Add(time.Second)), "no grace at all")
+	require.False(t, newShutdownPlan(signalledAt, 0).admits(signalledAt.Add(time.Second)), "admitted without a grace period")
 }
 
+// TestRequestTracker checks that a request is tracked until it is removed.
 func TestRequestTracker(t *testing.T) {
-	o, now, q := newRequestTracker(), time.Unix(1000, 0), &request{}
-	require.Empty(t, o.unfinished())
-	ended := o.add(q, now)
-	require.Equal(t, map[*request]time.Time{q: now}, o.unfinished())
-	ended()
-	require.Empty(t, o.unfinished())
+	tracker, now, q := newRequestTracker(), time.Unix(1000, 0), &request{}
+	require.Empty(t, tracker.unfinished())
+	remove := tracker.add(q, now)
+	require.Equal(t, map[*request]time.Time{q: now}, tracker.unfinished())
+	remove()
+	require.Empty(t, tracker.unfinished())
 }
 
-// TestToldToEnd: what cannot end in time never reaches a backend and may come again at once; what can is served, its connection closed.
+// TestShutdownRefusal checks that during a shutdown a request that might outlast it is refused as not
+// executed, while a shorter one is served. Both connections are closed.
 func TestShutdownRefusal(t *testing.T) {
-	r := newFixture(t, serveOK)
-	r.proxy.shutdownPlan.Store(newShutdownPlan(time.Now(), 2*time.Second)) // routes have three
-	answer, _, err := r.post("/once/", "k1", "")
+	f := newFixture(t, serveOK)
+	f.proxy.shutdownPlan.Store(newShutdownPlan(time.Now(), 2*time.Second)) // less than the route's timeout of 3 s
+	response, _, err := f.post("/once/", "k1", "")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
-	require.NotEmpty(t, answer.Header.Get(headerRetryAfter))
-	require.True(t, answer.Close)
-	require.Empty(t, r.receivedRequests())
-	r.proxy.shutdownPlan.Store(newShutdownPlan(time.Now(), time.Minute))
-	answer, text, err := r.post("/once/", "k1", "")
+	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
+	require.NotEmpty(t, response.Header.Get(headerRetryAfter), "Retry-After")
+	require.True(t, response.Close, "Connection: close on a refused request")
+	require.Empty(t, f.receivedRequests(), "requests at the backend")
+	f.proxy.shutdownPlan.Store(newShutdownPlan(time.Now(), time.Minute))
+	response, text, err := f.post("/once/", "k1", "")
 	require.NoError(t, err)
 	require.Equal(t, "done", text)
-	require.True(t, answer.Close)
+	require.True(t, response.Close, "Connection: close on a served request")
 }
 
-// TestBegunBeforeTheSignal: a stream that runs is not cut by it.
+// TestStreamSurvivesShutdownSignal checks that the signal does not abort a running stream.
 func TestStreamSurvivesShutdownSignal(t *testing.T) {
-	begun, goOn := make(chan struct{}), make(chan struct{})
-	r := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+	started, resume := make(chan struct{}), make(chan struct{})
+	f := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerResponseSeal, "seal")
 		io.WriteString(w, "id: 1\n\n")
 		http.NewResponseController(w).Flush()
-		close(begun)
-		<-goOn
+		close(started)
+		<-resume
 		io.WriteString(w, "id: 2\n\n")
 	})
 	got := make(chan string, 1)
 	go func() {
-		_, text, _ := r.post("/cut/", "k1", "")
+		_, text, _ := f.post("/cut/", "k1", "")
 		got <- text
 	}()
-	<-begun
-	r.proxy.shutdownPlan.Store(newShutdownPlan(time.Now(), time.Second))
-	close(goOn)
+	<-started
+	f.proxy.shutdownPlan.Store(newShutdownPlan(time.Now(), time.Second))
+	close(resume)
 	require.Equal(t, "id: 1\n\nid: 2\n\n", <-got)
 }
 
-// crossingListener accepts connections on which one request crosses their close.
+// closeRaceListener accepts connections on which a request arrives just as they are closed.
 type closeRaceListener struct {
 	net.Listener
 	armed  chan struct{} // closed before that request is sent
-	close  func()        // has the connection closed
+	close  func()        // makes the server close the connection
 	served chan struct{} // closed when that request has been served
 }
 
+// Accept waits for the next connection and wraps it in a closeRaceConn.
 func (l *closeRaceListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -97,7 +101,8 @@
 	return &closeRaceConn{Conn: conn, listener: l, closed: make(chan struct{})}, nil
 }
 
-// crossingConn hands on the first bytes that come after it was armed when it has been closed.
+// closeRaceConn delays the first bytes read after the listener was armed until the server has closed
+// the connection.
 type closeRaceConn struct {
 	net.Conn
 	listener *closeRaceListener
@@ -105,14 +110,15 @@
 	closed   chan struct{}
 }
 
-func (c *closeRaceConn) Read(into []byte) (int, error) {
+// Read reads bytes, or waits until the racing request has been served if the connection is closed.
+func (c *closeRaceConn) Read(buffer []byte) (int, error) {
 	select {
 	case <-c.closed:
-		<-c.listener.served // its end is seen late
+		<-c.listener.served // delays the detection of the close
 		return 0, net.ErrClosed
 	default:
 	}
-	n, err := c.Conn.Read(into)
+	n, err := c.Conn.Read(buffer)
 	select {
 	case <-c.listener.armed:
 		if n > 0 {
@@ -124,6 +130,7 @@
 	return n, err
 }
 
+// Close closes the connection once the racing request has been served.
 func (c *closeRaceConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
@@ -132,28 +139,29 @@
 	return c.Conn.Close()
 }
 
-// TestARequestThatCrossesItsConnectionsCloseIsNotPassedOn: it is read as the connection is closed for the program's end.
+// TestRequestRacingConnectionClose checks that a request that is read just as its connection is closed
+// for the shutdown is not forwarded, because it could not be answered.
 func TestRequestRacingConnectionClose(t *testing.T) {
-	r := newFixture(t, serveOK)
+	f := newFixture(t, serveOK)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server, plan := r.proxy.newServer(), newShutdownPlan(time.Now(), time.Minute)
+	server, plan := f.proxy.newServer(), newShutdownPlan(time.Now(), time.Minute)
 	stopped := make(chan struct{})
-	crossing := &closeRaceListener{Listener: listener, armed: make(chan struct{}), served: make(chan struct{})}
-	crossing.close = sync.OnceFunc(func() {
-		r.proxy.shutdownPlan.Store(plan)
+	raceListener := &closeRaceListener{Listener: listener, armed: make(chan struct{}), served: make(chan struct{})}
+	raceListener.close = sync.OnceFunc(func() {
+		f.proxy.shutdownPlan.Store(plan)
 		go func() {
-			r.proxy.closeConnections(server, plan)
+			f.proxy.closeConnections(server, plan)
 			close(stopped)
 		}()
 	})
-	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
-			if r.proxy.shutdownPlan.Load() != nil {
-				close(crossing.served)
+			if f.proxy.shutdownPlan.Load() != nil {
+				close(raceListener.served)
 			}
 		}()
-		r.proxy.serve(w, q)
+		f.proxy.serve(w, r)
 	})
 	idle := make(chan struct{}, 2)
 	server.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -161,20 +169,20 @@
 			idle <- struct{}{}
 		}
 	}
-	go server.Serve(crossing)
+	go server.Serve(raceListener)
 	client, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer client.Close()
 	const request = "GET /open/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: id-1\r\n\r\n"
 	io.WriteString(client, request)
-	answer, err := http.ReadResponse(bufio.NewReader(client), nil)
+	response, err := http.ReadResponse(bufio.NewReader(client), nil)
 	require.NoError(t, err)
-	_, err = io.Copy(io.Discard, answer.Body)
+	_, err = io.Copy(io.Discard, response.Body)
 	require.NoError(t, err)
-	require.Len(t, r.receivedRequests(), 1)
+	require.Len(t, f.receivedRequests(), 1, "requests at the backend before the race")
 	<-idle
-	close(crossing.armed)
+	close(raceListener.armed)
 	io.WriteString(client, request)
 	<-stopped
-	require.Len(t, r.receivedRequests(), 1, "it has no answer, and may have none")
+	require.Len(t, f.receivedRequests(), 1, "requests at the backend after the race")
 }
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/stall_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pausing is a backend that streams an event, stands still until it is released, and streams another.
+// pausingBackend streams an event, pauses until it is released, and streams another event.
 type pausingBackend struct {
 	released chan struct{}
 	once     sync.Once
@@ -26,15 +26,17 @@
 	return &pausingBackend{released: make(chan struct{})}
 }
 
+// serve handles a request.
 func (b *pausingBackend) serve(w http.ResponseWriter, _ *http.Request) {
 	writeEvents(w, 1, 1, "", func() {})
 	<-b.released
 	io.WriteString(w, "id: 2\ndata: 2\n\n")
 }
 
+// release ends the pause; further calls do nothing.
 func (b *pausingBackend) release() { b.once.Do(func() { close(b.released) }) }
 
-// eventTexts is the text of a stream's events.
+// eventText returns the text that writeEvents streams for the events from to to.
 func eventText(from, to int) (text string) {
 	for i := from; i <= to; i++ {
 		text += fmt.Sprintf("id: %d\ndata: %d\n\n", i, i)
@@ -42,36 +44,36 @@
 	return text
 }
 
-// open begins a request of a client and reads its answer up to the end of the first event.
-func (r *fixture) openStream(path string) (rest *bufio.Reader, first string) {
-	r.t.Helper()
-	request, err := http.NewRequest(http.MethodPost, r.frontend.URL+path, nil)
-	require.NoError(r.t, err)
+// openStream sends a request and reads its response up to the end of the first event.
+func (f *fixture) openStream(path string) (rest *bufio.Reader, first string) {
+	f.t.Helper()
+	request, err := http.NewRequest(http.MethodPost, f.frontend.URL+path, nil)
+	require.NoError(f.t, err)
 	request.Host = "h"
 	request.Header.Set(headerRequestID, "id-1")
 	request.Header.Set(headerAPIKey, "k1")
-	answer, err := http.DefaultClient.Do(request)
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { answer.Body.Close() })
-	rest = bufio.NewReader(answer.Body)
+	response, err := http.DefaultClient.Do(request)
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { response.Body.Close() })
+	rest = bufio.NewReader(response.Body)
 	for !strings.HasSuffix(first, "\n\n") {
 		line, err := rest.ReadString('\n')
-		require.NoError(r.t, err)
+		require.NoError(f.t, err)
 		first += line
 	}
 	return rest, first
 }
 
-// TestASilentStreamGoesOnWhereNoOtherBackendMayTakeIt: an engine that has no memory left stops a stream for seconds and goes on with it.
-// While nobody else may take the stream up, its answer is not ended for that.
+// TestStalledStreamWithoutAlternative checks that a stalled stream is not aborted if no other backend
+// may resume it: an engine that runs out of memory stops a stream for seconds and then continues it.
 func TestStalledStreamWithoutAlternative(t *testing.T) {
 	backend := newPausingBackend()
-	r := newFixture(t, backend.serve)
+	f := newFixture(t, backend.serve)
 	t.Cleanup(backend.release)
-	rest, first := r.openStream("/stream/x")
-	r.proxy.handleOverdue(r.proxy.now() + 10*time.Second)
-	for a := range r.proxy.attempts.active {
-		require.NoError(t, a.ctx.Err(), "the attempt goes on")
+	rest, first := f.openStream("/stream/x")
+	f.proxy.handleOverdue(f.proxy.now() + 10*time.Second)
+	for a := range f.proxy.attempts.active {
+		require.NoError(t, a.ctx.Err(), "context of the attempt")
 	}
 	backend.release()
 	more, err := io.ReadAll(rest)
@@ -79,13 +81,13 @@
 	require.Equal(t, eventText(1, 2), first+string(more))
 }
 
-// stage is a backend that does what it is told, step by step.
+// scriptedBackend performs the steps that it receives.
 type scriptedBackend struct {
-	firstEvent int // the event that it begins with
+	firstEvent int // number of the first event to stream
 	steps      chan string
 }
 
-// serve streams an event for each "event", and ends as told: "whole", "broken" or "refused".
+// serve streams an event for each "event", and ends the response on "whole", "broken" or "refused".
 func (b *scriptedBackend) serve(w http.ResponseWriter, r *http.Request) {
 	next := b.firstEvent
 	if last, err := strconv.Atoi(r.Header.Get(headerLastEvent)); err == nil {
@@ -115,7 +117,7 @@
 	}
 }
 
-// permutations gives all orders of some steps.
+// permutations returns all orders of the steps.
 func permutations(steps []string) (orders [][]string) {
 	if len(steps) == 0 {
 		return [][]string{nil}
@@ -129,8 +131,9 @@
 	return orders
 }
 
-// TestEveryOrderOfATakeover has a stream of four events stand still, and plays what either backend may do then in every order: each event
-// reaches the client once and in its order, and the answer is whole unless the backend that goes on breaks off and no attempt is left.
+// TestTakeoverOrders stalls a stream of four events and then runs the possible steps of both backends in
+// every order. Each event must reach the client once and in order. The response must be complete unless
+// the backend that continues it breaks off and no attempt is left.
 func TestTakeoverOrders(t *testing.T) {
 	sets := [][]string{
 		{"old event", "old whole", "new event", "new whole"},
@@ -147,42 +150,45 @@
 	}
 }
 
-// playTakeover plays one order of steps.
+// runTakeoverOrder runs one order of steps.
 func runTakeoverOrder(t *testing.T, order []string) {
 	t.Helper()
-	stages := map[string]*scriptedBackend{"old": {1, make(chan string, 8)}, "new": {1, make(chan string, 8)}}
-	var roles sync.Map // by the backend's identity
+	backends := map[string]*scriptedBackend{"old": {1, make(chan string, 8)}, "new": {1, make(chan string, 8)}}
+	var roles sync.Map // by backend ID
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		role := "old"
 		if r.Header.Get(headerLastEvent) != "" {
 			role = "new"
 		}
 		roles.Store(r.Header.Get(headerExpectedInstance), role)
-		stages[role].serve(w, r)
+		backends[role].serve(w, r)
 	}
-	r := newFixture(t, serve, serve)
-	stages["old"].steps <- "event"
-	rest, text := r.openStream("/stream/x")
-	r.proxy.handleOverdue(r.proxy.now() + 10*time.Second)
+	f := newFixture(t, serve, serve)
+	backends["old"].steps <- "event"
+	rest, text := f.openStream("/stream/x")
+	f.proxy.handleOverdue(f.proxy.now() + 10*time.Second)
 	for _, step := range order {
-		role, what, _ := strings.Cut(step, " ")
-		stages[role].steps <- what
+		role, action, _ := strings.Cut(step, " ")
+		backends[role].steps <- action
 	}
 	more, err := io.ReadAll(rest)
 	text += string(more)
-	require.True(t, strings.HasPrefix(eventText(1, 4), text), "%v: %q", order, text)
+	require.True(t, strings.HasPrefix(eventText(1, 4), text), "order %v: got %q, want a prefix of %q", order, text, eventText(1, 4))
 	if err == nil {
-		require.Equal(t, eventText(1, 4), text, "%v", order)
+		require.Equal(t, eventText(1, 4), text, "complete response, order %v", order)
 		return
 	}
-	broke, spoke := slices.Index(order, "old broken"), slices.Index(order, "old event")
-	oldBroke := broke >= 0
-	usedUp := oldBroke && spoke >= 0 && spoke < broke // the other backend was given up for it, and there is no third attempt
+	breakIndex, eventIndex := slices.Index(order, "old broken"), slices.Index(order, "old event")
+	oldBroke := breakIndex >= 0
+	// The old backend's event ended the takeover, which has used up the second and last attempt.
+	attemptsUsedUp := oldBroke && eventIndex >= 0 && eventIndex < breakIndex
 	newFailed := slices.Contains(order, "new refused") || slices.Contains(order, "new broken")
-	require.True(t, oldBroke && newFailed || usedUp || slices.Contains(order, "new broken") && slices.Contains(order, "new event"), "%v: %v", order, err)
+	require.True(t, oldBroke && newFailed || attemptsUsedUp || slices.Contains(order, "new broken") && slices.Contains(order, "new event"),
+		"order %v: got error %v, want a complete response", order, err)
 }
 
-// TestARequestThatWaitsAtASilentBackend: before its answer has begun it goes to another backend if there is one, and else stays where it is.
+// TestRequestAtStalledBackend checks that a request whose response has not started moves from a stalled
+// backend to another one if there is one, and otherwise stays.
 func TestRequestAtStalledBackend(t *testing.T) {
 	for others := range 2 {
 		old, arrived := &scriptedBackend{1, make(chan string, 8)}, make(chan struct{}, 2)
@@ -198,73 +204,76 @@
 			old.serve(w, r)
 		}
 		backends := []http.HandlerFunc{serve, serve}[:1+others]
-		r := newFixture(t, backends...)
+		f := newFixture(t, backends...)
 		got := make(chan string, 1)
 		go func() {
-			_, text, _ := r.post("/stream/x", "k1", "")
+			_, text, _ := f.post("/stream/x", "k1", "")
 			got <- text
 		}()
 		<-arrived
-		r.proxy.handleOverdue(r.proxy.now() + 10*time.Second)
+		f.proxy.handleOverdue(f.proxy.now() + 10*time.Second)
 		if others == 0 {
 			old.steps <- "whole"
 		}
 		require.Equal(t, eventText(1, 4), <-got)
-		require.Len(t, r.receivedRequests(), 1+others)
+		require.Len(t, f.receivedRequests(), 1+others)
 	}
 }
 
-// blockedClient takes no bytes until it is released.
+// blockingWriter blocks every write until it is released.
 type blockingWriter struct {
 	http.ResponseWriter
 	writing, released chan struct{}
 }
 
+// Write blocks until the writer is released.
 func (c *blockingWriter) Write(bytes []byte) (int, error) {
 	close(c.writing)
 	<-c.released
 	return len(bytes), nil
 }
 
-// TestASlowClientDoesNotHoldUpTheWatch: while an answer's bytes wait for their client, the watch over all attempts goes on.
+// TestSlowClientDoesNotBlockMonitor checks that the monitor of all attempts does not wait for a write to
+// a slow client.
 func TestSlowClientDoesNotBlockMonitor(t *testing.T) {
-	r := newFixture(t, serveOK)
-	move := newStreamTakeover(t.Context(), r.proxy, &attempt{retryable: true}, &eventFilter{})
+	f := newFixture(t, serveOK)
+	takeover := newStreamTakeover(t.Context(), f.proxy, &attempt{retryable: true}, &eventFilter{})
 	recorder := httptest.NewRecorder()
 	client := &blockingWriter{recorder, make(chan struct{}), make(chan struct{})}
-	passed := make(chan error, 1)
+	written := make(chan error, 1)
 	go func() {
-		passed <- move.forwardBytes([]byte(eventText(1, 1)), client, http.NewResponseController(recorder))
+		written <- takeover.forwardBytes([]byte(eventText(1, 1)), client, http.NewResponseController(recorder))
 	}()
 	<-client.writing
-	move.start(endReasonBackendStalled) // would wait for the client
-	require.Nil(t, move.tryDone)
+	takeover.start(endReasonBackendStalled) // must not wait for the client
+	require.Nil(t, takeover.tryDone, "running try")
 	close(client.released)
-	require.NoError(t, <-passed)
+	require.NoError(t, <-written)
 }
 
-// TestAnAnswerThatBeginsAsItsAttemptIsTakenBackIsNotCut: the first event comes between the watch's finding and its deed.
+// TestResponseStartDuringCancellation checks that a response is not aborted if its first event arrives
+// after the attempt was found overdue and before it is cancelled.
 func TestResponseStartDuringCancellation(t *testing.T) {
 	for _, path := range []string{"/cut/x", "/stream/x"} {
 		arrived, backend := make(chan struct{}), &scriptedBackend{1, make(chan string, 8)}
-		r := newFixture(t, func(w http.ResponseWriter, request *http.Request) {
+		f := newFixture(t, func(w http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			backend.serve(w, request)
 		})
-		answers := make(chan *bufio.Reader, 1)
+		bodies := make(chan *bufio.Reader, 1)
 		firsts := make(chan string, 1)
 		go func() {
-			rest, first := r.openStream(path)
-			answers <- rest
+			rest, first := f.openStream(path)
+			bodies <- rest
 			firsts <- first
 		}()
 		<-arrived
-		r.proxy.attempts.backendRemoved("i-0")
-		found := r.proxy.findOverdue(r.proxy.now() + 10*time.Second)
+		f.proxy.attempts.backendRemoved("i-0")
+		found := f.proxy.findOverdue(f.proxy.now() + 10*time.Second)
 		require.Len(t, found.toCancel, 1)
 		backend.steps <- "event"
-		rest, first := <-answers, <-firsts
-		r.proxy.resolveOverdue(found)
+		rest, first := <-bodies, <-firsts
+		f.proxy.resolveOverdue(found)
 		backend.steps <- "whole"
 		more, err := io.ReadAll(rest)
 		require.NoError(t, err, path)
