--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -104,7 +104,7 @@
 func (q *request) dispatchRequest(tried []string) *dispatch.Request {
 	return &dispatch.Request{
 		TargetMS: q.route.TargetLatencyMS, Rank: q.rank, RemainingMS: float64(time.Until(q.clientDeadline).Milliseconds()),
-		PreviouslyRefused: q.likelyRetry || len(tried) > 0, Service: q.service, Model: q.model, Parts: q.promptParts,
+		Retried: q.likelyRetry || len(tried) > 0, Service: q.service, Model: q.model, Parts: q.promptParts,
 		PromptTokens: q.promptTokens, BodyBytes: len(q.body), IsolatedTenant: q.isolatedTenant(), TriedBackends: tried,
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -292,7 +292,7 @@
 	}
 	p.applied.ListRevision = list.Revision
 	for _, id := range removed {
-		p.applied.ForgetBackend(p.dispatchTable.Index(), id)
+		p.applied.RemoveBackend(p.dispatchTable.Index(), id)
 		p.closePool(id)
 		p.attempts.backendRemoved(id)
 	}
--- a/internal/wire/instance.go
+++ b/internal/wire/instance.go
@@ -10,216 +10,228 @@
 	"nettlefold/mixer"
 )
 
-// instance is one mixer with the ids and timer references by which the wire knows what it holds.
+// instance is one mixer with its lookups, parts and timers by the identifiers of the line protocol. It
+// implements mixer.Environment by writing actions.
 type instance struct {
-	host       *host
-	name       string
-	m          *mixer.Mixer
-	tariffs    map[string]int
-	customers  map[string]int
-	secondStep []bool // by tariff, whether its lookups have one
-	lookups    map[string]*held
-	byNumber   map[int64]*held
-	parts      map[string]*heldPart
-	timers     map[int64]mixer.TimerHandler
-	lastRef    int64
+	host          *host
+	name          string
+	mixer         *mixer.Mixer
+	profiles      map[string]int               // row of each request profile by name
+	tenants       map[string]int               // row of each tenant by name, from 1
+	hasSecondStep []bool                       // by profile, whether its lookups have a second step
+	lookups       map[string]*pendingLookup    // by ID
+	byNumber      map[int64]*pendingLookup     // the same lookups by number
+	parts         map[string]*pendingPart      // by ID
+	timers        map[int64]mixer.TimerHandler // by reference
+	lastTimerRef  int64
 }
 
-// held is a lookup that has no final answer yet.
-type held struct {
-	h      *mixer.Lookup
-	id     string
-	number int64
-	fetch  bool
-	parts  []string
+// pendingLookup is a lookup without a final answer.
+type pendingLookup struct {
+	handle        *mixer.Lookup
+	id            string
+	number        int64
+	secondStepDue bool     // the next answer is that of the first of two steps
+	parts         []string // IDs
 }
 
-// heldPart is a part that may still get an outcome.
-type heldPart struct {
-	of    *held
-	index int
-	out   int // forwards without an outcome
-	ended bool
+// pendingPart is a part that may still get an outcome.
+type pendingPart struct {
+	lookup      *pendingLookup
+	index       int // among the parts of its lookup
+	inFlight    int // attempts without an outcome
+	lookupEnded bool
 }
 
-// guard turns a failure inside the mixer into the message that declares it broken.
-func (i *instance) guard(call func()) {
+// callMixer makes a call on the mixer. If it panics, it writes the action that reports the mixer as failed.
+func (i *instance) callMixer(call func()) {
 	defer func() {
 		if r := recover(); r != nil {
 			text := strings.NewReplacer("\n", " ", "\t", " ", "\r", " ").Replace(fmt.Sprint(r))
-			i.say("give_in", text)
+			i.writeAction("give_in", text)
 		}
 	}()
 	call()
 }
 
-func (i *instance) announce(f *fields) func() {
+// parseAnnounce parses an update of the membership list, or the refusal of a requested list.
+func (i *instance) parseAnnounce(f *fieldReader) func() {
 	form := f.text("Form")
-	f.whole("Gen")
+	f.integer("Gen")
 	if form == "refused" {
-		return func() { i.m.ListFailed(i.host.now) }
+		return func() { i.mixer.ListFailed(i.host.now) }
 	}
-	sheet := f.whole("Sheet")
-	rows, ok := i.host.sheets[sheet]
+	number := f.integer("Sheet")
+	entries, ok := i.host.lists[number]
 	if !ok {
-		f.bad("Sheet", strconv.FormatInt(sheet, 10))
+		f.reject("Sheet", strconv.FormatInt(number, 10))
 	}
 	switch form {
 	case "changes":
-		return func() { i.m.UpdateList(i.host.now, rows, false) }
+		return func() { i.mixer.UpdateList(i.host.now, entries, false) }
 	case "all", "remembered":
-		return func() { i.m.UpdateList(i.host.now, rows, true) }
+		return func() { i.mixer.UpdateList(i.host.now, entries, true) }
 	}
-	f.bad("Form", form)
+	f.reject("Form", form)
 	return nil
 }
 
-func (i *instance) take(f *fields) func() {
-	id, grade := f.text("Corr"), f.text("Grade")
-	customer := 0
-	if realm := f.text("Realm"); realm != "-" && realm != "0" && len(i.customers) > 0 {
-		if customer = i.customers[realm]; customer == 0 {
-			f.bad("Realm", realm)
+// parseRequest parses a lookup (Slice below 0, with its number of parts as Amount) or one of its parts. Bit 0 of
+// Bits says that EffortMs is valid, bit 1 that the client has sent the lookup before.
+func (i *instance) parseRequest(f *fieldReader) func() {
+	id, profileName := f.text("Corr"), f.text("Grade")
+	tenant := 0
+	if name := f.text("Realm"); name != "-" && name != "0" && len(i.tenants) > 0 {
+		if tenant = i.tenants[name]; tenant == 0 {
+			f.reject("Realm", name)
 		}
 	}
-	if s := f.text("Object"); s != "-" {
-		if _, err := strconv.ParseUint(s, 10, 64); err != nil {
-			f.bad("Object", s)
+	if object := f.text("Object"); object != "-" {
+		if _, err := strconv.ParseUint(object, 10, 64); err != nil {
+			f.reject("Object", object)
 		}
 	}
-	notAfter, effort := f.time("NotAfterMs"), f.timeOr("EffortMs", 0)
-	number, slice, amount, bits := f.whole("WholeNo"), f.whole("Slice"), f.float("Amount"), f.whole("Bits")
-	tariff, ok := i.tariffs[grade]
+	notAfter, effort := f.nanos("NotAfterMs"), f.nanosOr("EffortMs", 0)
+	number, shard, amount, bits := f.integer("WholeNo"), f.integer("Slice"), f.optionalFloat("Amount"), f.integer("Bits")
+	profile, ok := i.profiles[profileName]
 	if !ok {
-		f.bad("Grade", grade)
+		f.reject("Grade", profileName)
 	}
 	if bits&1 == 0 {
 		effort = 0
 	}
-	if slice < 0 {
+	if shard < 0 {
 		if amount < 1 || amount != math.Trunc(amount) {
-			f.bad("Amount", strconv.FormatFloat(amount, 'g', -1, 64))
+			f.reject("Amount", strconv.FormatFloat(amount, 'g', -1, 64))
 		}
 		return func() {
-			l := &held{id: id, number: number, fetch: i.secondStep[tariff]}
+			l := &pendingLookup{id: id, number: number, secondStepDue: i.hasSecondStep[profile]}
 			i.lookups[id], i.byNumber[number] = l, l
-			l.h = i.m.StartLookup(i.host.now, mixer.LookupRequest{
-				ID: id, Tariff: tariff, NotAfter: notAfter, Parts: int(amount), Again: bits&2 != 0, Customer: customer})
+			l.handle = i.mixer.StartLookup(i.host.now, mixer.LookupRequest{
+				ID: id, Tariff: profile, NotAfter: notAfter, Parts: int(amount), Again: bits&2 != 0, Customer: tenant})
 		}
 	}
 	return func() {
 		l := i.byNumber[number]
 		if l == nil {
-			return // its lookup has ended within this batch
+			return // the lookup has ended within this batch
 		}
-		i.parts[id] = &heldPart{of: l, index: len(l.parts)}
+		i.parts[id] = &pendingPart{lookup: l, index: len(l.parts)}
 		l.parts = append(l.parts, id)
-		l.h.AddPart(i.host.now, mixer.PartRequest{ID: id, Slice: int(slice), Weight: amount, Effort: effort})
+		l.handle.AddPart(i.host.now, mixer.PartRequest{ID: id, Slice: int(shard), Weight: amount, Effort: effort})
 	}
 }
 
+// outcomes maps the result codes of the line protocol.
 var outcomes = map[int64]mixer.Outcome{
 	0: mixer.Succeeded, 255: mixer.Failed, 254: mixer.Rejected, 253: mixer.TimedOut,
 	252: mixer.Unreachable, 251: mixer.ConnectionReset, 250: mixer.Cancelled, 249: mixer.NeverSent,
 }
 
-func (f *fields) outcome(field string) mixer.Outcome {
-	n := f.whole(field)
+// outcome returns the next value, a result code, as an outcome.
+func (f *fieldReader) outcome(field string) mixer.Outcome {
+	n := f.integer(field)
 	o, ok := outcomes[n]
 	if !ok {
-		f.bad(field, strconv.FormatInt(n, 10))
+		f.reject(field, strconv.FormatInt(n, 10))
 	}
 	return o
 }
 
-// load checks a load report; no decision reads one, and values it does not know are skipped.
-func (f *fields) load(field string) {
+// checkLoadReport validates the next value, a load report: name:number pairs separated by commas. The mixer does
+// not use load reports, so the names are not checked.
+func (f *fieldReader) checkLoadReport(field string) {
 	s := f.text(field)
 	if s == "-" || f.err != nil {
 		return
 	}
 	for _, pair := range strings.Split(s, ",") {
-		_, v, ok := strings.Cut(pair, ":")
+		_, number, ok := strings.Cut(pair, ":")
 		if !ok {
-			f.bad(field, pair)
+			f.reject(field, pair)
 			return
 		}
-		f.number(field, v)
+		f.parseFloat(field, number)
 	}
 }
 
-func (i *instance) settled(f *fields) func() {
-	id, copy, over, took := f.text("Corr"), f.whole("Copy"), f.bool("Over"), f.time("DurationMs")
+// parseSettled parses the outcome of an attempt.
+func (i *instance) parseSettled(f *fieldReader) func() {
+	id, attempt, over, duration := f.text("Corr"), f.integer("Copy"), f.boolean("Over"), f.nanos("DurationMs")
 	result := f.outcome("Result")
 	f.text("Searcher")
-	f.load("Gauge")
+	f.checkLoadReport("Gauge")
 	return func() {
 		p := i.parts[id]
 		if p == nil {
 			return
 		}
-		p.out--
-		i.letGo(id, p)
-		p.of.h.HandleOutcome(i.host.now, p.index, int(copy), result, took, over)
+		p.inFlight--
+		i.releasePart(id, p)
+		p.lookup.handle.HandleOutcome(i.host.now, p.index, int(attempt), result, duration, over)
 	}
 }
 
-func (i *instance) due(f *fields) func() {
-	ref := f.whole("Ref")
+// parseTickDue parses the expiry of a timer. A reference that is not known is ignored.
+func (i *instance) parseTickDue(f *fieldReader) func() {
+	ref := f.integer("Ref")
 	return func() {
-		whose := i.timers[ref]
+		handler := i.timers[ref]
 		delete(i.timers, ref)
-		if whose != nil {
-			whose.HandleTimer(i.host.now)
+		if handler != nil {
+			handler.HandleTimer(i.host.now)
 		}
 	}
 }
 
-// sampled checks the result of a probe; none are sent, so it has no effect.
-func (i *instance) sampled(f *fields) func() {
+// parseSampled validates the result of a probe. It has no effect, as the mixer sends no probes.
+func (i *instance) parseSampled(f *fieldReader) func() {
 	f.text("Searcher")
 	f.outcome("Result")
-	f.time("DurationMs")
-	f.load("Gauge")
+	f.nanos("DurationMs")
+	f.checkLoadReport("Gauge")
 	return func() {}
 }
 
-func (i *instance) dropped(f *fields) func() {
+// parseDropped parses the disconnection of a lookup's client.
+func (i *instance) parseDropped(f *fieldReader) func() {
 	id := f.text("Corr")
 	return func() {
 		if l := i.lookups[id]; l != nil {
-			i.end(id)
-			l.h.Abandon(i.host.now)
+			i.endLookup(id)
+			l.handle.Abandon(i.host.now)
 		}
 	}
 }
 
-// mail checks a message from another mixer; mixers here share nothing, so it has no effect.
-func (i *instance) mail(f *fields) func() {
-	f.whole("Author")
-	if msg := f.text("Msg"); msg != "-" {
-		if _, err := base64.StdEncoding.DecodeString(msg); err != nil {
-			f.bad("Msg", msg)
+// parseMail validates a message from another mixer. It has no effect, as the mixers of this host exchange no
+// messages.
+func (i *instance) parseMail(f *fieldReader) func() {
+	f.integer("Author")
+	if body := f.text("Msg"); body != "-" {
+		if _, err := base64.StdEncoding.DecodeString(body); err != nil {
+			f.reject("Msg", body)
 		}
 	}
 	return func() {}
 }
 
-// started checks the start of a streamed answer; no tariff streams, so it has no effect.
-func (i *instance) started(f *fields) func() {
+// parseStarted validates the start of a streamed answer. It has no effect, as no request profile streams.
+func (i *instance) parseStarted(f *fieldReader) func() {
 	f.text("Corr")
-	f.time("DurationMs")
+	f.nanos("DurationMs")
 	f.text("Searcher")
-	f.whole("Copy")
+	f.integer("Copy")
 	return func() {}
 }
 
-func (i *instance) retire(f *fields) func() {
+// parseRetire parses the end of the instance.
+func (i *instance) parseRetire(f *fieldReader) func() {
 	return func() { delete(i.host.instances, i.name) }
 }
 
-// end forgets a lookup; its parts stay known until their forwards have had their outcomes.
-func (i *instance) end(id string) {
+// endLookup removes a lookup. Its parts are kept until all their attempts have an outcome.
+func (i *instance) endLookup(id string) {
 	l := i.lookups[id]
 	if l == nil {
 		return
@@ -228,20 +240,21 @@
 	delete(i.byNumber, l.number)
 	for _, part := range l.parts {
 		if p := i.parts[part]; p != nil {
-			p.ended = true
-			i.letGo(part, p)
+			p.lookupEnded = true
+			i.releasePart(part, p)
 		}
 	}
 }
 
-func (i *instance) letGo(id string, p *heldPart) {
-	if p.ended && p.out == 0 {
+// releasePart removes a part once its lookup has ended and no attempt is in flight.
+func (i *instance) releasePart(id string, p *pendingPart) {
+	if p.lookupEnded && p.inFlight == 0 {
 		delete(i.parts, id)
 	}
 }
 
-// say writes one action.
-func (i *instance) say(message string, values ...string) {
+// writeAction writes one action of the mixer.
+func (i *instance) writeAction(message string, values ...string) {
 	w := i.host.out
 	w.WriteString(message)
 	w.WriteByte('\t')
@@ -253,55 +266,64 @@
 	w.WriteByte('\n')
 }
 
-func millis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', -1, 64) }
+// formatMillis formats a duration in nanoseconds as milliseconds.
+func formatMillis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', -1, 64) }
 
-func bit(b bool) string {
+// formatBool formats a flag as 0 or 1.
+func formatBool(b bool) string {
 	if b {
 		return "1"
 	}
 	return "0"
 }
 
-// What follows is the mixer's floor.
-
+// Forward sends a part to a backend, with a timeout in ns.
 func (i *instance) Forward(part, searcher string, within int64) {
 	if p := i.parts[part]; p != nil {
-		p.out++
+		p.inFlight++
 	}
-	i.say("assign", part, searcher, millis(within))
+	i.writeAction("assign", part, searcher, formatMillis(within))
 }
 
+// Cancel cancels one attempt of a part.
 func (i *instance) Cancel(part string, forward int) {
-	i.say("stop_attempt", part, strconv.Itoa(forward))
+	i.writeAction("stop_attempt", part, strconv.Itoa(forward))
 }
 
+// Answer answers a lookup, or the first step of one with two steps.
 func (i *instance) Answer(lookup string, whole bool) {
-	i.say("gather_up", lookup, bit(whole))
-	if l := i.lookups[lookup]; l != nil && l.fetch {
-		l.fetch = false // a second step follows
+	i.writeAction("gather_up", lookup, formatBool(whole))
+	if l := i.lookups[lookup]; l != nil && l.secondStepDue {
+		l.secondStepDue = false // the lookup goes on with its second step
 		return
 	}
-	i.end(lookup)
+	i.endLookup(lookup)
 }
 
+// Reject rejects a lookup and advises the client to wait, in ns, before a retry.
 func (i *instance) Reject(lookup string, wait int64) {
-	i.say("reject", lookup, millis(wait))
-	i.end(lookup)
+	i.writeAction("reject", lookup, formatMillis(wait))
+	i.endLookup(lookup)
 }
 
+// Fail ends a lookup without an answer.
 func (i *instance) Fail(lookup string) {
-	i.say("abort", lookup)
-	i.end(lookup)
+	i.writeAction("abort", lookup)
+	i.endLookup(lookup)
 }
 
-func (i *instance) CloseIdle(searcher string) { i.say("close_idle", searcher) }
+// CloseIdle closes the idle connections to a backend.
+func (i *instance) CloseIdle(searcher string) { i.writeAction("close_idle", searcher) }
 
-func (i *instance) SetTimer(after int64, whose mixer.TimerHandler) {
-	i.lastRef++
-	i.timers[i.lastRef] = whose
-	i.say("set_timer", millis(after), strconv.FormatInt(i.lastRef, 10))
+// SetTimer sets a timer that calls the handler after a duration in ns.
+func (i *instance) SetTimer(after int64, handler mixer.TimerHandler) {
+	i.lastTimerRef++
+	i.timers[i.lastTimerRef] = handler
+	i.writeAction("set_timer", formatMillis(after), strconv.FormatInt(i.lastTimerRef, 10))
 }
 
-func (i *instance) Subscribe() { i.say("watch", "1") }
+// Subscribe subscribes to updates of the membership list.
+func (i *instance) Subscribe() { i.writeAction("watch", "1") }
 
-func (i *instance) Note(text string) { i.say("debug", text) }
+// Note writes a debug message.
+func (i *instance) Note(text string) { i.writeAction("debug", text) }
