--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// maxBufferedEventBytes bounds an incomplete event that is buffered; a longer one is forwarded in pieces.
+// maxBufferedEventBytes bounds the buffer for an incomplete event; a longer event is forwarded in
+// pieces.
 const maxBufferedEventBytes = 64 << 10
 
 // eventFilter splits a stream of server-sent events into complete events and drops those that were
@@ -54,7 +55,7 @@
 	return number <= last
 }
 
-// eventEnd returns the offset behind the blank line that ends the first event, or -1 if the event is
+// eventEnd returns the offset after the blank line that ends the first event, or -1 if the event is
 // incomplete.
 func eventEnd(text []byte) int {
 	end := -1
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -218,7 +218,8 @@
 	return int(usableFraction * s.ConnectionLimit / float64(max(1, p.mixerCount.Load())))
 }
 
-// recordFailedAttempt reports the outcome of an attempt without a usable response to the dispatch table.
+// recordFailedAttempt reports the outcome of an attempt without a usable response to the dispatch
+// table.
 func (p *Proxy) recordFailedAttempt(a *attempt, ctx context.Context) {
 	outcome := dispatch.Failed
 	switch {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,7 +36,8 @@
 	loadReportInterval = 50 * time.Millisecond
 	// acceptAfterSIGTERM is how long new connections are still accepted after SIGTERM. The platform
 	// checks readiness every second and routes connections here until two checks have failed.
-	acceptAfterSIGTERM  = 2500 * time.Millisecond
+	acceptAfterSIGTERM = 2500 * time.Millisecond
+
 	readHeaderTimeout   = 20 * time.Second
 	idleTimeout         = 75 * time.Second
 	maxHeaderBytes      = 64 << 10
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// flushLastEvent relays the bytes behind the last complete event of a response that ended. If only
+// flushLastEvent relays the bytes after the last complete event of a response that ended. If only
 // the close of the connection delimits the response, an incomplete event means that it was cut off.
 func (p *Proxy) flushLastEvent(q *request, a *attempt, events *eventFilter) error {
 	if events == nil || len(events.partial) == 0 {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -36,8 +36,8 @@
 )
 
 const (
-	// defaultDeadline is the deadline of a request if neither its client nor its route sets one.
-	defaultDeadline = 30 * time.Second
+	// defaultTimeout bounds a request whose route sets no timeout.
+	defaultTimeout = 30 * time.Second
 	// maxRetryAfterSeconds bounds the time after which a refused client should retry.
 	maxRetryAfterSeconds = 0.3
 	// startupRetryAfterSeconds is the retry time while no configuration is in force yet.
@@ -135,7 +135,7 @@
 		}
 	}
 	q.service = q.route.PickService(splitter.draw(q.route))
-	timeout := defaultDeadline
+	timeout := defaultTimeout
 	if q.route.TimeoutMS > 0 {
 		timeout = time.Duration(q.route.TimeoutMS * float64(time.Millisecond))
 	}
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/stall_test.go
@@ -131,9 +131,9 @@
 	return orders
 }
 
-// TestTakeoverOrders stalls a stream of four events and then runs the possible steps of both backends in
-// every order. Each event must reach the client once and in order. The response must be complete unless
-// the backend that continues it breaks off and no attempt is left.
+// TestTakeoverOrders stalls a stream of four events and then runs the possible steps of both backends
+// in every order. Each event must reach the client once and in order. The response must be complete
+// unless the backend that continues it breaks off and no attempt is left.
 func TestTakeoverOrders(t *testing.T) {
 	sets := [][]string{
 		{"old event", "old whole", "new event", "new whole"},
@@ -233,8 +233,8 @@
 	return len(bytes), nil
 }
 
-// TestSlowClientDoesNotBlockMonitor checks that the monitor of all attempts does not wait for a write to
-// a slow client.
+// TestSlowClientDoesNotBlockMonitor checks that the monitor of all attempts does not wait for a write
+// to a slow client.
 func TestSlowClientDoesNotBlockMonitor(t *testing.T) {
 	f := newFixture(t, serveOK)
 	takeover := newStreamTakeover(t.Context(), f.proxy, &attempt{retryable: true}, &eventFilter{})
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -37,7 +37,8 @@
 	return t
 }
 
-// forwardBytes writes bytes of the attempt's response to the client, unless a successor has taken over.
+// forwardBytes writes bytes of the attempt's response to the client, unless a successor has taken
+// over.
 func (t *streamTakeover) forwardBytes(bytes []byte, client http.ResponseWriter, flusher *http.ResponseController) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/proxy/traffic_split_test.go
+++ b/internal/proxy/traffic_split_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestTrafficSplitAcrossConfigurations checks that a route continues its sequence when the configuration
-// changes, and that routes don't share a sequence.
+// TestTrafficSplitAcrossConfigurations checks that a route continues its sequence when the
+// configuration changes, and that routes don't share a sequence.
 func TestTrafficSplitAcrossConfigurations(t *testing.T) {
 	s := newTrafficSplitter()
 	split := []config.ServiceWeight{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
