--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,108 +25,108 @@
 )
 
 const (
-	tickEvery    = 100 * time.Millisecond
-	commandQueue = 1024
+	tickInterval       = 100 * time.Millisecond
+	commandQueueLength = 1024
 	// phasesKeep is how long an owner's phases are believed, and phasesTold how long it tells them again.
-	phasesKeep   = 4 * time.Second
-	phasesTold   = loadLimit + 2*time.Second
-	feedHold     = 200 * time.Millisecond
-	proxySilence = time.Second
+	phaseTTL            = 4 * time.Second
+	phaseAnnouncePeriod = loadTimeout + 2*time.Second
+	feedLongPollTimeout = 200 * time.Millisecond
+	proxyTimeout        = time.Second
 	// keptBatches is how many changes of kept prompts are held for the proxy at least; the oldest go droppedAtOnce at a time, as all others move.
-	keptBatches   = 2048
-	droppedAtOnce = 512
+	minRecentBatches = 2048
+	batchTrimLength  = 512
 )
 
 // Agent is one mixer's agent.
 type Agent struct {
-	settings *local.Settings
-	log      zerolog.Logger
-	network  rpc.Network
-	pool     *rpc.Pool
-	web      *http.Client
-	self     distribute.Agent
-	start    time.Time
-	commands chan func()
-	done     chan struct{}
-	changed  chan struct{} // closed and replaced by the owner when a proxy may want to hear
+	settings    *local.Settings
+	log         zerolog.Logger
+	network     rpc.Network
+	pool        *rpc.Pool
+	httpClient  *http.Client
+	self        distribute.Agent
+	startedAt   time.Time
+	commands    chan func()
+	done        chan struct{}
+	feedChanged chan struct{} // closed and replaced by the owner when a proxy may want to hear
 
 	// What follows is the owner's.
-	snapshot    *distribute.Snapshot
-	versions    map[string]superseded.History // since when models' versions are known to be wanted
-	inTouch     time.Duration                 // when a call was made that a controller in touch answered, the last one
-	controllers []string
-	epoch       uint64 // of the view that controllers are of
-	members     *distribute.MemberSet
-	suspects    map[string]bool
-	applied     uint64
-	proxyAt     time.Time
+	snapshot          *distribute.Snapshot
+	versionHistories  map[string]superseded.History // since when models' versions are known to be wanted
+	lastQuorumContact time.Duration                 // when a call was made that a controller in touch answered, the last one
+	controllers       []string
+	epoch             uint64 // of the view that controllers are of
+	members           *distribute.MemberSet
+	suspects          map[string]bool
+	appliedSeq        uint64
+	lastProxyRequest  time.Time
 
-	list     []dispatch.BackendInfo // nil if it is not known
-	lists    lists
-	listFeed listFeed
-	phases   map[string]phaseNews
+	backends      []dispatch.BackendInfo // nil if it is not known
+	listSync      listSyncState
+	listRevisions listRevisions
+	phases        map[string]receivedPhase
 
-	listArrivals    metrics.Histogram // of the list, from its reading to its arrival here
-	listApplied     applied
-	snapshotApplied applied
+	listArrivalDelays    metrics.Histogram // of the list, from its reading to its arrival here
+	listApplyTracker     applyTracker
+	snapshotApplyTracker applyTracker
 
-	index      *kvindex.Index
-	batches    []*kvindex.Batch // the newest, the last of which has number batchCount
-	batchCount uint64
-	readers    map[string]context.CancelFunc
-	readersOf  sourcesOf // what readers were last held to
-	readersAt  time.Time
-	wholes     wholes
+	index            *kvindex.Index
+	recentBatches    []*kvindex.Batch // the newest, the last of which has number batchCount
+	batchCount       uint64
+	eventReaders     map[string]context.CancelFunc
+	readerInputs     eventReaderInputs // what readers were last held to
+	readersCheckedAt time.Time
+	resync           indexResync
 
 	eventOwners *rendezvous.OwnerCache // of the backends' events
 
-	news      *exchange
-	newsBytes uint64 // of news that was sent
-	ownLoads  map[string]dispatch.Load
-	rollouts  map[string]bool
-	ownPhases map[string]ownPhase
+	gossip          *gossiper
+	gossipBytesSent uint64 // of news that was sent
+	localLoads      map[string]dispatch.Load
+	rollouts        map[string]bool
+	announcedPhases map[string]announcedPhase
 	// phaseCount numbers the phases that this agent tells.
-	phaseCount uint64
+	phaseSeq uint64
 
-	storesOf   uint64 // number of the configuration that storeAddrs is of
-	storeAddrs []string
+	kvStoresConfigSeq uint64 // number of the configuration that storeAddrs is of
+	kvStoreAddrs      []string
 }
 
 // New makes an agent on the machine's own network.
 func New(settings *local.Settings, log zerolog.Logger) *Agent {
-	return newOn(rpc.TCP{}, newWeb(), settings, log)
+	return newAgent(rpc.TCP{}, newHTTPClient(), settings, log)
 }
 
 // newOn makes an agent that meets other machines on a network, and backends and the platform through a client.
-func newOn(network rpc.Network, web *http.Client, settings *local.Settings, log zerolog.Logger) *Agent {
+func newAgent(network rpc.Network, web *http.Client, settings *local.Settings, log zerolog.Logger) *Agent {
 	life := fmt.Sprintf("%s/%016x%04x", settings.NodeName, time.Now().UnixNano(), rand.IntN(1<<16))
 	a := &Agent{
-		settings: settings,
-		log:      log,
-		network:  network,
-		pool:     rpc.NewPoolWithNetwork(network),
-		web:      web,
-		self:     distribute.Agent{ID: life, Addr: settings.InternalAddr(settings.IP), Zone: settings.Zone},
-		start:    time.Now(),
-		commands: make(chan func(), commandQueue),
-		done:     make(chan struct{}),
-		changed:  make(chan struct{}),
-		members:  &distribute.MemberSet{},
-		suspects: map[string]bool{},
-		phases:   map[string]phaseNews{},
-		versions: map[string]superseded.History{},
-		inTouch:  superseded.DistantPast,
-		index:    kvindex.New(),
-		readers:  map[string]context.CancelFunc{},
+		settings:          settings,
+		log:               log,
+		network:           network,
+		pool:              rpc.NewPoolWithNetwork(network),
+		httpClient:        web,
+		self:              distribute.Agent{ID: life, Addr: settings.InternalAddr(settings.IP), Zone: settings.Zone},
+		startedAt:         time.Now(),
+		commands:          make(chan func(), commandQueueLength),
+		done:              make(chan struct{}),
+		feedChanged:       make(chan struct{}),
+		members:           &distribute.MemberSet{},
+		suspects:          map[string]bool{},
+		phases:            map[string]receivedPhase{},
+		versionHistories:  map[string]superseded.History{},
+		lastQuorumContact: superseded.DistantPast,
+		index:             kvindex.New(),
+		eventReaders:      map[string]context.CancelFunc{},
 
-		eventOwners: rendezvous.NewOwnerCache(),
-		wholes:      wholes{wanted: map[string]bool{}},
-		listFeed:    listFeed{changedIn: map[string]uint64{}},
-		rollouts:    map[string]bool{},
-		ownPhases:   map[string]ownPhase{},
+		eventOwners:     rendezvous.NewOwnerCache(),
+		resync:          indexResync{pending: map[string]bool{}},
+		listRevisions:   listRevisions{changedAt: map[string]uint64{}},
+		rollouts:        map[string]bool{},
+		announcedPhases: map[string]announcedPhase{},
 	}
-	a.news = newExchange(a)
-	a.lists.heardAt, a.lists.toldAt = a.start, a.start
+	a.gossip = newGossiper(a)
+	a.listSync.receivedAt, a.listSync.pushedAt = a.startedAt, a.startedAt
 	return a
 }
 
@@ -146,9 +146,9 @@
 	go rpc.Serve(inside, a.handleProxy)
 	go a.runSession(ctx)
 	go a.watchPeers(ctx)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	flush := time.NewTicker(flushEvery)
+	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
 	defer close(a.done)
 	for {
@@ -156,8 +156,8 @@
 		case command := <-a.commands:
 			command()
 		case now := <-flush.C:
-			if a.news.due(now) {
-				a.news.flush()
+			if a.gossip.due(now) {
+				a.gossip.flush()
 			}
 		case <-ticker.C:
 			a.tick(ctx)
@@ -172,7 +172,7 @@
 	a.enqueue(func() { a.settings.Seeds = settings.Seeds })
 }
 
-func (a *Agent) now() time.Duration { return time.Since(a.start) }
+func (a *Agent) now() time.Duration { return time.Since(a.startedAt) }
 
 func (a *Agent) enqueue(command func()) {
 	select {
@@ -182,7 +182,7 @@
 }
 
 // ask runs a command at the owner and waits for it.
-func (a *Agent) ask(ctx context.Context, command func()) error {
+func (a *Agent) runInLoop(ctx context.Context, command func()) error {
 	finished := make(chan struct{})
 	a.enqueue(func() { command(); close(finished) })
 	select {
@@ -196,18 +196,18 @@
 }
 
 func (a *Agent) tick(ctx context.Context) {
-	a.dutyList(ctx)
-	a.dutyEvents(ctx)
-	a.dutyOrders(ctx)
-	a.news.expire()
-	a.retellPhases()
+	a.readListIfDue(ctx)
+	a.updateEventReaders(ctx)
+	a.startRollouts(ctx)
+	a.gossip.expireLoads()
+	a.reannouncePhases()
 	a.expirePhases()
 }
 
 // notify wakes the proxy's call.
-func (a *Agent) notify() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+func (a *Agent) notifyProxy() {
+	close(a.feedChanged)
+	a.feedChanged = make(chan struct{})
 }
 
 // handlePeer serves other machines.
@@ -218,7 +218,7 @@
 		if err := cbor.Unmarshal(body, news); err != nil {
 			return nil, err
 		}
-		a.enqueue(func() { a.news.take(news) })
+		a.enqueue(func() { a.gossip.receive(news) })
 		return nil, nil
 	case feed.KindBackendIndex:
 		request := new(feed.BackendIndexRequest)
@@ -226,9 +226,9 @@
 			return nil, err
 		}
 		var whole *kvindex.Batch
-		err := a.ask(ctx, func() {
+		err := a.runInLoop(ctx, func() {
 			whole = a.index.Snapshot(request.Backend)
-			a.wholes.served++
+			a.resync.served++
 		})
 		if err == nil && whole == nil {
 			err = merry.New("nothing is known of " + request.Backend)
@@ -239,7 +239,7 @@
 		if err := cbor.Unmarshal(body, request); err != nil {
 			return nil, err
 		}
-		return a.answerList(ctx, request)
+		return a.serveList(ctx, request)
 	case feed.KindPing:
 		return struct{}{}, nil
 	}
@@ -253,7 +253,7 @@
 		if err := cbor.Unmarshal(body, &loads); err != nil {
 			return nil, err
 		}
-		a.enqueue(func() { a.ownLoads = loads })
+		a.enqueue(func() { a.localLoads = loads })
 		return nil, nil
 	}
 	if kind != feed.KindFeed {
@@ -264,13 +264,13 @@
 		return nil, err
 	}
 	began := a.now()
-	held := time.NewTimer(feedHold)
+	held := time.NewTimer(feedLongPollTimeout)
 	defer held.Stop()
 	for {
 		var reply *feed.Reply
 		var fresh bool
 		var changed chan struct{}
-		if err := a.ask(ctx, func() { reply, fresh = a.feedReply(began, request); changed = a.changed }); err != nil {
+		if err := a.runInLoop(ctx, func() { reply, fresh = a.feedReply(began, request); changed = a.feedChanged }); err != nil {
 			return nil, err
 		}
 		if fresh {
@@ -288,41 +288,41 @@
 
 // feedReply makes the answer to a call of the proxy that came at a time, and tells whether there is something in it that it lacks.
 func (a *Agent) feedReply(began time.Duration, request *feed.Request) (reply *feed.Reply, fresh bool) {
-	a.proxyAt = time.Now()
-	a.applied = max(a.applied, request.SnapshotSeq)
+	a.lastProxyRequest = time.Now()
+	a.appliedSeq = max(a.appliedSeq, request.SnapshotSeq)
 	same := request.AgentID == a.self.ID
-	reply = &feed.Reply{AgentID: a.self.ID, BatchCount: a.batchCount, LoadsRevision: a.news.number}
-	if !same || request.LoadsRevision != a.news.number {
-		reply.Loads, fresh = a.news.others(), true
+	reply = &feed.Reply{AgentID: a.self.ID, BatchCount: a.batchCount, LoadsRevision: a.gossip.loadsRevision}
+	if !same || request.LoadsRevision != a.gossip.loadsRevision {
+		reply.Loads, fresh = a.gossip.remoteLoads(), true
 	}
 	if a.snapshot != nil && a.snapshot.Seq > request.SnapshotSeq {
 		snapshot := *a.snapshot
 		if snapshot.ConfigSeq == request.ConfigSeq {
 			snapshot.Config = nil
 		}
-		reply.Snapshot, reply.VersionAges, fresh = &snapshot, a.currentAges(), true
+		reply.Snapshot, reply.VersionAges, fresh = &snapshot, a.versionAges(), true
 		reply.LongPollMS = (a.now() - began).Milliseconds()
 	}
-	a.noteApplied(same, request)
+	a.observeApplied(same, request)
 	switch {
-	case a.list == nil:
+	case a.backends == nil:
 	case !same:
-		reply.List, fresh = a.listFor(), true
-	case request.ListRevision != a.listFeed.number:
-		reply.List, fresh = a.listAfter(request.ListRevision), true
+		reply.List, fresh = a.fullList(), true
+	case request.ListRevision != a.listRevisions.current:
+		reply.List, fresh = a.listSinceRevision(request.ListRevision), true
 	}
 	if !same || request.MembersDigest != a.members.Digest {
 		reply.Members, fresh = a.members, true
 	}
-	return reply, a.feedIndex(request, reply, reply.Snapshot != nil) || fresh
+	return reply, a.addIndexUpdates(request, reply, reply.Snapshot != nil) || fresh
 }
 
 // feedIndex adds what a proxy lacks of the index, as much as one reply may bring; beside a snapshot, which is urgent, nothing but the news
 // that it has to begin anew. The list and the members come with it: while weights are exchanged the list changes with each call. It tells
 // whether it added something.
-func (a *Agent) feedIndex(request *feed.Request, reply *feed.Reply, urgent bool) (fresh bool) {
+func (a *Agent) addIndexUpdates(request *feed.Request, reply *feed.Reply, urgent bool) (fresh bool) {
 	behind := a.batchCount - request.BatchCount
-	if request.AgentID != a.self.ID || behind > uint64(len(a.batches)) {
+	if request.AgentID != a.self.ID || behind > uint64(len(a.recentBatches)) {
 		reply.Reset, reply.KnownBackends = true, a.index.Backends()
 		return true
 	}
@@ -331,7 +331,7 @@
 		return false
 	}
 	changes := 0
-	for _, b := range a.batches[uint64(len(a.batches))-behind:] {
+	for _, b := range a.recentBatches[uint64(len(a.recentBatches))-behind:] {
 		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
@@ -353,9 +353,9 @@
 	return len(reply.Batches) > 0
 }
 
-func (a *Agent) currentAges() map[string][]superseded.Age {
+func (a *Agent) versionAges() map[string][]superseded.Age {
 	ages := map[string][]superseded.Age{}
-	for model, times := range a.versions {
+	for model, times := range a.versionHistories {
 		ages[model] = times.Ages(a.now())
 	}
 	return ages
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -16,7 +16,7 @@
 )
 
 // indexed is an agent that knows so many backends, each with so many parts of prompts.
-func indexed(backends, parts int) *Agent {
+func newIndexedAgent(backends, parts int) *Agent {
 	a := New(&local.Settings{NodeName: "f", IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
 	for i := range backends {
 		b := &kvindex.Batch{Backend: fmt.Sprint("i-", i), To: kvindex.Cursor{Epoch: 1, Next: 1}, Snapshot: true}
@@ -29,17 +29,17 @@
 }
 
 // change adds a batch of one backend as its events do.
-func (a *Agent) change(backend string, key int) {
+func (a *Agent) addBatch(backend string, key int) {
 	cursor, _ := a.index.Cursor(backend)
 	b := &kvindex.Batch{Backend: backend, From: cursor, To: kvindex.Cursor{Epoch: cursor.Epoch, Next: cursor.Next + 1},
 		Changes: []kvindex.Change{{Key: kvindex.Key(key), Tokens: 7}}}
 	a.index.Apply(b)
 	b.Digest = a.index.Digest(backend)
-	a.batches = append(a.batches, b)
+	a.recentBatches = append(a.recentBatches, b)
 	a.batchCount++
 }
 
-func changes(reply *feed.Reply) (n int) {
+func changeCount(reply *feed.Reply) (n int) {
 	for _, b := range reply.Batches {
 		n += len(b.Changes)
 	}
@@ -48,8 +48,8 @@
 
 // TestNewsOfTheConfigurationDoesNotWaitForTheIndex: a proxy that has to be told the whole index hears of a configuration first, and then of
 // the index in pieces.
-func TestNewsOfTheConfigurationDoesNotWaitForTheIndex(t *testing.T) {
-	a := indexed(140, 300)
+func TestFeedReplySnapshotBeforeIndex(t *testing.T) {
+	a := newIndexedAgent(140, 300)
 	a.snapshot = &distribute.Snapshot{Seq: 5, ConfigSeq: 5, Config: []byte("{}")}
 	reply, fresh := a.feedReply(0, &feed.Request{})
 	require.True(t, fresh)
@@ -61,7 +61,7 @@
 	reply, fresh = a.feedReply(0, request)
 	require.True(t, fresh)
 	require.NotEmpty(t, reply.Batches)
-	require.LessOrEqual(t, changes(reply), feed.MaxChangesPerReply+300)
+	require.LessOrEqual(t, changeCount(reply), feed.MaxChangesPerReply+300)
 	a.snapshot = &distribute.Snapshot{Seq: 6, ConfigSeq: 6, Config: []byte("{}")}
 	reply, _ = a.feedReply(0, request)
 	require.NotNil(t, reply.Snapshot, "another one comes between the pieces")
@@ -70,14 +70,14 @@
 }
 
 // TestAListThatChangesHoldsNothingUp: while the list, or the members, change with each call the index comes all the same.
-func TestAListThatChangesHoldsNothingUp(t *testing.T) {
-	a := indexed(10, 10)
-	a.list = []dispatch.BackendInfo{{ID: "i-0"}}
+func TestFeedReplyIndexWithChangingList(t *testing.T) {
+	a := newIndexedAgent(10, 10)
+	a.backends = []dispatch.BackendInfo{{ID: "i-0"}}
 	request := &feed.Request{AgentID: a.self.ID}
 	for number := uint64(1); number <= 5; number++ {
-		a.listFeed.number = number
+		a.listRevisions.current = number
 		a.members = &distribute.MemberSet{Digest: number}
-		a.change("i-1", int(number))
+		a.addBatch("i-1", int(number))
 		reply, fresh := a.feedReply(0, request)
 		require.True(t, fresh)
 		require.NotNil(t, reply.List)
@@ -88,15 +88,15 @@
 }
 
 // TestTheIndexComesWhole: in pieces, with changes between them and replies that are lost, a proxy comes to have what its agent has.
-func TestTheIndexComesWhole(t *testing.T) {
+func TestFeedReplyIndexConverges(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		a, proxy := indexed(60, 200), kvindex.New()
+		a, proxy := newIndexedAgent(60, 200), kvindex.New()
 		request := &feed.Request{MembersDigest: a.members.Digest}
 		for round := 0; ; round++ {
 			if round < 20 {
 				for range random.IntN(40) {
-					a.change(fmt.Sprint("i-", random.IntN(60)), 1_000_000+random.IntN(1000))
+					a.addBatch(fmt.Sprint("i-", random.IntN(60)), 1_000_000+random.IntN(1000))
 				}
 			}
 			reply, _ := a.feedReply(0, request)
@@ -117,23 +117,23 @@
 }
 
 // TestTheNewestBatchesAreKept: as many as a proxy may lag, and not many more.
-func TestTheNewestBatchesAreKept(t *testing.T) {
-	a := indexed(1, 0)
-	for i := range 3 * keptBatches {
-		a.keepBatch(&kvindex.Batch{Backend: "i-0", To: kvindex.Cursor{Next: int64(i)}})
-		require.LessOrEqual(t, len(a.batches), keptBatches+droppedAtOnce)
-		require.GreaterOrEqual(t, len(a.batches), min(i+1, keptBatches))
-		require.Equal(t, int64(i), a.batches[len(a.batches)-1].To.Next)
+func TestRecordBatchBounds(t *testing.T) {
+	a := newIndexedAgent(1, 0)
+	for i := range 3 * minRecentBatches {
+		a.recordBatch(&kvindex.Batch{Backend: "i-0", To: kvindex.Cursor{Next: int64(i)}})
+		require.LessOrEqual(t, len(a.recentBatches), minRecentBatches+batchTrimLength)
+		require.GreaterOrEqual(t, len(a.recentBatches), min(i+1, minRecentBatches))
+		require.Equal(t, int64(i), a.recentBatches[len(a.recentBatches)-1].To.Next)
 	}
-	reply, _ := a.feedReply(0, &feed.Request{AgentID: a.self.ID, BatchCount: a.batchCount - keptBatches})
+	reply, _ := a.feedReply(0, &feed.Request{AgentID: a.self.ID, BatchCount: a.batchCount - minRecentBatches})
 	require.False(t, reply.Reset)
 }
 
 // BenchmarkKeepBatch is one batch kept, as for each page of events of each backend.
-func BenchmarkKeepBatch(b *testing.B) {
-	a := indexed(1, 0)
+func BenchmarkRecordBatch(b *testing.B) {
+	a := newIndexedAgent(1, 0)
 	batch := &kvindex.Batch{Backend: "i-0"}
 	for b.Loop() {
-		a.keepBatch(batch)
+		a.recordBatch(batch)
 	}
 }
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -27,23 +27,23 @@
 
 const (
 	platformInstances = 326
-	platformPage      = 50
-	platformPages     = (platformInstances + platformPage - 1) / platformPage
+	platformPageSize  = 50
+	platformPageCount = (platformInstances + platformPageSize - 1) / platformPageSize
 	// platformLatency is how long a call to the platform takes.
-	platformLatency = 2 * time.Millisecond
-	platformHost    = "platform"
-	fleetController = "10.9.9.9"
-	fleetPort       = 7340
+	platformLatency   = 2 * time.Millisecond
+	platformHostName  = "platform"
+	fleetControllerIP = "10.9.9.9"
+	fleetPort         = 7340
 	// membersToldAfter is how long after an agent's end the controllers tell the others that it is gone.
-	membersToldAfter = 3 * time.Second
+	memberRemovalDelay = 3 * time.Second
 )
 
 // platform serves a list whose first entry states the time at which it was read, and refuses calls above its rate.
-type platform struct {
-	limit   *rate.Limiter
-	start   time.Time
-	engines bool // its backends keep prompts
-	perPage int  // parts that each of them reads anew between two pages of its events
+type fakePlatform struct {
+	limit         *rate.Limiter
+	start         time.Time
+	prefixCaches  bool // its backends keep prompts
+	eventsPerPage int  // parts that each of them reads anew between two pages of its events
 
 	mu      sync.Mutex
 	down    bool
@@ -52,51 +52,51 @@
 }
 
 // platformBurst is one part in so many of a second's calls that are answered at once.
-const platformBurst = 10
+const platformBurstDivisor = 10
 
-func newPlatform(callsPerSecond int) *platform {
-	return &platform{
-		limit: rate.NewLimiter(rate.Limit(callsPerSecond), callsPerSecond/platformBurst), start: time.Now(), calls: map[int64]int{},
+func newFakePlatform(callsPerSecond int) *fakePlatform {
+	return &fakePlatform{
+		limit: rate.NewLimiter(rate.Limit(callsPerSecond), callsPerSecond/platformBurstDivisor), start: time.Now(), calls: map[int64]int{},
 	}
 }
 
 // backendParts is how many parts of prompts a backend keeps from the first.
-const backendParts = 20
+const minBackendParts = 20
 
 // events is a backend's page of kept prompts: some more with each call, under names that repeat.
-func events(backend, since string, each int) (*http.Response, error) {
+func eventsResponse(backend, since string, each int) (*http.Response, error) {
 	next, _ := strconv.Atoi(since)
 	news := []any{}
-	for i := next; i < next+max(1, each) || i < backendParts; i++ {
-		part := i % (10 * backendParts)
+	for i := next; i < next+max(1, each) || i < minBackendParts; i++ {
+		part := i % (10 * minBackendParts)
 		news = append(news, []any{i, "+", "v1", fmt.Sprint(backend, "/", part), 1 + i*7919%3000, "m"})
 	}
 	body, err := json.Marshal(map[string]any{"epoch": 1, "next_page_token": next + len(news), "events": news})
-	return answer(http.StatusOK, body), err
+	return newResponse(http.StatusOK, body), err
 }
 
 // RoundTrip answers GET /instances, and a backend's GET /v1/kv-events.
-func (p *platform) RoundTrip(request *http.Request) (*http.Response, error) {
+func (p *fakePlatform) RoundTrip(request *http.Request) (*http.Response, error) {
 	time.Sleep(platformLatency)
-	if request.URL.Host != platformHost {
-		return events(request.URL.Host, request.URL.Query().Get("since"), p.perPage)
+	if request.URL.Host != platformHostName {
+		return eventsResponse(request.URL.Host, request.URL.Query().Get("since"), p.eventsPerPage)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	second := int64(time.Since(p.start) / time.Second)
 	p.calls[second]++
 	if p.down {
-		return answer(http.StatusServiceUnavailable, nil), nil
+		return newResponse(http.StatusServiceUnavailable, nil), nil
 	}
 	if !p.limit.Allow() {
 		p.refused++
-		return answer(http.StatusTooManyRequests, nil), nil
+		return newResponse(http.StatusTooManyRequests, nil), nil
 	}
 	first, _ := strconv.Atoi(request.URL.Query().Get("page_token"))
 	page := instancePage{}
-	for i := first; i < min(first+platformPage, platformInstances); i++ {
+	for i := first; i < min(first+platformPageSize, platformInstances); i++ {
 		entry := instance{ID: fmt.Sprintf("i-%04d", i), Service: "s", Address: fmt.Sprintf("10.7.%d.%d:80", i/200, i%200), Zone: "z0"}
-		if p.engines {
+		if p.prefixCaches {
 			entry.Models = append(entry.Models, modelVersion{"m", 1})
 		}
 		if i == 0 {
@@ -104,20 +104,20 @@
 		}
 		page.Instances = append(page.Instances, entry)
 	}
-	if next := first + platformPage; next < platformInstances {
+	if next := first + platformPageSize; next < platformInstances {
 		token := strconv.Itoa(next)
 		page.Next = &token
 	}
 	body, err := json.Marshal(page)
-	return answer(http.StatusOK, body), err
+	return newResponse(http.StatusOK, body), err
 }
 
-func answer(status int, body []byte) *http.Response {
+func newResponse(status int, body []byte) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(bytes.NewReader(body))}
 }
 
 // busiest is the most calls in a second from a second on.
-func (p *platform) busiest(from time.Duration) (most int) {
+func (p *fakePlatform) busiestSecond(from time.Duration) (most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for second, calls := range p.calls {
@@ -132,7 +132,7 @@
 type fleet struct {
 	t        *testing.T
 	network  *simtest.Network
-	platform *platform
+	platform *fakePlatform
 	agents   []*Agent
 	stops    map[*Agent]context.CancelFunc
 	running  sync.WaitGroup
@@ -142,14 +142,14 @@
 }
 
 // playFleet starts agents of some zones all at once and plays with them.
-func playFleet(t *testing.T, zones, each, callsPerSecond int, play func(f *fleet)) {
+func runFleet(t *testing.T, zones, each, callsPerSecond int, play func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
 			t: t, network: simtest.NewNetwork(), stops: map[*Agent]context.CancelFunc{}, members: &distribute.MemberSet{Digest: 1},
-			platform: newPlatform(callsPerSecond),
+			platform: newFakePlatform(callsPerSecond),
 		}
-		listener, err := f.network.Host(fleetController).Listen(fmt.Sprintf("%s:%d", fleetController, fleetPort))
+		listener, err := f.network.Host(fleetControllerIP).Listen(fmt.Sprintf("%s:%d", fleetControllerIP, fleetPort))
 		require.NoError(t, err)
 		go rpc.Serve(listener, func(_ context.Context, _ string, body []byte) (any, error) { return f.watch(body) })
 		for zone := range zones {
@@ -161,16 +161,16 @@
 			f.run(a)
 		}
 		defer func() {
-			f.end()
+			f.stopAll()
 			listener.Close()
-			f.network.CloseHost(fleetController)
+			f.network.CloseHost(fleetControllerIP)
 			time.Sleep(simtest.Settled)
 		}()
 		play(f)
 	})
 }
 
-func (f *fleet) end() {
+func (f *fleet) stopAll() {
 	for _, a := range f.agents {
 		f.kill(a)
 	}
@@ -178,7 +178,7 @@
 }
 
 // add makes an agent that does not run yet, and has the controller tell of it.
-func (f *fleet) add(zone, ip string) *Agent { return f.member(f.make(zone, ip)) }
+func (f *fleet) add(zone, ip string) *Agent { return f.register(f.newAgent(zone, ip)) }
 
 // addOwner makes one to whom the list's duty falls: which life's that is is drawn by lot.
 func (f *fleet) addOwner(zone, ip string) *Agent {
@@ -190,23 +190,23 @@
 	}
 	f.mu.Unlock()
 	for range lives {
-		if a := f.make(zone, ip); rendezvous.Owner(listDuty, append(others, a.self.ID)) == a.self.ID {
-			return f.member(a)
+		if a := f.newAgent(zone, ip); rendezvous.Owner(listReaderKey, append(others, a.self.ID)) == a.self.ID {
+			return f.register(a)
 		}
 	}
 	require.FailNow(f.t, "no life is the owner's")
 	return nil
 }
 
-func (f *fleet) make(zone, ip string) *Agent {
+func (f *fleet) newAgent(zone, ip string) *Agent {
 	settings := &local.Settings{
-		NodeName: "f-" + ip, IP: ip, Zone: zone, FirstPort: fleetPort, Seeds: []string{fleetController + ":8783"},
-		LinkMbps: 10, CloudAddr: platformHost, CloudRate: float64(f.platform.limit.Limit()),
+		NodeName: "f-" + ip, IP: ip, Zone: zone, FirstPort: fleetPort, Seeds: []string{fleetControllerIP + ":8783"},
+		LinkMbps: 10, CloudAddr: platformHostName, CloudRate: float64(f.platform.limit.Limit()),
 	}
-	return newOn(f.network.Host(ip), &http.Client{Transport: f.platform}, settings, zerolog.Nop())
+	return newAgent(f.network.Host(ip), &http.Client{Transport: f.platform}, settings, zerolog.Nop())
 }
 
-func (f *fleet) member(a *Agent) *Agent {
+func (f *fleet) register(a *Agent) *Agent {
 	f.agents = append(f.agents, a)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -236,13 +236,13 @@
 }
 
 // lose kills agents, and has the others told some time later.
-func (f *fleet) lose(agents ...*Agent) {
+func (f *fleet) crash(agents ...*Agent) {
 	gone := map[string]bool{}
 	for _, a := range agents {
 		f.kill(a)
 		gone[a.self.ID] = true
 	}
-	time.AfterFunc(membersToldAfter, func() {
+	time.AfterFunc(memberRemovalDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		left := &distribute.MemberSet{Digest: f.members.Digest + 1}
@@ -277,16 +277,16 @@
 }
 
 // oldest is the age of the oldest list among the agents that run, from its reading at the platform.
-func (f *fleet) oldest() (oldest time.Duration) {
+func (f *fleet) oldestListAge() (oldest time.Duration) {
 	now := time.Since(f.platform.start)
 	for _, a := range f.agents {
 		if f.stops[a] == nil {
 			continue
 		}
 		read := time.Duration(0) // it has none
-		require.NoError(f.t, a.ask(context.Background(), func() {
-			if len(a.list) > 0 {
-				read = time.Duration(a.list[0].Slots) * time.Millisecond
+		require.NoError(f.t, a.runInLoop(context.Background(), func() {
+			if len(a.backends) > 0 {
+				read = time.Duration(a.backends[0].Slots) * time.Millisecond
 			}
 		}))
 		oldest = max(oldest, now-read)
@@ -295,10 +295,10 @@
 }
 
 // watchAges looks at the agents for a while, and gives the age of the oldest list that one had.
-func (f *fleet) watchAges(span time.Duration) (oldest time.Duration) {
+func (f *fleet) maxListAge(span time.Duration) (oldest time.Duration) {
 	const look = 100 * time.Millisecond
 	for began := time.Now(); time.Since(began) < span; time.Sleep(look) {
-		oldest = max(oldest, f.oldest())
+		oldest = max(oldest, f.oldestListAge())
 	}
 	return oldest
 }
@@ -309,7 +309,7 @@
 		if f.stops[a] == nil {
 			continue
 		}
-		require.NoError(f.t, a.ask(context.Background(), func() {
+		require.NoError(f.t, a.runInLoop(context.Background(), func() {
 			if holds(a) {
 				found = a
 			}
@@ -319,14 +319,16 @@
 }
 
 // owner is the agent whose duty the list is.
-func (f *fleet) owner() *Agent { return f.find(func(a *Agent) bool { return a.owns(listDuty) }) }
+func (f *fleet) listReader() *Agent {
+	return f.find(func(a *Agent) bool { return a.ownsKey(listReaderKey) })
+}
 
 // hub is the hub of a zone.
 func (f *fleet) hub(zone string) *Agent {
-	return f.find(func(a *Agent) bool { return a.settings.Zone == zone && a.news.hub(zone) == a.self.Addr })
+	return f.find(func(a *Agent) bool { return a.settings.Zone == zone && a.gossip.hubAddr(zone) == a.self.Addr })
 }
 
-func (p *platform) setDown(down bool) {
+func (p *fakePlatform) setDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
--- a/internal/agent/news_test.go
+++ b/internal/agent/gossip_test.go
@@ -16,7 +16,7 @@
 )
 
 // fleetOf makes agents of several zones that know each other. Nothing of them runs: news is handed over by the test.
-func fleetOf(zones, each int) []*Agent {
+func newAgents(zones, each int) []*Agent {
 	var agents []*Agent
 	set := &distribute.MemberSet{Digest: 1}
 	for z := range zones {
@@ -33,7 +33,7 @@
 }
 
 // link hands over what an exchange would send: the same three hops as its flush, without sockets.
-func link(agents []*Agent) (messages int) {
+func exchangeGossip(agents []*Agent) (messages int) {
 	byAddr := map[string]*Agent{}
 	for _, a := range agents {
 		byAddr[a.self.Addr] = a
@@ -41,78 +41,78 @@
 	deliver := func(to []string, n *feed.GossipMessage) int {
 		for _, addr := range to {
 			messages++
-			byAddr[addr].news.take(n)
+			byAddr[addr].gossip.receive(n)
 		}
 		return 0
 	}
 	for _, a := range agents {
-		a.news.send = deliver
+		a.gossip.send = deliver
 	}
 	for range 3 { // up, across, down
 		for _, a := range agents {
-			a.news.flush()
+			a.gossip.flush()
 		}
 	}
 	return messages
 }
 
-func TestNewsReachesEveryAgentOnce(t *testing.T) {
-	agents := fleetOf(3, 4)
+func TestGossipReachesEveryAgentOnce(t *testing.T) {
+	agents := newAgents(3, 4)
 	first := agents[0]
 	batch := &kvindex.Batch{Backend: "b", To: kvindex.Cursor{Epoch: 1, Next: 5}, Changes: []kvindex.Change{{Key: 7, Tokens: 100}}}
-	first.ownBatch(batch)
-	first.news.tell(&feed.GossipMessage{Phases: map[string]feed.Phase{"b": {Name: dispatch.PhaseLoading}}})
-	first.spreadList(time.Now(), []dispatch.BackendInfo{{ID: "b", Service: "s", Versions: map[string]int64{"m": 1}}})
+	first.publishBatch(batch)
+	first.gossip.publish(&feed.GossipMessage{Phases: map[string]feed.Phase{"b": {Name: dispatch.PhaseLoading}}})
+	first.publishList(time.Now(), []dispatch.BackendInfo{{ID: "b", Service: "s", Versions: map[string]int64{"m": 1}}})
 	for i, a := range agents {
-		a.ownLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
+		a.localLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
 	}
-	link(agents)
+	exchangeGossip(agents)
 	sum := len(agents) * (len(agents) + 1) / 2
 	for i, a := range agents {
 		require.Equal(t, 1, a.index.PartCount(), a.self.Addr)
-		require.Equal(t, sum-(i+1), a.news.others()["b"].Running, "what all others have, by %s", a.self.Addr)
+		require.Equal(t, sum-(i+1), a.gossip.remoteLoads()["b"].Running, "what all others have, by %s", a.self.Addr)
 		if a != first {
 			require.Equal(t, dispatch.PhaseLoading, a.phases["b"].Name)
-			require.Equal(t, first.list, a.list)
+			require.Equal(t, first.backends, a.backends)
 		}
 	}
 }
 
 // TestMessagesGrowWithAgentsNotPairs holds the exchange to what it is for.
-func TestMessagesGrowWithAgentsNotPairs(t *testing.T) {
+func TestGossipMessagesGrowLinearly(t *testing.T) {
 	count := func(each int) int {
-		agents := fleetOf(4, each)
+		agents := newAgents(4, each)
 		for i, a := range agents {
-			a.ownLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
+			a.localLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
 		}
-		return link(agents)
+		return exchangeGossip(agents)
 	}
 	few, many := count(4), count(16)
 	require.Less(t, many, 6*few, "four times the agents: %d, then %d messages", few, many)
 }
 
-func TestAnEndedLoadIsTold(t *testing.T) {
-	agents := fleetOf(2, 2)
+func TestRemovedLoadPropagates(t *testing.T) {
+	agents := newAgents(2, 2)
 	for _, a := range agents {
-		a.list = []dispatch.BackendInfo{{ID: "b"}}
-	}
-	agents[0].ownLoads = map[string]dispatch.Load{"b": {Running: 2, QueuedPrefillMS: 30}}
-	link(agents)
-	require.Equal(t, 2, agents[3].news.others()["b"].Running)
-	agents[0].ownLoads = nil
-	link(agents)
-	require.Empty(t, agents[3].news.others())
+		a.backends = []dispatch.BackendInfo{{ID: "b"}}
+	}
+	agents[0].localLoads = map[string]dispatch.Load{"b": {Running: 2, QueuedPrefillMS: 30}}
+	exchangeGossip(agents)
+	require.Equal(t, 2, agents[3].gossip.remoteLoads()["b"].Running)
+	agents[0].localLoads = nil
+	exchangeGossip(agents)
+	require.Empty(t, agents[3].gossip.remoteLoads())
 }
 
-func TestAGapIsNoticedByAReceiver(t *testing.T) {
-	agents := fleetOf(1, 2)
+func TestBatchGapRequestsResync(t *testing.T) {
+	agents := newAgents(1, 2)
 	a := agents[1]
-	a.takeBatch(&kvindex.Batch{Backend: "b", From: kvindex.Cursor{Epoch: 1, Next: 9}, To: kvindex.Cursor{Epoch: 1, Next: 12}}, "10.0.0.99:1")
-	require.True(t, a.wholes.wanted["b"], "the whole is fetched")
+	a.applyBatch(&kvindex.Batch{Backend: "b", From: kvindex.Cursor{Epoch: 1, Next: 9}, To: kvindex.Cursor{Epoch: 1, Next: 12}}, "10.0.0.99:1")
+	require.True(t, a.resync.pending["b"], "the whole is fetched")
 }
 
 // TestNewsComesLessOftenInALargeZone: a hub's messages a second stay bounded as its zone grows; other zones cost it nothing.
-func TestNewsComesLessOftenInALargeZone(t *testing.T) {
+func TestGossipIntervalByZoneSize(t *testing.T) {
 	for _, c := range []struct {
 		zones, each int
 		after       time.Duration
@@ -122,68 +122,68 @@
 		{1, 72, 40 * time.Millisecond, false}, {1, 72, 300 * time.Millisecond, true},
 		{4, 133, 270 * time.Millisecond, false}, {4, 133, 310 * time.Millisecond, true}, {1, 1600, 300 * time.Millisecond, false},
 	} {
-		a := fleetOf(c.zones, c.each)[0]
+		a := newAgents(c.zones, c.each)[0]
 		now := time.Now()
-		a.news.sent = now.Add(-c.after)
-		require.Equal(t, c.due, a.news.due(now), "%d zones of %d members, %v", c.zones, c.each, c.after)
-		require.LessOrEqual(t, float64(c.each)/a.news.interval().Seconds(), float64(hubMessages)*1.01, "messages a second of a hub")
+		a.gossip.flushedAt = now.Add(-c.after)
+		require.Equal(t, c.due, a.gossip.due(now), "%d zones of %d members, %v", c.zones, c.each, c.after)
+		require.LessOrEqual(t, float64(c.each)/a.gossip.interval().Seconds(), float64(hubMessagesPerSecond)*1.01, "messages a second of a hub")
 	}
 }
 
 // TestNewsLeavesTheLinkToOthers: what a hub told last is paid for by a share of its machine's link before it tells more, for a bounded time.
-func TestNewsLeavesTheLinkToOthers(t *testing.T) {
+func TestGossipIntervalByLinkUse(t *testing.T) {
 	for _, c := range []struct {
 		mbps     float64
 		told     int
 		interval time.Duration
 	}{
-		{0, 1 << 20, flushEvery}, // not stated
-		{1000, 30_000, flushEvery},
-		{10, 0, flushEvery},
-		{10, 18_000, flushEvery},
+		{0, 1 << 20, flushInterval}, // not stated
+		{1000, 30_000, flushInterval},
+		{10, 0, flushInterval},
+		{10, 18_000, flushInterval},
 		{10, 37_500, 120 * time.Millisecond},
-		{10, 1 << 20, flushSlowest},
+		{10, 1 << 20, maxFlushInterval},
 	} {
-		a := fleetOf(4, 18)[0]
-		a.settings.LinkMbps, a.news.told = c.mbps, c.told
-		require.InDelta(t, c.interval, a.news.interval(), float64(time.Millisecond), "%v Mbit/s, %d bytes", c.mbps, c.told)
+		a := newAgents(4, 18)[0]
+		a.settings.LinkMbps, a.gossip.zoneBytes = c.mbps, c.told
+		require.InDelta(t, c.interval, a.gossip.interval(), float64(time.Millisecond), "%v Mbit/s, %d bytes", c.mbps, c.told)
 	}
 }
 
 // TestAHubCountsWhatItTells: the bytes of one flush, to all agents of its zone.
-func TestAHubCountsWhatItTells(t *testing.T) {
-	agents := fleetOf(1, 5)
+func TestHubCountsZoneBytes(t *testing.T) {
+	agents := newAgents(1, 5)
 	for _, a := range agents {
-		a.ownLoads = map[string]dispatch.Load{"b": {Running: 1}}
+		a.localLoads = map[string]dispatch.Load{"b": {Running: 1}}
 	}
 	for _, a := range agents {
 		told := 0
-		a.news.send = func(to []string, _ *feed.GossipMessage) int {
+		a.gossip.send = func(to []string, _ *feed.GossipMessage) int {
 			told = 100 * len(to)
 			return told
 		}
-		a.news.flush()
-		if a.news.hub("z0") == a.self.Addr {
-			require.Equal(t, 400, a.news.told)
+		a.gossip.flush()
+		if a.gossip.hubAddr("z0") == a.self.Addr {
+			require.Equal(t, 400, a.gossip.zoneBytes)
 		} else {
-			require.Zero(t, a.news.told)
+			require.Zero(t, a.gossip.zoneBytes)
 		}
 	}
 }
 
 // TestLoadsDoNotWaitForKeptPrompts: as a hub, an agent tells loads at each flush and holds changes of kept prompts back until what it told of
 // them last is paid for by their share of the link. Nothing of them is lost meanwhile.
-func TestLoadsDoNotWaitForKeptPrompts(t *testing.T) {
-	agents := fleetOf(1, 3)
+func TestLoadsNotDelayedByIndexBatches(t *testing.T) {
+	agents := newAgents(1, 3)
 	var hub *Agent
 	for _, a := range agents {
-		if a.news.hub("z0") == a.self.Addr {
+		if a.gossip.hubAddr("z0") == a.self.Addr {
 			hub = a
 		}
 	}
 	hub.settings.LinkMbps = 10
 	var loads, batches int
-	hub.news.send = func(to []string, n *feed.GossipMessage) int {
+	hub.gossip.send = func(to []string, n *feed.GossipMessage) int {
 		if len(to) == 0 {
 			return 0 // there are no other zones
 		}
@@ -198,15 +198,15 @@
 		return 0
 	}
 	for i := range 3 {
-		hub.ownLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
-		hub.news.tell(&feed.GossipMessage{Batches: []*kvindex.Batch{{Backend: "b", From: kvindex.Cursor{Next: int64(i)}, To: kvindex.Cursor{Next: int64(i + 1)}}}})
-		hub.news.flush()
+		hub.localLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
+		hub.gossip.publish(&feed.GossipMessage{Batches: []*kvindex.Batch{{Backend: "b", From: kvindex.Cursor{Next: int64(i)}, To: kvindex.Cursor{Next: int64(i + 1)}}}})
+		hub.gossip.flush()
 	}
 	require.Equal(t, 3, loads)
 	require.Equal(t, 1, batches, "the first at once, the others wait")
-	require.False(t, hub.news.bulkDue(hub.news.bulkAt.Add(490*time.Millisecond)))
-	require.True(t, hub.news.bulkDue(hub.news.bulkAt.Add(500*time.Millisecond)))
-	hub.news.bulkAt = hub.news.bulkAt.Add(-time.Second)
-	hub.news.flush()
+	require.False(t, hub.gossip.bulkDue(hub.gossip.bulkAt.Add(490*time.Millisecond)))
+	require.True(t, hub.gossip.bulkDue(hub.gossip.bulkAt.Add(500*time.Millisecond)))
+	hub.gossip.bulkAt = hub.gossip.bulkAt.Add(-time.Second)
+	hub.gossip.flush()
 	require.Equal(t, 3, batches)
 }
--- a/internal/agent/web.go
+++ b/internal/agent/httpclient.go
@@ -9,15 +9,15 @@
 // newWeb makes the client of backends and of the platform. It follows no redirection: an order must reach the backend that it is meant
 // for, or none. A connection that is given up is reset, so that what a cut holds up of it is lost: an order must not arrive after the lease
 // that it was given under, when another holder has given a newer one.
-func newWeb() *http.Client {
+func newHTTPClient() *http.Client {
 	return &http.Client{
-		Transport:     &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true, DialContext: dialResetting},
+		Transport:     &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true, DialContext: dialWithReset},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
 // dialResetting makes a connection whose close drops what was not sent yet.
-func dialResetting(ctx context.Context, network, addr string) (net.Conn, error) {
+func dialWithReset(ctx context.Context, network, addr string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, addr)
 	if err != nil {
--- a/internal/agent/web_test.go
+++ b/internal/agent/httpclient_test.go
@@ -23,7 +23,7 @@
 )
 
 // TestOrdersAreNotSentOn: a backend's answer cannot send an order elsewhere, and one whose connection ends without an answer is not sent again.
-func TestOrdersAreNotSentOn(t *testing.T) {
+func TestHTTPClientNeitherRedirectsNorRetries(t *testing.T) {
 	var elsewhere, here atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
 	defer other.Close()
@@ -39,7 +39,7 @@
 		}
 	}))
 	defer backend.Close()
-	web := newWeb()
+	web := newHTTPClient()
 	for i := range 3 {
 		request, err := http.NewRequest(http.MethodPost, backend.URL+"/v1/order", strings.NewReader("{}"))
 		require.NoError(t, err)
@@ -56,11 +56,11 @@
 }
 
 // cutPoint is where a stand-in backend's connection breaks, and what the agent makes of it.
-type cutPoint struct {
-	name    string
-	serve   func(conn net.Conn, giveUp func())
-	arrives bool // the order is there, whole
-	taken   bool // the agent takes it for taken
+type connectionFault struct {
+	name         string
+	serve        func(conn net.Conn, giveUp func())
+	wantArrival  bool // the order is there, whole
+	wantAccepted bool // the agent takes it for taken
 }
 
 // readOrder reads one request, its body too.
@@ -73,40 +73,40 @@
 	return err == nil
 }
 
-func writes(answer string) func(net.Conn, func()) {
+func respondWith(answer string) func(net.Conn, func()) {
 	return func(conn net.Conn, _ func()) { io.WriteString(conn, answer) }
 }
 
 // cutPoints has every point of an order's way at which its connection may end, be silent, or bring something else.
-var cutPoints = []cutPoint{
+var connectionFaults = []connectionFault{
 	{"closed before anything is read", nil, false, false},
 	{"closed after the order", func(net.Conn, func()) {}, true, false},
 	{"reset after the order", func(conn net.Conn, _ func()) { conn.(*net.TCPConn).SetLinger(0) }, true, false},
 	{"silent after the order", func(_ net.Conn, giveUp func()) { giveUp() }, true, false},
-	{"half a head", writes("HTTP/1.1 20"), true, false},
-	{"no answer in HTTP", writes("hello\r\n\r\n"), true, false},
-	{"an informational answer alone", writes("HTTP/1.1 103 Early Hints\r\n\r\n"), true, false},
-	{"half a body of a refusal", writes("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 9\r\n\r\nlow"), true, false},
-	{"taken, its body cut", writes("HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nok"), true, true},
-	{"taken", writes("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
-	{"holds already", writes("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), true, true},
-	{"another is under way", writes("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), true, true},
-	{"a lower fence than was seen", writes("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n"), true, false},
-	{"another instance", writes("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"), true, false},
-	{"two answers", writes("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"half a head", respondWith("HTTP/1.1 20"), true, false},
+	{"no answer in HTTP", respondWith("hello\r\n\r\n"), true, false},
+	{"an informational answer alone", respondWith("HTTP/1.1 103 Early Hints\r\n\r\n"), true, false},
+	{"half a body of a refusal", respondWith("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 9\r\n\r\nlow"), true, false},
+	{"taken, its body cut", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nok"), true, true},
+	{"taken", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"holds already", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"another is under way", respondWith("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"a lower fence than was seen", respondWith("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n"), true, false},
+	{"another instance", respondWith("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"), true, false},
+	{"two answers", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
 }
 
 // TestOrdersThroughEveryPointOfACut: whatever becomes of its connection, an order is sent once, on a fresh connection and on a kept one, and is
 // taken for taken only where the backend said so. The verdict is the count of orders that arrived.
-func TestOrdersThroughEveryPointOfACut(t *testing.T) {
-	for _, point := range cutPoints {
+func TestSendOrderConnectionFaults(t *testing.T) {
+	for _, point := range connectionFaults {
 		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, kept %v", point.name, kept), func(t *testing.T) { orderThrough(t, point, kept) })
+			t.Run(fmt.Sprintf("%s, kept %v", point.name, kept), func(t *testing.T) { testSendOrderFault(t, point, kept) })
 		}
 	}
 }
 
-func orderThrough(t *testing.T, point cutPoint, kept bool) {
+func testSendOrderFault(t *testing.T, point connectionFault, kept bool) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -135,23 +135,23 @@
 	}()
 	a := New(&local.Settings{NodeName: "f", IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
 	held := &lease{state: leases.New(leases.Timing{HoldFor: time.Hour, MinSeparation: time.Second, MaxTransit: time.Second}, 0)}
-	require.True(t, held.confirmed(leases.Renewal{ReceivedAt: a.now(), FencingToken: 7}))
+	require.True(t, held.renew(leases.Renewal{ReceivedAt: a.now(), FencingToken: 7}))
 	r := &rollout{agent: a, model: "m", lease: held}
 	backend := dispatch.BackendInfo{ID: "i-1", Addr: listener.Addr().String()}
 	if kept {
-		require.NoError(t, r.order(ctx, backend, 2))
+		require.NoError(t, r.sendOrder(ctx, backend, 2))
 	}
-	err = r.order(ctx, backend, 2)
-	require.Equal(t, point.taken, err == nil, "%v", err)
+	err = r.sendOrder(ctx, backend, 2)
+	require.Equal(t, point.wantAccepted, err == nil, "%v", err)
 	want := int64(0)
-	if point.arrives {
+	if point.wantArrival {
 		want = 1
 	}
 	require.Equal(t, want, arrived.Load())
 }
 
 // TestAnOrderThatIsGivenUpIsReset: what was not delivered of it is lost, it does not arrive when a cut heals.
-func TestAnOrderThatIsGivenUpIsReset(t *testing.T) {
+func TestCanceledRequestResetsConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -170,7 +170,7 @@
 	}()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+listener.Addr().String()+"/v1/order", strings.NewReader("{}"))
 	require.NoError(t, err)
-	_, err = newWeb().Do(request)
+	_, err = newHTTPClient().Do(request)
 	require.Error(t, err)
 	require.ErrorIs(t, <-ended, syscall.ECONNRESET)
 }
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	listDuty  = "list"
-	listLimit = 900 * time.Millisecond
-	listPages = 400
-	listBytes = 4 << 20
-	draining  = "draining"
+	listReaderKey    = "list"
+	listReadTimeout  = 900 * time.Millisecond
+	maxListPages     = 400
+	maxResponseBytes = 4 << 20
+	stateDraining    = "draining"
 	// freshAfter is how long after its beginning a reading is no news any more, as its reader may have stood still.
-	freshAfter = 2 * listLimit
+	maxListReadAge = 2 * listReadTimeout
 )
 
 // instance is an entry of the platform's list.
@@ -49,24 +49,24 @@
 }
 
 // dutyList reads the platform's list when that falls to this agent, and asks another agent for it when it heard nothing for a while.
-func (a *Agent) dutyList(ctx context.Context) {
-	a.askForList(ctx)
+func (a *Agent) readListIfDue(ctx context.Context) {
+	a.requestListIfStale(ctx)
 	now := time.Now()
-	if a.lists.reading || !a.lists.plan(a, now).due(rand.Float64()) {
+	if a.listSync.reading || !a.listSync.readInputs(a, now).due(rand.Float64()) {
 		return
 	}
-	a.lists.reading, a.lists.triedAt = true, now
+	a.listSync.reading, a.listSync.lastReadAt = true, now
 	go func() {
 		list, pages, err := a.readList(ctx)
 		a.enqueue(func() {
-			a.lists.reading = false
-			a.lists.pages = max(a.lists.pages, pages)
+			a.listSync.reading = false
+			a.listSync.pageCount = max(a.listSync.pageCount, pages)
 			if err != nil {
 				a.log.Warn().Err(err).Str("step", "list").Msg("the platform's list was not read")
 				return
 			}
-			if time.Since(now) <= freshAfter {
-				a.spreadList(now, list)
+			if time.Since(now) <= maxListReadAge {
+				a.publishList(now, list)
 			}
 		})
 	}()
@@ -74,17 +74,17 @@
 
 // readList reads all pages, and tells how many it asked for.
 func (a *Agent) readList(ctx context.Context) (list []dispatch.BackendInfo, pages int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, listLimit)
+	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
 	list, token := []dispatch.BackendInfo{}, ""
-	for pages < listPages {
+	for pages < maxListPages {
 		pages++
-		page, err := a.readPage(ctx, token)
+		page, err := a.readListPage(ctx, token)
 		if err != nil {
 			return nil, pages, err
 		}
 		for _, i := range page.Instances {
-			list = append(list, listedOf(&i))
+			list = append(list, backendInfoOf(&i))
 		}
 		if page.Next == nil || *page.Next == "" {
 			return list, pages, nil
@@ -94,7 +94,7 @@
 	return nil, pages, merry.New("the list has too many pages")
 }
 
-func (a *Agent) readPage(ctx context.Context, token string) (*instancePage, error) {
+func (a *Agent) readListPage(ctx context.Context, token string) (*instancePage, error) {
 	target := "http://" + a.settings.CloudAddr + "/instances"
 	if token != "" {
 		target += "?page_token=" + url.QueryEscape(token)
@@ -112,22 +112,22 @@
 	for name, values := range header {
 		request.Header[name] = values
 	}
-	answer, err := a.web.Do(request)
+	answer, err := a.httpClient.Do(request)
 	if err != nil {
 		return merry.Prepend(err, "read "+target)
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, io.LimitReader(answer.Body, listBytes))
+		io.Copy(io.Discard, io.LimitReader(answer.Body, maxResponseBytes))
 		return merry.New("read " + target + ": " + answer.Status)
 	}
-	return merry.Prepend(json.NewDecoder(io.LimitReader(answer.Body, listBytes)).Decode(into), "read "+target)
+	return merry.Prepend(json.NewDecoder(io.LimitReader(answer.Body, maxResponseBytes)).Decode(into), "read "+target)
 }
 
-func listedOf(i *instance) dispatch.BackendInfo {
+func backendInfoOf(i *instance) dispatch.BackendInfo {
 	l := dispatch.BackendInfo{
 		ID: i.ID, Service: i.Service, Addr: i.Address, Zone: i.Zone, Slots: i.Slots,
-		Draining: i.State == draining, ColdMS: i.ColdMS,
+		Draining: i.State == stateDraining, ColdMS: i.ColdMS,
 	}
 	for _, m := range i.Models {
 		if l.Versions == nil {
--- a/internal/agent/listfeed_test.go
+++ b/internal/agent/listrevisions_test.go
@@ -17,17 +17,17 @@
 
 // proxyList is what a proxy makes of the lists it is told.
 type proxyList struct {
-	number   uint64
+	revision uint64
 	backends map[string]dispatch.BackendInfo
 	phases   map[string]string
 }
 
 // take applies a list as the proxy does.
-func (p *proxyList) take(t *testing.T, list *feed.List) {
+func (p *proxyList) apply(t *testing.T, list *feed.List) {
 	if list.BaseRevision == 0 {
 		p.backends, p.phases = map[string]dispatch.BackendInfo{}, map[string]string{}
 	} else {
-		require.Equal(t, p.number, list.BaseRevision)
+		require.Equal(t, p.revision, list.BaseRevision)
 	}
 	for _, l := range list.Backends {
 		p.backends[l.ID] = l
@@ -40,26 +40,26 @@
 		delete(p.backends, id)
 		delete(p.phases, id)
 	}
-	p.number = list.Revision
+	p.revision = list.Revision
 }
 
 // randomChange changes the agent's list or phases in some way.
-func randomChange(a *Agent, random *rand.Rand, round int) {
+func randomListChange(a *Agent, random *rand.Rand, round int) {
 	id := func() string { return fmt.Sprint("i-", random.IntN(40)) }
 	switch random.IntN(5) {
 	case 0:
-		a.takePhases(map[string]feed.Phase{id(): {Name: dispatch.PhaseLoading, Seq: uint64(round)}})
+		a.applyPhases(map[string]feed.Phase{id(): {Name: dispatch.PhaseLoading, Seq: uint64(round)}})
 	case 1:
-		a.takePhases(map[string]feed.Phase{id(): {Model: "m", Version: int64(round), Seq: uint64(round)}})
+		a.applyPhases(map[string]feed.Phase{id(): {Model: "m", Version: int64(round), Seq: uint64(round)}})
 	case 2:
 		for known, p := range a.phases {
-			p.at = time.Now().Add(-time.Minute)
+			p.receivedAt = time.Now().Add(-time.Minute)
 			a.phases[known] = p
 			break
 		}
 		a.expirePhases()
 	default:
-		list := slices.Clone(a.list)
+		list := slices.Clone(a.backends)
 		for range 1 + random.IntN(4) {
 			entry := dispatch.BackendInfo{ID: id(), Draining: random.IntN(2) == 0, Versions: map[string]int64{"m": int64(random.IntN(3))}}
 			at := slices.IndexFunc(list, func(l dispatch.BackendInfo) bool { return l.ID == entry.ID })
@@ -72,23 +72,23 @@
 				list = slices.Delete(list, at, at+1)
 			}
 		}
-		a.spreadList(time.Now(), list)
+		a.publishList(time.Now(), list)
 	}
 }
 
 // TestAProxyComesToHaveTheListByItsChanges: whatever changed, and whichever replies were lost.
-func TestAProxyComesToHaveTheListByItsChanges(t *testing.T) {
+func TestListDeltasConverge(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		a := fleetOf(1, 1)[0]
+		a := newAgents(1, 1)[0]
 		proxy := &proxyList{}
 		for round := 1; round < 120; round++ {
-			randomChange(a, random, round)
-			if a.list == nil || random.IntN(3) == 0 {
+			randomListChange(a, random, round)
+			if a.backends == nil || random.IntN(3) == 0 {
 				continue
 			}
-			proxy.take(t, a.listAfter(proxy.number))
-			whole := a.listFor()
+			proxy.apply(t, a.listSinceRevision(proxy.revision))
+			whole := a.fullList()
 			require.Len(t, proxy.backends, len(whole.Backends))
 			for _, l := range whole.Backends {
 				require.True(t, l.Equal(new(proxy.backends[l.ID])), "seed %d, round %d", seed, round)
@@ -99,20 +99,20 @@
 }
 
 // TestOneChangeIsToldAsOne: each change of one backend, as at each order for new weights, had the proxy read the whole list.
-func TestOneChangeIsToldAsOne(t *testing.T) {
-	a := fleetOf(1, 1)[0]
+func TestPhaseChangeSendsSingleEntry(t *testing.T) {
+	a := newAgents(1, 1)[0]
 	var list []dispatch.BackendInfo
 	for i := range platformInstances {
 		list = append(list, dispatch.BackendInfo{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("10.0.0.1:", i), Versions: map[string]int64{"m": 1}})
 	}
-	a.spreadList(time.Now(), list)
-	request := &feed.Request{AgentID: a.self.ID, ListRevision: a.listFor().Revision}
-	a.takePhases(map[string]feed.Phase{"i-7": {Name: dispatch.PhaseLoading}})
+	a.publishList(time.Now(), list)
+	request := &feed.Request{AgentID: a.self.ID, ListRevision: a.fullList().Revision}
+	a.applyPhases(map[string]feed.Phase{"i-7": {Name: dispatch.PhaseLoading}})
 	reply, fresh := a.feedReply(0, request)
 	require.True(t, fresh)
 	require.Len(t, reply.List.Backends, 1)
 	require.Equal(t, dispatch.PhaseLoading, reply.List.Phases["i-7"])
-	whole, err := cbor.Marshal(a.listFor())
+	whole, err := cbor.Marshal(a.fullList())
 	require.NoError(t, err)
 	told, err := cbor.Marshal(reply.List)
 	require.NoError(t, err)
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -11,7 +11,7 @@
 // Metrics gives what this agent knows, and how old it is.
 func (a *Agent) Metrics(ctx context.Context) (*metrics.Set, error) {
 	set := metrics.NewSet()
-	err := a.ask(ctx, func() { a.addMetrics(set) })
+	err := a.runInLoop(ctx, func() { a.addMetrics(set) })
 	if err != nil {
 		return nil, err
 	}
@@ -25,29 +25,29 @@
 		seq = a.snapshot.Seq
 	}
 	set.Add("agent_snapshot_seq", float64(seq))
-	set.Add("agent_applied_seq", float64(a.applied))
+	set.Add("agent_applied_seq", float64(a.appliedSeq))
 	set.Add("agent_epoch", float64(a.epoch))
 	set.Add("agent_members", float64(len(a.members.Agents)))
 	set.Add("agent_suspects", float64(len(a.suspects)))
-	set.Add("agent_backends", float64(len(a.list)))
+	set.Add("agent_backends", float64(len(a.backends)))
 	set.Add("agent_index_backends", float64(len(a.index.Backends())))
 	set.Add("agent_index_batches_total", float64(a.batchCount))
-	set.Add("agent_index_wholes_wanted", float64(len(a.wholes.wanted)))
-	set.Add("agent_index_wholes_served_total", float64(a.wholes.served))
-	set.Add("agent_event_readers", float64(len(a.readers)))
+	set.Add("agent_index_wholes_wanted", float64(len(a.resync.pending)))
+	set.Add("agent_index_wholes_served_total", float64(a.resync.served))
+	set.Add("agent_event_readers", float64(len(a.eventReaders)))
 	set.Add("agent_rollouts", float64(len(a.rollouts)))
-	set.Add("agent_news_sent_bytes_total", float64(a.newsBytes))
-	set.Add("agent_news_interval_seconds", a.news.interval().Seconds())
-	if a.inTouch != superseded.DistantPast {
-		set.Add("agent_in_touch_age_seconds", (a.now() - a.inTouch).Seconds())
+	set.Add("agent_news_sent_bytes_total", float64(a.gossipBytesSent))
+	set.Add("agent_news_interval_seconds", a.gossip.interval().Seconds())
+	if a.lastQuorumContact != superseded.DistantPast {
+		set.Add("agent_in_touch_age_seconds", (a.now() - a.lastQuorumContact).Seconds())
 	}
-	if a.list != nil {
-		addAge(set, "agent_list_age_seconds", a.lists.readAt)
+	if a.backends != nil {
+		addAge(set, "agent_list_age_seconds", a.listSync.readAt)
 	}
-	a.listArrivals.AddTo(set, "agent_list_arrival_seconds")
-	a.listApplied.took.AddTo(set, "agent_list_applied_seconds")
-	a.snapshotApplied.took.AddTo(set, "agent_snapshot_applied_seconds")
-	addAge(set, "agent_proxy_age_seconds", a.proxyAt)
+	a.listArrivalDelays.AddTo(set, "agent_list_arrival_seconds")
+	a.listApplyTracker.latencies.AddTo(set, "agent_list_applied_seconds")
+	a.snapshotApplyTracker.latencies.AddTo(set, "agent_snapshot_applied_seconds")
+	addAge(set, "agent_proxy_age_seconds", a.lastProxyRequest)
 }
 
 // addAge adds how long ago something was, unless it never was.
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -11,14 +11,14 @@
 )
 
 // TestFiguresOfAnAgent: what it has and how old that is; nothing is told of the age of what never was.
-func TestFiguresOfAnAgent(t *testing.T) {
-	a := fleetOf(2, 3)[0]
+func TestAgentMetrics(t *testing.T) {
+	a := newAgents(2, 3)[0]
 	set := metrics.NewSet()
 	a.addMetrics(set)
 	_, there := set.Value("agent_in_touch_age_seconds")
 	require.False(t, there)
-	a.snapshot, a.applied = &distribute.Snapshot{Seq: 9}, 7
-	a.inTouch = a.now() - time.Minute
+	a.snapshot, a.appliedSeq = &distribute.Snapshot{Seq: 9}, 7
+	a.lastQuorumContact = a.now() - time.Minute
 	set = metrics.NewSet()
 	a.addMetrics(set)
 	for name, want := range map[string]float64{"agent_snapshot_seq": 9, "agent_applied_seq": 7, "agent_members": 6, "agent_news_interval_seconds": 0.06} {
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -9,12 +9,12 @@
 
 // directMost is the agents that a hub tells by itself. In a larger zone it tells the first of each group, which passes the news on: a hub's
 // link and processor are its proxy's, and news that is urgent waits behind what they carry.
-const directMost = 12
+const maxDirectPeers = 12
 
 // tellZone sends news to the agents of this hub's zone, and gives the bytes that this machine sent.
-func (x *exchange) tellZone(n *feed.GossipMessage) (bytes int) {
-	fellows := x.fellows()
-	if len(fellows) <= directMost {
+func (x *gossiper) sendToZone(n *feed.GossipMessage) (bytes int) {
+	fellows := x.zonePeers()
+	if len(fellows) <= maxDirectPeers {
 		return x.send(fellows, n)
 	}
 	for _, group := range relayGroups(fellows) {
@@ -33,7 +33,7 @@
 }
 
 // passOn sends news of a hub on to the group that it named.
-func (x *exchange) passOn(n *feed.GossipMessage) {
+func (x *gossiper) relay(n *feed.GossipMessage) {
 	if len(n.RelayTo) == 0 {
 		return
 	}
--- a/internal/agent/weights.go
+++ b/internal/agent/report.go
@@ -8,7 +8,7 @@
 )
 
 // report is what a backend tells of itself.
-type report struct {
+type backendReport struct {
 	Busy   bool `json:"busy"`
 	Models []struct {
 		Name    string `json:"name"`
@@ -20,27 +20,27 @@
 type weightsState int
 
 const (
-	weightsOld     weightsState = iota // as far as is known
-	weightsLoading                     // an order is in progress
-	weightsThere
+	weightsOutdated weightsState = iota // as far as is known
+	weightsLoading                      // an order is in progress
+	weightsCurrent
 )
 
 // weights asks a backend how far it is on its way to a version.
-func (r *rollout) weights(ctx context.Context, l dispatch.BackendInfo, version int64) weightsState {
-	ctx, cancel := context.WithTimeout(ctx, reportLimit)
+func (r *rollout) queryWeights(ctx context.Context, l dispatch.BackendInfo, version int64) weightsState {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	var state report
+	var state backendReport
 	header := http.Header{"X-Expected-Instance": {l.ID}}
 	if err := r.agent.getJSON(ctx, "http://"+l.Addr+"/v1/report", header, &state); err != nil {
-		return weightsOld
+		return weightsOutdated
 	}
 	if state.Busy {
 		return weightsLoading
 	}
 	for _, m := range state.Models {
 		if m.Name == r.model && m.Version >= version {
-			return weightsThere
+			return weightsCurrent
 		}
 	}
-	return weightsOld
+	return weightsOutdated
 }
--- a/internal/agent/wholes_test.go
+++ b/internal/agent/resync_test.go
@@ -12,29 +12,29 @@
 const (
 	// mostOfAll is four times what each agent would serve if all lacked everything and asked each other evenly: the readers of events are
 	// drawn by lot, and a backend may be missed once more.
-	mostOfAll = 4 * platformInstances
+	maxServedAfterHubCrash = 4 * platformInstances
 	// joining agents lack everything, of which one agent is to serve a quarter at the most.
-	joining       = 4
-	mostOfJoining = joining * platformInstances / 4
+	joiningAgents      = 4
+	maxServedAfterJoin = joiningAgents * platformInstances / 4
 )
 
 // mostServed is the most answers with all that is known of a backend that one agent has given.
-func (f *fleet) mostServed() (most uint64) {
+func (f *fleet) maxServed() (most uint64) {
 	for _, a := range f.agents {
 		if f.stops[a] != nil {
-			require.NoError(f.t, a.ask(context.Background(), func() { most = max(most, a.wholes.served) }))
+			require.NoError(f.t, a.runInLoop(context.Background(), func() { most = max(most, a.resync.served) }))
 		}
 	}
 	return most
 }
 
 // behind counts the agents that lack what another knows of backends, by the number of parts; perPage are read between two pages of events.
-func (f *fleet) behind(perPage int) (n int) {
+func (f *fleet) laggingAgents(perPage int) (n int) {
 	parts := map[*Agent]int{}
 	most := 0
 	for _, a := range f.agents {
 		if f.stops[a] != nil {
-			require.NoError(f.t, a.ask(context.Background(), func() { parts[a] = a.index.PartCount() }))
+			require.NoError(f.t, a.runInLoop(context.Background(), func() { parts[a] = a.index.PartCount() }))
 			most = max(most, parts[a])
 		}
 	}
@@ -48,30 +48,30 @@
 
 // TestALostHubsZoneDoesNotAskOneAgentForTheIndex: all agents of the zone had missed changes of every backend, and asked their next hub for
 // each of them at once. News of backends that leave waited behind the answers on its link.
-func TestALostHubsZoneDoesNotAskOneAgentForTheIndex(t *testing.T) {
-	playFleet(t, 3, 16, largeRate, func(f *fleet) {
-		f.platform.engines = true
-		time.Sleep(startBound)
-		f.lose(f.hub("z1"))
+func TestResyncLoadAfterHubCrash(t *testing.T) {
+	runFleet(t, 3, 16, platformCallsPerSecond, func(f *fleet) {
+		f.platform.prefixCaches = true
+		time.Sleep(fleetStartTime)
+		f.crash(f.hub("z1"))
 		time.Sleep(8 * time.Second)
-		t.Logf("most served by one agent %d, %d agents behind", f.mostServed(), f.behind(1))
-		require.Less(t, f.mostServed(), uint64(mostOfAll))
-		require.Zero(t, f.behind(1))
+		t.Logf("most served by one agent %d, %d agents behind", f.maxServed(), f.laggingAgents(1))
+		require.Less(t, f.maxServed(), uint64(maxServedAfterHubCrash))
+		require.Zero(t, f.laggingAgents(1))
 	})
 }
 
 // TestAgentsThatJoinDoNotAskOneAgentForTheIndex: a quarter of a zone joins at once, and lacks all of the index.
-func TestAgentsThatJoinDoNotAskOneAgentForTheIndex(t *testing.T) {
-	playFleet(t, 3, 12, largeRate, func(f *fleet) {
-		f.platform.engines = true
-		time.Sleep(startBound)
-		before := f.mostServed()
-		for i := range joining {
+func TestResyncLoadAfterJoin(t *testing.T) {
+	runFleet(t, 3, 12, platformCallsPerSecond, func(f *fleet) {
+		f.platform.prefixCaches = true
+		time.Sleep(fleetStartTime)
+		before := f.maxServed()
+		for i := range joiningAgents {
 			f.run(f.add("z1", fmt.Sprint("127.1.0.", 100+i)))
 		}
 		time.Sleep(6 * time.Second)
-		t.Logf("most served by one agent %d before and %d after, %d agents behind", before, f.mostServed(), f.behind(1))
-		require.Less(t, f.mostServed()-before, uint64(mostOfJoining))
-		require.Zero(t, f.behind(1))
+		t.Logf("most served by one agent %d before and %d after, %d agents behind", before, f.maxServed(), f.laggingAgents(1))
+		require.Less(t, f.maxServed()-before, uint64(maxServedAfterJoin))
+		require.Zero(t, f.laggingAgents(1))
 	})
 }
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -19,16 +19,16 @@
 )
 
 // core is three controllers as an agent meets them: each knows a number that may be old, and whether it is in touch.
-type core struct {
-	network *simtest.Network
-	mu      sync.Mutex
-	known   map[string]uint64
-	inTouch map[string]bool
-	changed chan struct{}
-	calls   int
+type fakeControllers struct {
+	network      *simtest.Network
+	mu           sync.Mutex
+	snapshotSeqs map[string]uint64
+	hasQuorum    map[string]bool
+	changed      chan struct{}
+	calls        int
 }
 
-func (c *core) countCalls() int {
+func (c *fakeControllers) callCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
@@ -36,11 +36,11 @@
 
 func controllerIP(i int) string { return fmt.Sprintf("10.0.0.%d", i) }
 
-func newControllers(t *testing.T) *core {
-	c := &core{network: simtest.NewNetwork(), known: map[string]uint64{}, inTouch: map[string]bool{}, changed: make(chan struct{})}
+func newControllers(t *testing.T) *fakeControllers {
+	c := &fakeControllers{network: simtest.NewNetwork(), snapshotSeqs: map[string]uint64{}, hasQuorum: map[string]bool{}, changed: make(chan struct{})}
 	for i := 1; i <= 3; i++ {
 		ip := controllerIP(i)
-		c.inTouch[ip] = true
+		c.hasQuorum[ip] = true
 		listener, err := c.network.Host(ip).Listen(ip + ":7340")
 		require.NoError(t, err)
 		t.Cleanup(func() { listener.Close() })
@@ -50,18 +50,18 @@
 }
 
 // set gives a controller another number, and tells those that wait.
-func (c *core) set(number uint64, inTouch bool, ips ...string) {
+func (c *fakeControllers) set(number uint64, inTouch bool, ips ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, ip := range ips {
-		c.known[ip], c.inTouch[ip] = number, inTouch
+		c.snapshotSeqs[ip], c.hasQuorum[ip] = number, inTouch
 	}
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // watch answers as a controller's session does.
-func (c *core) watch(ctx context.Context, ip string, body []byte) (any, error) {
+func (c *fakeControllers) watch(ctx context.Context, ip string, body []byte) (any, error) {
 	request := new(distribute.WatchRequest)
 	if err := cbor.Unmarshal(body, request); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	defer held.Stop()
 	for over := false; ; {
 		c.mu.Lock()
-		number, inTouch, changed := c.known[ip], c.inTouch[ip], c.changed
+		number, inTouch, changed := c.snapshotSeqs[ip], c.hasQuorum[ip], c.changed
 		c.mu.Unlock()
 		if over || number > request.ReceivedSeq || !inTouch {
 			reply := &distribute.WatchReply{HasQuorum: inTouch}
@@ -92,19 +92,19 @@
 	}
 }
 
-const frontIP = "10.0.1.1"
+const agentIP = "10.0.1.1"
 
 // session plays an agent's session with the controllers.
-func session(t *testing.T, play func(c *core, has func() uint64)) {
+func runSessionTest(t *testing.T, play func(c *fakeControllers, has func() uint64)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newControllers(t)
-		settings := &local.Settings{NodeName: "f", IP: frontIP, FirstPort: 7340}
+		settings := &local.Settings{NodeName: "f", IP: agentIP, FirstPort: 7340}
 		for i := 1; i <= 3; i++ {
 			settings.Seeds = append(settings.Seeds, controllerIP(i)+":8783")
 		}
 		a := New(settings, zerolog.Nop())
-		a.pool = rpc.NewPoolWithNetwork(c.network.Host(frontIP))
+		a.pool = rpc.NewPoolWithNetwork(c.network.Host(agentIP))
 		ctx, stop := context.WithCancel(context.Background())
 		go func() {
 			for {
@@ -122,7 +122,7 @@
 			a.runSession(ctx)
 		}()
 		play(c, func() (seq uint64) {
-			require.NoError(t, a.ask(context.Background(), func() {
+			require.NoError(t, a.runInLoop(context.Background(), func() {
 				if a.snapshot != nil {
 					seq = a.snapshot.Seq
 				}
@@ -142,11 +142,11 @@
 
 // TestNewsThroughAnyOneController: whichever two of the three controllers are out of touch, cut off, or answer on a link that carries one way
 // only, an agent has what the third knows within two seconds, and never what is older again.
-func TestNewsThroughAnyOneController(t *testing.T) {
+func TestSessionWithOneReachableController(t *testing.T) {
 	for good := 1; good <= 3; good++ {
 		for _, how := range []string{"out of touch", "cut off", "answers lost", "requests lost"} {
 			t.Run(fmt.Sprint(good, how), func(t *testing.T) {
-				session(t, func(c *core, has func() uint64) {
+				runSessionTest(t, func(c *fakeControllers, has func() uint64) {
 					all := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
 					c.set(5, true, all...)
 					time.Sleep(time.Second)
@@ -159,12 +159,12 @@
 						case "out of touch":
 							c.set(5, false, ip)
 						case "answers lost":
-							c.network.Cut(true, ip, frontIP)
+							c.network.Cut(true, ip, agentIP)
 						case "requests lost":
-							c.network.Cut(true, frontIP, ip)
+							c.network.Cut(true, agentIP, ip)
 						default:
-							c.network.Cut(true, ip, frontIP)
-							c.network.Cut(true, frontIP, ip)
+							c.network.Cut(true, ip, agentIP)
+							c.network.Cut(true, agentIP, ip)
 						}
 					}
 					for number := uint64(6); number < 12; number++ {
@@ -180,8 +180,8 @@
 
 // TestNothingToBeginWithFromAControllerOutOfTouch: an agent that knows nothing yet takes nothing from controllers that cannot tell whether it
 // is the newest; one that knows something takes what is newer, and nothing older.
-func TestNothingToBeginWithFromAControllerOutOfTouch(t *testing.T) {
-	session(t, func(c *core, has func() uint64) {
+func TestNoInitialSnapshotWithoutQuorum(t *testing.T) {
+	runSessionTest(t, func(c *fakeControllers, has func() uint64) {
 		all := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
 		c.set(4, false, all...)
 		time.Sleep(5 * time.Second)
@@ -202,31 +202,31 @@
 func TestMain(m *testing.M) { simtest.Main(m) }
 
 // TestAgentsThatSearchTogether: while no controller is in touch an agent calls at a bounded rate, and soon after one is again it has its news.
-func TestAgentsThatSearchTogether(t *testing.T) {
-	session(t, func(c *core, has func() uint64) {
+func TestSessionBackoffWithoutQuorum(t *testing.T) {
+	runSessionTest(t, func(c *fakeControllers, has func() uint64) {
 		all := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
 		c.set(4, false, all...)
 		time.Sleep(time.Second)
-		before := c.countCalls()
+		before := c.callCount()
 		const span = 10 * time.Second
 		time.Sleep(span)
-		require.LessOrEqual(t, c.countCalls()-before, 3*int(span/sessionPauseMost))
+		require.LessOrEqual(t, c.callCount()-before, 3*int(span/maxSessionBackoff))
 		c.set(5, true, all...)
-		time.Sleep(3 * sessionPauseMost / 2)
+		time.Sleep(3 * maxSessionBackoff / 2)
 		require.Equal(t, uint64(5), has())
 	})
 }
 
 // TestAChangeOfOtherMembers: an agent that cannot apply a change keeps the members that it knows and asks for the whole.
-func TestAChangeOfOtherMembers(t *testing.T) {
-	a := New(&local.Settings{NodeName: "f", IP: frontIP, FirstPort: 7340}, zerolog.Nop())
+func TestMembersDeltaWithUnknownBase(t *testing.T) {
+	a := New(&local.Settings{NodeName: "f", IP: agentIP, FirstPort: 7340}, zerolog.Nop())
 	one := distribute.NewMemberSet([]distribute.Agent{{ID: "f/1"}})
 	two := distribute.NewMemberSet([]distribute.Agent{{ID: "f/1"}, {ID: "g/1"}})
 	other := distribute.NewMemberSet([]distribute.Agent{{ID: "h/1"}})
-	a.takeMembers(&distribute.WatchReply{Members: one})
-	a.takeMembers(&distribute.WatchReply{MembersDelta: one.DeltaTo(two)})
+	a.applyMembers(&distribute.WatchReply{Members: one})
+	a.applyMembers(&distribute.WatchReply{MembersDelta: one.DeltaTo(two)})
 	require.Equal(t, two, a.members)
-	a.takeMembers(&distribute.WatchReply{MembersDelta: other.DeltaTo(one)})
+	a.applyMembers(&distribute.WatchReply{MembersDelta: other.DeltaTo(one)})
 	require.Equal(t, two.Agents, a.members.Agents)
 	request := a.watchRequest()
 	require.Zero(t, request.MembersDigest)
