--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,7 @@
-// Package agent is the program beside each proxy: it keeps the session with a controller, watches a few peers, does the duties that
-// fall to it, and feeds the proxy over loopback. One goroutine owns its tables and works through a queue of commands.
+// Package agent implements the agent that runs beside each proxy. It keeps a session with a
+// controller, pings a few peers as a failure detector, does the work that rendezvous hashing or a
+// lease assigns to it, and feeds the proxy over loopback. One goroutine, the command loop, owns the
+// agent's state and runs a queue of commands.
 package agent
 
 import (
@@ -27,17 +29,19 @@
 const (
 	tickInterval       = 100 * time.Millisecond
 	commandQueueLength = 1024
-	// phasesKeep is how long an owner's phases are believed, and phasesTold how long it tells them again.
+	// phaseTTL is how long a received phase stays valid without being announced again.
+	// phaseAnnouncePeriod is how long the holder of a rollout lease keeps announcing a phase.
 	phaseTTL            = 4 * time.Second
 	phaseAnnouncePeriod = loadTimeout + 2*time.Second
 	feedLongPollTimeout = 200 * time.Millisecond
 	proxyTimeout        = time.Second
-	// keptBatches is how many changes of kept prompts are held for the proxy at least; the oldest go droppedAtOnce at a time, as all others move.
+	// minRecentBatches is the minimum number of index batches that are kept for the proxy. The
+	// oldest are dropped batchTrimLength at a time, because dropping one moves all others.
 	minRecentBatches = 2048
 	batchTrimLength  = 512
 )
 
-// Agent is one mixer's agent.
+// Agent is the agent of one proxy.
 type Agent struct {
 	settings    *local.Settings
 	log         zerolog.Logger
@@ -48,65 +52,66 @@
 	startedAt   time.Time
 	commands    chan func()
 	done        chan struct{}
-	feedChanged chan struct{} // closed and replaced by the owner when a proxy may want to hear
+	feedChanged chan struct{} // closed and replaced by the command loop when the proxy may be missing an update
 
-	// What follows is the owner's.
+	// The fields below are owned by the command loop.
 	snapshot          *distribute.Snapshot
-	versionHistories  map[string]superseded.History // since when models' versions are known to be wanted
-	lastQuorumContact time.Duration                 // when a call was made that a controller in touch answered, the last one
+	versionHistories  map[string]superseded.History // by model: the time bounds of its wanted versions
+	lastQuorumContact time.Duration                 // start of the last call that a controller with a quorum answered
 	controllers       []string
-	epoch             uint64 // of the view that controllers are of
+	epoch             uint64 // of the chain view that the controllers are from
 	members           *distribute.MemberSet
 	suspects          map[string]bool
 	appliedSeq        uint64
 	lastProxyRequest  time.Time
 
-	backends      []dispatch.BackendInfo // nil if it is not known
+	backends      []dispatch.BackendInfo // the platform's instance list, nil until one is known
 	listSync      listSyncState
 	listRevisions listRevisions
 	phases        map[string]receivedPhase
 
-	listArrivalDelays    metrics.Histogram // of the list, from its reading to its arrival here
+	listArrivalDelays    metrics.Histogram // delays from the start of a list read to the list's arrival
 	listApplyTracker     applyTracker
 	snapshotApplyTracker applyTracker
 
 	index            *kvindex.Index
-	recentBatches    []*kvindex.Batch // the newest, the last of which has number batchCount
+	recentBatches    []*kvindex.Batch // newest last; the last one has number batchCount
 	batchCount       uint64
 	eventReaders     map[string]context.CancelFunc
-	readerInputs     eventReaderInputs // what readers were last held to
+	readerInputs     eventReaderInputs // the inputs of the last update of eventReaders
 	readersCheckedAt time.Time
 	resync           indexResync
 
-	eventOwners *rendezvous.OwnerCache // of the backends' events
+	eventOwners *rendezvous.OwnerCache // owners of the keys under which backend events are read
 
 	gossip          *gossiper
-	gossipBytesSent uint64 // of news that was sent
+	gossipBytesSent uint64 // gossip bytes sent
 	localLoads      map[string]dispatch.Load
 	rollouts        map[string]bool
 	announcedPhases map[string]announcedPhase
-	// phaseCount numbers the phases that this agent tells.
+	// phaseSeq numbers the phases that this agent announces.
 	phaseSeq uint64
 
-	kvStoresConfigSeq uint64 // number of the configuration that storeAddrs is of
+	kvStoresConfigSeq uint64 // sequence number of the configuration that kvStoreAddrs is from
 	kvStoreAddrs      []string
 }
 
-// New makes an agent on the machine's own network.
+// New returns an agent that uses the machine's own network.
 func New(settings *local.Settings, log zerolog.Logger) *Agent {
 	return newAgent(rpc.TCP{}, newHTTPClient(), settings, log)
 }
 
-// newOn makes an agent that meets other machines on a network, and backends and the platform through a client.
-func newAgent(network rpc.Network, web *http.Client, settings *local.Settings, log zerolog.Logger) *Agent {
-	life := fmt.Sprintf("%s/%016x%04x", settings.NodeName, time.Now().UnixNano(), rand.IntN(1<<16))
+// newAgent returns an agent that reaches other machines through network, and backends and the
+// platform through httpClient.
+func newAgent(network rpc.Network, httpClient *http.Client, settings *local.Settings, log zerolog.Logger) *Agent {
+	id := fmt.Sprintf("%s/%016x%04x", settings.NodeName, time.Now().UnixNano(), rand.IntN(1<<16))
 	a := &Agent{
 		settings:          settings,
 		log:               log,
 		network:           network,
 		pool:              rpc.NewPoolWithNetwork(network),
-		httpClient:        web,
-		self:              distribute.Agent{ID: life, Addr: settings.InternalAddr(settings.IP), Zone: settings.Zone},
+		httpClient:        httpClient,
+		self:              distribute.Agent{ID: id, Addr: settings.InternalAddr(settings.IP), Zone: settings.Zone},
 		startedAt:         time.Now(),
 		commands:          make(chan func(), commandQueueLength),
 		done:              make(chan struct{}),
@@ -130,36 +135,37 @@
 	return a
 }
 
-// Run works until ctx ends.
+// Run serves peers and the proxy and runs the command loop until ctx is done. It returns an error
+// if it cannot listen.
 func (a *Agent) Run(ctx context.Context) error {
-	outside, err := a.network.Listen(a.self.Addr)
+	peerListener, err := a.network.Listen(a.self.Addr)
 	if err != nil {
-		return merry.Prepend(err, "agent: listen to machines")
+		return merry.Prepend(err, "agent: listen for peers")
 	}
-	defer outside.Close()
-	inside, err := a.network.Listen(a.settings.LoopbackAddr())
+	defer peerListener.Close()
+	proxyListener, err := a.network.Listen(a.settings.LoopbackAddr())
 	if err != nil {
-		return merry.Prepend(err, "agent: listen to the proxy")
+		return merry.Prepend(err, "agent: listen for the proxy")
 	}
-	defer inside.Close()
-	go rpc.Serve(outside, a.handlePeer)
-	go rpc.Serve(inside, a.handleProxy)
+	defer proxyListener.Close()
+	go rpc.Serve(peerListener, a.handlePeer)
+	go rpc.Serve(proxyListener, a.handleProxy)
 	go a.runSession(ctx)
 	go a.watchPeers(ctx)
-	ticker := time.NewTicker(tickInterval)
-	defer ticker.Stop()
-	flush := time.NewTicker(flushInterval)
-	defer flush.Stop()
+	tickTicker := time.NewTicker(tickInterval)
+	defer tickTicker.Stop()
+	flushTicker := time.NewTicker(flushInterval)
+	defer flushTicker.Stop()
 	defer close(a.done)
 	for {
 		select {
 		case command := <-a.commands:
 			command()
-		case now := <-flush.C:
+		case now := <-flushTicker.C:
 			if a.gossip.due(now) {
 				a.gossip.flush()
 			}
-		case <-ticker.C:
+		case <-tickTicker.C:
 			a.tick(ctx)
 		case <-ctx.Done():
 			return nil
@@ -167,13 +173,14 @@
 	}
 }
 
-// Reload takes settings that changed: the seeds.
+// Reload applies changed settings. Only the seeds can change at run time.
 func (a *Agent) Reload(settings *local.Settings) {
 	a.enqueue(func() { a.settings.Seeds = settings.Seeds })
 }
 
 func (a *Agent) now() time.Duration { return time.Since(a.startedAt) }
 
+// enqueue queues a command for the command loop. It drops the command once the agent has stopped.
 func (a *Agent) enqueue(command func()) {
 	select {
 	case a.commands <- command:
@@ -181,12 +188,12 @@
 	}
 }
 
-// ask runs a command at the owner and waits for it.
+// runInLoop runs a command in the command loop and waits until it has finished.
 func (a *Agent) runInLoop(ctx context.Context, command func()) error {
-	finished := make(chan struct{})
-	a.enqueue(func() { command(); close(finished) })
+	done := make(chan struct{})
+	a.enqueue(func() { command(); close(done) })
 	select {
-	case <-finished:
+	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -204,36 +211,36 @@
 	a.expirePhases()
 }
 
-// notify wakes the proxy's call.
+// notifyProxy wakes the proxy's long-polling feed request.
 func (a *Agent) notifyProxy() {
 	close(a.feedChanged)
 	a.feedChanged = make(chan struct{})
 }
 
-// handlePeer serves other machines.
+// handlePeer handles the calls of other agents.
 func (a *Agent) handlePeer(ctx context.Context, kind string, body []byte) (any, error) {
 	switch kind {
 	case feed.KindGossip:
-		news := new(feed.GossipMessage)
-		if err := cbor.Unmarshal(body, news); err != nil {
+		message := new(feed.GossipMessage)
+		if err := cbor.Unmarshal(body, message); err != nil {
 			return nil, err
 		}
-		a.enqueue(func() { a.gossip.receive(news) })
+		a.enqueue(func() { a.gossip.receive(message) })
 		return nil, nil
 	case feed.KindBackendIndex:
 		request := new(feed.BackendIndexRequest)
 		if err := cbor.Unmarshal(body, request); err != nil {
 			return nil, err
 		}
-		var whole *kvindex.Batch
+		var snapshot *kvindex.Batch
 		err := a.runInLoop(ctx, func() {
-			whole = a.index.Snapshot(request.Backend)
+			snapshot = a.index.Snapshot(request.Backend)
 			a.resync.served++
 		})
-		if err == nil && whole == nil {
-			err = merry.New("nothing is known of " + request.Backend)
+		if err == nil && snapshot == nil {
+			err = merry.New("agent: backend index: unknown backend " + request.Backend)
 		}
-		return whole, err
+		return snapshot, err
 	case feed.KindList:
 		request := new(feed.ListRequest)
 		if err := cbor.Unmarshal(body, request); err != nil {
@@ -243,10 +250,10 @@
 	case feed.KindPing:
 		return struct{}{}, nil
 	}
-	return nil, merry.New("no such call: " + kind)
+	return nil, merry.New("agent: handle peer call: unknown kind " + kind)
 }
 
-// handleProxy serves the proxy beside this agent.
+// handleProxy handles the calls of the proxy beside this agent.
 func (a *Agent) handleProxy(ctx context.Context, kind string, body []byte) (any, error) {
 	if kind == feed.KindLoads {
 		loads := map[string]dispatch.Load{}
@@ -257,28 +264,28 @@
 		return nil, nil
 	}
 	if kind != feed.KindFeed {
-		return nil, merry.New("no such call: " + kind)
+		return nil, merry.New("agent: handle proxy call: unknown kind " + kind)
 	}
 	request := new(feed.Request)
 	if err := cbor.Unmarshal(body, request); err != nil {
 		return nil, err
 	}
 	began := a.now()
-	held := time.NewTimer(feedLongPollTimeout)
-	defer held.Stop()
+	timeout := time.NewTimer(feedLongPollTimeout)
+	defer timeout.Stop()
 	for {
 		var reply *feed.Reply
-		var fresh bool
+		var isNew bool
 		var changed chan struct{}
-		if err := a.runInLoop(ctx, func() { reply, fresh = a.feedReply(began, request); changed = a.feedChanged }); err != nil {
+		if err := a.runInLoop(ctx, func() { reply, isNew = a.feedReply(began, request); changed = a.feedChanged }); err != nil {
 			return nil, err
 		}
-		if fresh {
+		if isNew {
 			return reply, nil
 		}
 		select {
 		case <-changed:
-		case <-held.C:
+		case <-timeout.C:
 			return reply, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -286,73 +293,76 @@
 	}
 }
 
-// feedReply makes the answer to a call of the proxy that came at a time, and tells whether there is something in it that it lacks.
-func (a *Agent) feedReply(began time.Duration, request *feed.Request) (reply *feed.Reply, fresh bool) {
+// feedReply returns the reply to a feed request that arrived at began, and whether it contains
+// anything that the proxy is missing.
+func (a *Agent) feedReply(began time.Duration, request *feed.Request) (reply *feed.Reply, isNew bool) {
 	a.lastProxyRequest = time.Now()
 	a.appliedSeq = max(a.appliedSeq, request.SnapshotSeq)
-	same := request.AgentID == a.self.ID
+	sameAgent := request.AgentID == a.self.ID
 	reply = &feed.Reply{AgentID: a.self.ID, BatchCount: a.batchCount, LoadsRevision: a.gossip.loadsRevision}
-	if !same || request.LoadsRevision != a.gossip.loadsRevision {
-		reply.Loads, fresh = a.gossip.remoteLoads(), true
+	if !sameAgent || request.LoadsRevision != a.gossip.loadsRevision {
+		reply.Loads, isNew = a.gossip.remoteLoads(), true
 	}
 	if a.snapshot != nil && a.snapshot.Seq > request.SnapshotSeq {
 		snapshot := *a.snapshot
 		if snapshot.ConfigSeq == request.ConfigSeq {
 			snapshot.Config = nil
 		}
-		reply.Snapshot, reply.VersionAges, fresh = &snapshot, a.versionAges(), true
+		reply.Snapshot, reply.VersionAges, isNew = &snapshot, a.versionAges(), true
 		reply.LongPollMS = (a.now() - began).Milliseconds()
 	}
-	a.observeApplied(same, request)
+	a.observeApplied(sameAgent, request)
 	switch {
 	case a.backends == nil:
-	case !same:
-		reply.List, fresh = a.fullList(), true
+	case !sameAgent:
+		reply.List, isNew = a.fullList(), true
 	case request.ListRevision != a.listRevisions.current:
-		reply.List, fresh = a.listSinceRevision(request.ListRevision), true
+		reply.List, isNew = a.listSinceRevision(request.ListRevision), true
 	}
-	if !same || request.MembersDigest != a.members.Digest {
-		reply.Members, fresh = a.members, true
+	if !sameAgent || request.MembersDigest != a.members.Digest {
+		reply.Members, isNew = a.members, true
 	}
-	return reply, a.addIndexUpdates(request, reply, reply.Snapshot != nil) || fresh
+	return reply, a.addIndexUpdates(request, reply, reply.Snapshot != nil) || isNew
 }
 
-// feedIndex adds what a proxy lacks of the index, as much as one reply may bring; beside a snapshot, which is urgent, nothing but the news
-// that it has to begin anew. The list and the members come with it: while weights are exchanged the list changes with each call. It tells
-// whether it added something.
-func (a *Agent) addIndexUpdates(request *feed.Request, reply *feed.Reply, urgent bool) (fresh bool) {
-	behind := a.batchCount - request.BatchCount
-	if request.AgentID != a.self.ID || behind > uint64(len(a.recentBatches)) {
+// addIndexUpdates adds the index updates that the proxy is missing to a reply, as many as one reply
+// may carry, and reports whether it added any. A reply with a snapshot, which is urgent, carries at
+// most the reset of the index. List and members don't delay the index: during a rollout the list
+// changes with each call.
+func (a *Agent) addIndexUpdates(request *feed.Request, reply *feed.Reply, snapshotOnly bool) (isNew bool) {
+	lag := a.batchCount - request.BatchCount
+	if request.AgentID != a.self.ID || lag > uint64(len(a.recentBatches)) {
 		reply.Reset, reply.KnownBackends = true, a.index.Backends()
 		return true
 	}
 	reply.BatchCount = request.BatchCount
-	if urgent {
+	if snapshotOnly {
 		return false
 	}
 	changes := 0
-	for _, b := range a.recentBatches[uint64(len(a.recentBatches))-behind:] {
+	for _, batch := range a.recentBatches[uint64(len(a.recentBatches))-lag:] {
 		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
-		changes += len(b.Changes)
-		reply.Batches = append(reply.Batches, b)
+		changes += len(batch.Changes)
+		reply.Batches = append(reply.Batches, batch)
 		reply.BatchCount++
 	}
-	for _, id := range request.ResyncBackends {
+	for _, backend := range request.ResyncBackends {
 		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
-		whole := a.index.Snapshot(id)
-		if whole == nil {
-			whole = &kvindex.Batch{Backend: id, Snapshot: true}
+		snapshot := a.index.Snapshot(backend)
+		if snapshot == nil {
+			snapshot = &kvindex.Batch{Backend: backend, Snapshot: true}
 		}
-		changes += len(whole.Changes)
-		reply.Batches = append(reply.Batches, whole)
+		changes += len(snapshot.Changes)
+		reply.Batches = append(reply.Batches, snapshot)
 	}
 	return len(reply.Batches) > 0
 }
 
+// versionAges returns the ages of the wanted versions by model.
 func (a *Agent) versionAges() map[string][]superseded.Age {
 	ages := map[string][]superseded.Age{}
 	for model, times := range a.versionHistories {
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	eventsPollInterval   = 700 * time.Millisecond // between two pages of one backend
-	eventsLongPollTime   = 400 * time.Millisecond // that a page without events is held
+	eventsPollInterval   = 700 * time.Millisecond // between two event pages of one backend
+	eventsLongPollTime   = 400 * time.Millisecond // how long a backend holds a request while it has no events
 	eventsRequestTimeout = 1500 * time.Millisecond
-	kvListInterval       = 6 * time.Second // between two lists of one backend: each holds its work up
-	// sourcesEvery is how often the readers are held to the backends and members there are though neither seems to have changed.
+	kvListInterval       = 6 * time.Second // between two full listings of one backend: a listing blocks the backend's work
+	// readerCheckInterval is how often the event readers are checked even if neither the backends
+	// nor the members seem to have changed.
 	readerCheckInterval = time.Second
 )
 
-// eventsPage is an answer of a backend's events.
+// eventsPage is one page of a backend's cache events.
 type eventsPage struct {
 	Epoch  int64   `json:"epoch"`
 	Next   int64   `json:"next_page_token"`
@@ -33,7 +34,8 @@
 	Events []event `json:"events"`
 }
 
-// event is [number, + or -, salt, part, tokens kept now, model].
+// event is a cache event, encoded as the array [number, "+" or "-", salt, part, tokens now cached,
+// model].
 type event struct {
 	Seq    int64
 	Added  bool
@@ -43,13 +45,14 @@
 	Model  string
 }
 
-// UnmarshalJSON reads an event from its array.
+// UnmarshalJSON decodes an event from its array.
 func (e *event) UnmarshalJSON(text []byte) error {
 	var sign string
 	return unmarshalTuple(text, &e.Seq, &sign, &e.Salt, &e.Part, &e.Tokens, &e.Model)
 }
 
-// heldPart is [salt, part, tokens, model].
+// kvListEntry is an entry of a backend's cache listing, encoded as the array [salt, part, tokens,
+// model].
 type kvListEntry struct {
 	Salt   string
 	Part   string
@@ -57,18 +60,20 @@
 	Model  string
 }
 
-// UnmarshalJSON reads an entry from its array.
+// UnmarshalJSON decodes an entry from its array.
 func (h *kvListEntry) UnmarshalJSON(text []byte) error {
 	return unmarshalTuple(text, &h.Salt, &h.Part, &h.Tokens, &h.Model)
 }
 
+// unmarshalTuple decodes the leading items of a JSON array. Items that are null leave their target
+// unchanged.
 func unmarshalTuple(text []byte, into ...any) error {
 	var items []json.RawMessage
 	if err := json.Unmarshal(text, &items); err != nil {
 		return err
 	}
 	if len(items) < len(into) {
-		return fmt.Errorf("an entry of %d items, want %d", len(items), len(into))
+		return fmt.Errorf("agent: decode cache entry: got %d items, want at least %d", len(items), len(into))
 	}
 	for i, target := range into {
 		if string(items[i]) == "null" {
@@ -81,81 +86,84 @@
 	return nil
 }
 
-// heldList is an answer of all that a backend keeps.
+// kvList is the listing of everything in a backend's cache.
 type kvList struct {
 	Epoch   int64         `json:"epoch"`
 	Next    int64         `json:"next_page_token"`
 	Entries []kvListEntry `json:"held"`
 }
 
-// source is a backend or store whose events are read.
+// eventSource is a backend or KV store whose cache events are read.
 type eventSource struct{ id, addr string }
 
-// sourcesOf is what the readers follow from: the list, the configuration with its stores, and the members that share the backends.
+// eventReaderInputs identifies the versions of what determines the event readers: the list, the
+// configuration with its KV stores, and the members among which the backends are divided.
 type eventReaderInputs struct {
 	listDigest    uint64
 	configSeq     uint64
 	membersDigest uint64
 }
 
-// dutyEvents starts and stops the readers of the backends whose events fall to this agent, and forgets backends that are gone.
+// updateEventReaders starts and stops the readers of the backends whose events this agent owns, and
+// removes backends that are gone from the index.
 func (a *Agent) updateEventReaders(ctx context.Context) {
 	if a.snapshot == nil || a.backends == nil {
 		return
 	}
-	from := eventReaderInputs{a.listSync.digest, a.snapshot.ConfigSeq, a.members.Digest}
-	if from == a.readerInputs && time.Since(a.readersCheckedAt) < readerCheckInterval {
+	inputs := eventReaderInputs{a.listSync.digest, a.snapshot.ConfigSeq, a.members.Digest}
+	if inputs == a.readerInputs && time.Since(a.readersCheckedAt) < readerCheckInterval {
 		return
 	}
-	a.readerInputs, a.readersCheckedAt = from, time.Now()
+	a.readerInputs, a.readersCheckedAt = inputs, time.Now()
 	sources := a.eventSources()
 	a.eventOwners.SetCandidates(a.memberIDs())
-	a.eventOwners.Retain(func(duty string) bool {
-		_, there := sources[strings.TrimPrefix(duty, eventsKeyPrefix)]
-		return there
+	a.eventOwners.Retain(func(key string) bool {
+		_, ok := sources[strings.TrimPrefix(key, eventsKeyPrefix)]
+		return ok
 	})
 	for id, stop := range a.eventReaders {
-		if _, there := sources[id]; !there || !a.ownsEvents(id) {
+		if _, ok := sources[id]; !ok || !a.ownsEvents(id) {
 			stop()
 			delete(a.eventReaders, id)
 		}
 	}
 	for id, s := range sources {
 		if a.eventReaders[id] == nil && a.ownsEvents(id) {
-			reading, stop := context.WithCancel(ctx)
+			readerCtx, stop := context.WithCancel(ctx)
 			a.eventReaders[id] = stop
-			go a.readEvents(reading, s)
+			go a.readEvents(readerCtx, s)
 		}
 	}
 	for _, id := range a.index.Backends() {
-		if _, there := sources[id]; !there {
+		if _, ok := sources[id]; !ok {
 			a.index.Remove(id)
 		}
 	}
 }
 
+// eventsKeyPrefix precedes the backend ID in the rendezvous key of its events.
 const eventsKeyPrefix = "events/"
 
-// readsEvents tells whether the events of a backend fall to this agent.
+// ownsEvents reports whether this agent reads the events of a backend.
 func (a *Agent) ownsEvents(id string) bool {
 	return a.eventOwners.Owner(eventsKeyPrefix+id) == a.self.ID
 }
 
-// sources is every backend with kept prompts.
+// eventSources returns every backend and KV store that caches prompts.
 func (a *Agent) eventSources() map[string]eventSource {
 	sources := map[string]eventSource{}
-	for _, l := range a.backends {
-		if len(l.Versions) > 0 {
-			sources[l.ID] = eventSource{l.ID, l.Addr}
+	for _, backend := range a.backends {
+		if len(backend.Versions) > 0 {
+			sources[backend.ID] = eventSource{backend.ID, backend.Addr}
 		}
 	}
-	for _, s := range a.kvStores() {
-		sources[s] = eventSource{s, s}
+	for _, store := range a.kvStores() {
+		sources[store] = eventSource{store, store}
 	}
 	return sources
 }
 
-// stores gives the addresses of the stores in the configuration in force.
+// kvStores returns the addresses of the KV stores in the current configuration.
 func (a *Agent) kvStores() []string {
 	if a.kvStoresConfigSeq != a.snapshot.ConfigSeq {
 		a.kvStoresConfigSeq, a.kvStoreAddrs = a.snapshot.ConfigSeq, nil
@@ -163,9 +171,9 @@
 			Services []config.Service `json:"services"`
 		}
 		if json.Unmarshal(a.snapshot.Config, &doc) == nil {
-			for _, s := range doc.Services {
-				if s.KVStoreAddress != "" {
-					a.kvStoreAddrs = append(a.kvStoreAddrs, s.KVStoreAddress)
+			for _, store := range doc.Services {
+				if store.KVStoreAddress != "" {
+					a.kvStoreAddrs = append(a.kvStoreAddrs, store.KVStoreAddress)
 				}
 			}
 		}
@@ -173,22 +181,23 @@
 	return a.kvStoreAddrs
 }
 
-// readEvents follows one backend until ctx ends. It goes on where this index stands, which its former owner may have told.
+// readEvents reads the events of one backend until ctx is done. It continues at the index's cursor,
+// up to which the former owner may have published the events.
 func (a *Agent) readEvents(ctx context.Context, s eventSource) {
-	listed := time.Time{}
-	time.Sleep(time.Duration(rand.Int64N(int64(eventsPollInterval)))) // spread over the backends
+	lastListed := time.Time{}
+	time.Sleep(time.Duration(rand.Int64N(int64(eventsPollInterval)))) // spread the requests over the backends
 	for ctx.Err() == nil {
-		var at kvindex.Cursor
-		if a.runInLoop(ctx, func() { at, _ = a.index.Cursor(s.id) }) != nil {
+		var cursor kvindex.Cursor
+		if a.runInLoop(ctx, func() { cursor, _ = a.index.Cursor(s.id) }) != nil {
 			return
 		}
-		page, err := a.fetchEventsPage(ctx, s, at)
+		page, err := a.fetchEventsPage(ctx, s, cursor)
 		if err == nil {
-			batch := batchFromPage(s.id, at, page)
-			if batch.Snapshot && page.Lost && time.Since(listed) > kvListInterval {
-				listed = time.Now()
-				if whole, err := a.fetchKVList(ctx, s); err == nil {
-					batch = whole
+			batch := batchFromPage(s.id, cursor, page)
+			if batch.Snapshot && page.Lost && time.Since(lastListed) > kvListInterval {
+				lastListed = time.Now()
+				if listing, err := a.fetchKVList(ctx, s); err == nil {
+					batch = listing
 				}
 			}
 			a.runInLoop(ctx, func() { a.publishBatch(batch) })
@@ -200,65 +209,69 @@
 	}
 }
 
-func (a *Agent) fetchEventsPage(ctx context.Context, s eventSource, at kvindex.Cursor) (*eventsPage, error) {
+// fetchEventsPage fetches the events of a backend after a cursor.
+func (a *Agent) fetchEventsPage(ctx context.Context, source eventSource, cursor kvindex.Cursor) (*eventsPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, eventsRequestTimeout)
 	defer cancel()
-	target := "http://" + s.addr + "/v1/kv-events?since=" + strconv.FormatInt(at.Next, 10)
+	target := "http://" + source.addr + "/v1/kv-events?since=" + strconv.FormatInt(cursor.Next, 10)
 	header := http.Header{"Wait-Ms": {strconv.FormatInt(eventsLongPollTime.Milliseconds(), 10)}}
 	page := new(eventsPage)
 	return page, a.getJSON(ctx, target, header, page)
 }
 
-func (a *Agent) fetchKVList(ctx context.Context, s eventSource) (*kvindex.Batch, error) {
+// fetchKVList fetches the listing of a backend's cache as a snapshot batch.
+func (a *Agent) fetchKVList(ctx context.Context, source eventSource) (*kvindex.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, eventsRequestTimeout)
 	defer cancel()
 	list := new(kvList)
-	if err := a.getJSON(ctx, "http://"+s.addr+"/v1/kv-list", nil, list); err != nil {
+	if err := a.getJSON(ctx, "http://"+source.addr+"/v1/kv-list", nil, list); err != nil {
 		return nil, err
 	}
-	to := kvindex.Cursor{Epoch: list.Epoch, Next: list.Next}
-	batch := &kvindex.Batch{Backend: s.id, From: to, To: to, Snapshot: true}
-	for _, h := range list.Entries {
-		batch.Changes = append(batch.Changes, kvindex.Change{Key: kvindex.KeyOf(h.Salt, h.Model, h.Part), Tokens: h.Tokens})
+	cursor := kvindex.Cursor{Epoch: list.Epoch, Next: list.Next}
+	batch := &kvindex.Batch{Backend: source.id, From: cursor, To: cursor, Snapshot: true}
+	for _, entry := range list.Entries {
+		batch.Changes = append(batch.Changes, kvindex.Change{Key: kvindex.KeyOf(entry.Salt, entry.Model, entry.Part), Tokens: entry.Tokens})
 	}
 	return batch, nil
 }
 
-// batchOf makes a batch of a page. One of another memory, or behind a gap, begins anew.
-func batchFromPage(id string, at kvindex.Cursor, page *eventsPage) *kvindex.Batch {
-	b := &kvindex.Batch{Backend: id, From: at, To: kvindex.Cursor{Epoch: page.Epoch, Next: page.Next}}
-	b.Snapshot = page.Epoch != at.Epoch || page.Lost
-	for _, e := range page.Events {
-		b.Changes = append(b.Changes, kvindex.Change{Key: kvindex.KeyOf(e.Salt, e.Model, e.Part), Tokens: e.Tokens})
+// batchFromPage converts a page of events to a batch. It is a snapshot if the backend's epoch has
+// changed or events were lost.
+func batchFromPage(id string, cursor kvindex.Cursor, page *eventsPage) *kvindex.Batch {
+	batch := &kvindex.Batch{Backend: id, From: cursor, To: kvindex.Cursor{Epoch: page.Epoch, Next: page.Next}}
+	batch.Snapshot = page.Epoch != cursor.Epoch || page.Lost
+	for _, event := range page.Events {
+		batch.Changes = append(batch.Changes, kvindex.Change{Key: kvindex.KeyOf(event.Salt, event.Model, event.Part), Tokens: event.Tokens})
 	}
-	return b
+	return batch
 }
 
-// ownBatch takes a batch that was read here, and has it spread.
-func (a *Agent) publishBatch(b *kvindex.Batch) {
-	if len(b.Changes) == 0 && !b.Snapshot && b.From == b.To {
+// publishBatch applies a batch that this agent read from a backend, and gossips it.
+func (a *Agent) publishBatch(batch *kvindex.Batch) {
+	if len(batch.Changes) == 0 && !batch.Snapshot && batch.From == batch.To {
 		return
 	}
-	if !a.index.Apply(b) {
+	if !a.index.Apply(batch) {
 		return
 	}
-	b.Digest = a.index.Digest(b.Backend)
-	a.recordBatch(b)
-	a.gossip.publish(&feed.GossipMessage{Batches: []*kvindex.Batch{b}})
+	batch.Digest = a.index.Digest(batch.Backend)
+	a.recordBatch(batch)
+	a.gossip.publish(&feed.GossipMessage{Batches: []*kvindex.Batch{batch}})
 }
 
-// takeBatch takes one that was read elsewhere; after a gap the whole is fetched.
-func (a *Agent) applyBatch(b *kvindex.Batch, from string) {
-	if a.index.Apply(b) {
-		a.recordBatch(b)
+// applyBatch applies a batch that another agent read. If it leaves a gap, the backend's whole index
+// is requested.
+func (a *Agent) applyBatch(batch *kvindex.Batch, from string) {
+	if a.index.Apply(batch) {
+		a.recordBatch(batch)
 		return
 	}
-	a.requestResync(b.Backend, from)
+	a.requestResync(batch.Backend, from)
 }
 
-// keepBatch holds a batch ready for the proxy.
-func (a *Agent) recordBatch(b *kvindex.Batch) {
-	a.recentBatches = append(a.recentBatches, b)
+// recordBatch makes a batch available to the proxy.
+func (a *Agent) recordBatch(batch *kvindex.Batch) {
+	a.recentBatches = append(a.recentBatches, batch)
 	if len(a.recentBatches) >= minRecentBatches+batchTrimLength {
 		a.recentBatches = slices.Delete(a.recentBatches, 0, batchTrimLength)
 	}
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -12,10 +12,11 @@
 	"nettlefold/internal/replicated"
 )
 
-// lease is a duty as this agent holds it. Its owner's goroutines share it.
+// lease is a lease held or claimed by this agent. It is safe for concurrent use by the goroutines
+// of a rollout.
 type lease struct {
 	name           string
-	hadPredecessor bool // somebody else may have held it before
+	hadPredecessor bool // another agent may have held the lease before
 	mu             sync.Mutex
 	state          *leases.Lease
 }
@@ -38,13 +39,14 @@
 	return l.state.Expired(now)
 }
 
-// opensIn is how long it is until the lease begins.
+// timeUntilValid returns the time until the lease becomes valid, 0 if it has.
 func (l *lease) timeUntilValid(now time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, l.state.ValidFrom()-now)
 }
 
+// renew applies a renewal and reports whether the lease accepted it.
 func (l *lease) renew(c leases.Renewal) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,23 +54,25 @@
 	return l.state.Renew(c)
 }
 
-// orderTerms are the times of the duty to give orders. Engines that refuse lower tokens need no time between two holders: what the former one
-// sent has arrived by then or is refused.
+// rolloutLeaseTiming returns the timing of rollout leases. Engines that reject lower fencing tokens
+// need no separation between two holders: an order of the former one has arrived by then or is
+// rejected.
 func (a *Agent) rolloutLeaseTiming() leases.Timing {
-	terms := leases.Timing{HoldFor: leaseHoldTime, MaxTransit: orderTimeout}
+	timing := leases.Timing{HoldFor: leaseHoldTime, MaxTransit: orderTimeout}
 	if !a.settings.Bounds.Fenced {
-		terms.MinSeparation = a.settings.Bounds.Lease
+		timing.MinSeparation = a.settings.Bounds.Lease
 	}
-	return terms
+	return timing
 }
 
-// acquire takes a duty over, and waits until shortly before whoever had it has stopped: its lease may begin emptyAhead later.
+// acquireLease takes a lease over and waits until shortly before it becomes valid, which is after
+// the former holder has stopped. It returns up to emptyingLead before that time.
 func (a *Agent) acquireLease(ctx context.Context, name string) (*lease, error) {
-	var before replicated.LeaseRecord
-	if err := a.runInLoop(ctx, func() { before = a.snapshot.Leases[name] }); err != nil {
+	var record replicated.LeaseRecord
+	if err := a.runInLoop(ctx, func() { record = a.snapshot.Leases[name] }); err != nil {
 		return nil, err
 	}
-	l := &lease{name: name, hadPredecessor: before.Holder != "" && before.Holder != a.self.ID, state: leases.New(a.rolloutLeaseTiming(), before.FencingToken)}
+	l := &lease{name: name, hadPredecessor: record.Holder != "" && record.Holder != a.self.ID, state: leases.New(a.rolloutLeaseTiming(), record.FencingToken)}
 	if err := a.renewLease(ctx, l); err != nil {
 		return nil, err
 	}
@@ -84,9 +88,10 @@
 	}
 }
 
-// confirm makes sure through the chain that the duty is this agent's; it becomes so if nobody took it since the fence that is known.
+// renewLease renews a lease through the head of the chain. An agent that doesn't hold the lease
+// acquires it if nobody has acquired it since the known fencing token.
 func (a *Agent) renewLease(ctx context.Context, l *lease) error {
-	asked := a.now()
+	requestedAt := a.now()
 	request := &distribute.SubmitRequest{Operation: replicated.Operation{
 		Kind: replicated.KindLease, LeaseName: l.name, Holder: a.self.ID, FencingToken: l.fencingToken(),
 	}}
@@ -94,18 +99,18 @@
 	if err := a.runInLoop(ctx, func() { controllers = a.controllers }); err != nil {
 		return err
 	}
-	err := merry.New("no controller is known")
+	err := merry.New("agent: renew lease " + l.name + ": no controller is known")
 	for _, addr := range controllers {
 		reply := new(distribute.SubmitReply)
 		if callErr := a.pool.Call(ctx, orderTimeout, addr, distribute.KindSubmit, request, reply); callErr != nil {
 			err = callErr
 			continue
 		}
-		quiet := time.Duration(reply.PredecessorIdleMS) * time.Millisecond
-		if reply.Outcome == distribute.OutcomeCommitted && l.renew(leases.Renewal{RequestedAt: asked, ReceivedAt: a.now(), FencingToken: reply.FencingToken, PredecessorIdle: quiet}) {
+		predecessorIdle := time.Duration(reply.PredecessorIdleMS) * time.Millisecond
+		if reply.Outcome == distribute.OutcomeCommitted && l.renew(leases.Renewal{RequestedAt: requestedAt, ReceivedAt: a.now(), FencingToken: reply.FencingToken, PredecessorIdle: predecessorIdle}) {
 			return nil
 		}
-		err = merry.New("the duty " + l.name + " is another's: " + reply.Reason)
+		err = merry.New("agent: renew lease " + l.name + ": not granted: " + reply.Reason)
 		if reply.Outcome != distribute.OutcomeUnknown {
 			return err
 		}
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -16,16 +16,18 @@
 )
 
 const (
+	// listReaderKey is the rendezvous key of the agent that reads the platform's list.
 	listReaderKey    = "list"
 	listReadTimeout  = 900 * time.Millisecond
 	maxListPages     = 400
 	maxResponseBytes = 4 << 20
 	stateDraining    = "draining"
-	// freshAfter is how long after its beginning a reading is no news any more, as its reader may have stood still.
+	// maxListReadAge is the age from which a finished list read is discarded, because its reader
+	// may have been paused.
 	maxListReadAge = 2 * listReadTimeout
 )
 
-// instance is an entry of the platform's list.
+// instance is an entry of the platform's instance list.
 type instance struct {
 	ID      string         `json:"id"`
 	Service string         `json:"service"`
@@ -37,18 +39,20 @@
 	Models  []modelVersion `json:"models"`
 }
 
-// modelVersion is a model's weights as an instance has them.
+// modelVersion is the version of a model's weights on an instance.
 type modelVersion struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 }
 
+// instancePage is one page of the platform's instance list.
 type instancePage struct {
 	Instances []instance `json:"instances"`
 	Next      *string    `json:"next_page_token"`
 }
 
-// dutyList reads the platform's list when that falls to this agent, and asks another agent for it when it heard nothing for a while.
+// readListIfDue starts a read of the platform's list if this agent is due to do one. It also
+// requests the list from another agent if no update has arrived for a while.
 func (a *Agent) readListIfDue(ctx context.Context) {
 	a.requestListIfStale(ctx)
 	now := time.Now()
@@ -62,7 +66,7 @@
 			a.listSync.reading = false
 			a.listSync.pageCount = max(a.listSync.pageCount, pages)
 			if err != nil {
-				a.log.Warn().Err(err).Str("step", "list").Msg("the platform's list was not read")
+				a.log.Warn().Err(err).Str("step", "list").Msg("reading the platform's instance list failed")
 				return
 			}
 			if time.Since(now) <= maxListReadAge {
@@ -72,7 +76,8 @@
 	}()
 }
 
-// readList reads all pages, and tells how many it asked for.
+// readList reads all pages of the platform's list and returns the number of pages that it
+// requested.
 func (a *Agent) readList(ctx context.Context) (list []dispatch.BackendInfo, pages int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
@@ -83,15 +88,15 @@
 		if err != nil {
 			return nil, pages, err
 		}
-		for _, i := range page.Instances {
-			list = append(list, backendInfoOf(&i))
+		for _, entry := range page.Instances {
+			list = append(list, backendInfoOf(&entry))
 		}
 		if page.Next == nil || *page.Next == "" {
 			return list, pages, nil
 		}
 		token = *page.Next
 	}
-	return nil, pages, merry.New("the list has too many pages")
+	return nil, pages, merry.New("agent: read instance list: too many pages")
 }
 
 func (a *Agent) readListPage(ctx context.Context, token string) (*instancePage, error) {
@@ -103,7 +108,7 @@
 	return page, a.getJSON(ctx, target, nil, page)
 }
 
-// getJSON reads a JSON answer to a GET.
+// getJSON sends a GET request and decodes its JSON response.
 func (a *Agent) getJSON(ctx context.Context, target string, header http.Header, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
@@ -112,40 +117,42 @@
 	for name, values := range header {
 		request.Header[name] = values
 	}
-	answer, err := a.httpClient.Do(request)
+	response, err := a.httpClient.Do(request)
 	if err != nil {
-		return merry.Prepend(err, "read "+target)
+		return merry.Prepend(err, "agent: GET "+target)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, io.LimitReader(answer.Body, maxResponseBytes))
-		return merry.New("read " + target + ": " + answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
+		return merry.New("agent: GET " + target + ": " + response.Status)
 	}
-	return merry.Prepend(json.NewDecoder(io.LimitReader(answer.Body, maxResponseBytes)).Decode(into), "read "+target)
+	return merry.Prepend(json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into), "agent: GET "+target)
 }
 
-func backendInfoOf(i *instance) dispatch.BackendInfo {
-	l := dispatch.BackendInfo{
-		ID: i.ID, Service: i.Service, Addr: i.Address, Zone: i.Zone, Slots: i.Slots,
-		Draining: i.State == stateDraining, ColdMS: i.ColdMS,
+// backendInfoOf converts an entry of the platform's list.
+func backendInfoOf(entry *instance) dispatch.BackendInfo {
+	info := dispatch.BackendInfo{
+		ID: entry.ID, Service: entry.Service, Addr: entry.Address, Zone: entry.Zone, Slots: entry.Slots,
+		Draining: entry.State == stateDraining, ColdMS: entry.ColdMS,
 	}
-	for _, m := range i.Models {
-		if l.Versions == nil {
-			l.Versions = map[string]int64{}
+	for _, m := range entry.Models {
+		if info.Versions == nil {
+			info.Versions = map[string]int64{}
 		}
-		l.Versions[m.Name] = m.Version
+		info.Versions[m.Name] = m.Version
 	}
-	return l
+	return info
 }
 
-// withVersion overlays a version that is newer than the list's.
-func withVersion(versions map[string]int64, p feed.Phase) map[string]int64 {
-	if p.Version <= versions[p.Model] {
+// withVersion returns versions with the version of a phase if that is newer than the one in the
+// list.
+func withVersion(versions map[string]int64, phase feed.Phase) map[string]int64 {
+	if phase.Version <= versions[phase.Model] {
 		return versions
 	}
-	overlaid := map[string]int64{p.Model: p.Version}
+	overlaid := map[string]int64{phase.Model: phase.Version}
 	for model, version := range versions {
-		if model != p.Model {
+		if model != phase.Model {
 			overlaid[model] = version
 		}
 	}
--- a/internal/agent/listread.go
+++ b/internal/agent/listread.go
@@ -8,56 +8,59 @@
 
 const (
 	listReadInterval = 600 * time.Millisecond
-	// listRetry is the least time between two readings of one agent.
+	// minListReadInterval is the minimum time between two list reads of one agent.
 	minListReadInterval = 300 * time.Millisecond
-	// listStale is the age of the list from which the owner's first successor reads it too, each next one listSuccession later.
+	// successorReadAge is the list age from which the reader's first successor reads the list too.
+	// Each further successor waits successorReadAgeStep longer.
 	successorReadAge     = 1500 * time.Millisecond
 	successorReadAgeStep = 400 * time.Millisecond
 	successorCount       = 3
-	// hubStale is the age from which the hub of a zone does, as its zone may be cut off from the others, and memberStale that from which all
-	// others do, at a pace at which all of them together make memberShare of the calls that the platform answers.
+	// hubReadAge is the list age from which a zone's hub reads the list, because its zone may be
+	// cut off from the others. memberReadAge is the one from which all other members read it, at a
+	// rate at which together they use memberRateShare of the calls that the platform answers.
 	hubReadAge      = 2300 * time.Millisecond
 	memberReadAge   = 2700 * time.Millisecond
 	memberRateShare = 0.1
 )
 
-// listPlan is what decides whether an agent reads the platform's list now.
+// listReadInputs is the input of the decision whether an agent reads the platform's list now.
 type listReadInputs struct {
-	noList        bool          // there is no list yet
-	listAge       time.Duration // of the list in hand, or of this program
-	sinceLastRead time.Duration // since its last reading began
-	rank          int           // 0 is the duty's owner, then its successors
-	isZoneHub     bool          // of its zone
-	memberCount   int           // 0 if none are known
-	pageCount     int           // of the list
-	platformRate  float64       // calls that the platform answers from all agents together
+	noList        bool          // no list is known yet
+	listAge       time.Duration // age of the known list, or time since the agent started
+	sinceLastRead time.Duration // since the start of the last read
+	rank          int           // 0 is the list reader, then its successors
+	isZoneHub     bool          // this agent is the hub of its zone
+	memberCount   int           // 0 if no members are known
+	pageCount     int           // pages of the list
+	platformRate  float64       // calls per second that the platform answers, all agents together
 }
 
-// due tells whether to read; chance is a random number from 0 up to 1.
-func (p listReadInputs) due(chance float64) bool {
-	if p.memberCount == 0 || p.sinceLastRead < minListReadInterval {
-		return false // nobody is known to share the platform's calls with; no configuration is there to serve by, either
+// due reports whether to read the list now. random is a uniform random number in [0, 1).
+func (in listReadInputs) due(random float64) bool {
+	if in.memberCount == 0 || in.sinceLastRead < minListReadInterval {
+		return false // without members the platform's rate can't be shared, and there is no configuration to serve either
 	}
 	switch {
-	case p.rank == 0:
-		return p.noList || p.listAge >= listReadInterval
-	case p.rank <= successorCount && p.listAge >= successorReadAge+time.Duration(p.rank-1)*successorReadAgeStep,
-		p.isZoneHub && p.listAge >= hubReadAge:
-		return p.sinceLastRead >= listReadInterval
+	case in.rank == 0:
+		return in.noList || in.listAge >= listReadInterval
+	case in.rank <= successorCount && in.listAge >= successorReadAge+time.Duration(in.rank-1)*successorReadAgeStep,
+		in.isZoneHub && in.listAge >= hubReadAge:
+		return in.sinceLastRead >= listReadInterval
 	}
-	return p.listAge >= memberReadAge && chance < float64(tickInterval)/float64(p.memberReadInterval())
+	return in.listAge >= memberReadAge && random < float64(tickInterval)/float64(in.memberReadInterval())
 }
 
-// memberPause is the mean time between two readings of each member that keeps all of them within their share of the platform's calls.
-func (p listReadInputs) memberReadInterval() time.Duration {
-	if p.platformRate <= 0 {
+// memberReadInterval returns the mean time between two reads of one member at which all members
+// together stay within their share of the platform's rate.
+func (in listReadInputs) memberReadInterval() time.Duration {
+	if in.platformRate <= 0 {
 		return time.Minute
 	}
-	seconds := float64(p.memberCount*max(1, p.pageCount)) / (memberRateShare * p.platformRate)
+	seconds := float64(in.memberCount*max(1, in.pageCount)) / (memberRateShare * in.platformRate)
 	return max(listReadInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// plan is the plan as it stands now.
+// readInputs returns the inputs of the read decision at now.
 func (l *listSyncState) readInputs(a *Agent, now time.Time) listReadInputs {
 	return listReadInputs{
 		noList: a.backends == nil, listAge: now.Sub(l.receivedAt), sinceLastRead: now.Sub(l.lastReadAt), rank: a.listReaderRank(), isZoneHub: a.gossip.hubAddr(a.self.Zone) == a.self.Addr,
@@ -65,7 +68,8 @@
 	}
 }
 
-// listRank is this agent's place among those that read the list: 0 is the duty's owner.
+// listReaderRank returns this agent's rank among the readers of the list: 0 is the reader, then its
+// successors.
 func (a *Agent) listReaderRank() int {
 	ranked := rendezvous.Top(listReaderKey, a.memberIDs(), successorCount+1)
 	for rank, id := range ranked {
--- a/internal/agent/listrevisions.go
+++ b/internal/agent/listrevisions.go
@@ -7,75 +7,78 @@
 	"nettlefold/internal/feed"
 )
 
-// goneMost bounds the entries that left the list and are remembered for a proxy that has not heard so, beyond as many as are listed.
+// maxRememberedRemovals bounds the removed entries that are remembered for proxies, in addition to
+// as many as the list has entries.
 const maxRememberedRemovals = 512
 
-// listFeed numbers the changes of the list, with what owners of orders add, for the proxy. It belongs to the agent's owner goroutine.
+// listRevisions numbers the changes of the list for the proxy, including the phases that rollout
+// holders announce. It is owned by the command loop.
 type listRevisions struct {
-	current         uint64            // of the newest change
-	changedAt       map[string]uint64 // by backend, those that left the list too: number of its newest change
-	oldestDeltaBase uint64            // a proxy with an older number is told the whole list
+	current         uint64            // number of the newest change
+	changedAt       map[string]uint64 // number of the newest change by backend ID, including removed backends
+	oldestDeltaBase uint64            // a proxy with an older revision gets the full list
 }
 
-// listChanged notes that some entries changed, came or went.
+// markListChanged records that entries were added, changed or removed.
 func (a *Agent) markListChanged(ids ...string) {
-	f := &a.listRevisions
-	f.current++
+	revisions := &a.listRevisions
+	revisions.current++
 	for _, id := range ids {
-		f.changedAt[id] = f.current
+		revisions.changedAt[id] = revisions.current
 	}
-	if len(f.changedAt) > 2*len(a.backends)+maxRememberedRemovals {
-		clear(f.changedAt)
-		f.oldestDeltaBase = f.current
+	if len(revisions.changedAt) > 2*len(a.backends)+maxRememberedRemovals {
+		clear(revisions.changedAt)
+		revisions.oldestDeltaBase = revisions.current
 	}
-	a.listApplyTracker.noteAvailable(f.current, time.Now())
+	a.listApplyTracker.noteAvailable(revisions.current, time.Now())
 	a.notifyProxy()
 }
 
-// listReplaced notes that the list has nothing to do with the one before.
+// markListReplaced records that the list was replaced as a whole, so that no delta to it exists.
 func (a *Agent) markListReplaced() {
 	a.listRevisions.oldestDeltaBase = a.listRevisions.current + 1
 	a.markListChanged()
 }
 
-// listFor is the list with what the owners of orders know beyond it.
+// fullList returns the list with the phases and versions that rollout holders announced.
 func (a *Agent) fullList() *feed.List { return a.listSinceRevision(0) }
 
-// listAfter is what changed of it after a number, all of it where that is not known any more.
-func (a *Agent) listSinceRevision(number uint64) *feed.List {
-	f := &a.listRevisions
-	out := &feed.List{Revision: f.current, Backends: []dispatch.BackendInfo{}, Phases: map[string]string{}}
-	if number >= f.oldestDeltaBase {
-		out.BaseRevision = number
+// listSinceRevision returns the changes of the list since a revision, or the full list if they
+// aren't known any more.
+func (a *Agent) listSinceRevision(revision uint64) *feed.List {
+	revisions := &a.listRevisions
+	list := &feed.List{Revision: revisions.current, Backends: []dispatch.BackendInfo{}, Phases: map[string]string{}}
+	if revision >= revisions.oldestDeltaBase {
+		list.BaseRevision = revision
 	}
-	for _, l := range a.backends {
-		if out.BaseRevision > 0 && f.changedAt[l.ID] <= number {
+	for _, backend := range a.backends {
+		if list.BaseRevision > 0 && revisions.changedAt[backend.ID] <= revision {
 			continue
 		}
-		if p, ok := a.phases[l.ID]; ok {
-			if p.Name != dispatch.PhaseNone {
-				out.Phases[l.ID] = p.Name
+		if phase, ok := a.phases[backend.ID]; ok {
+			if phase.Name != dispatch.PhaseNone {
+				list.Phases[backend.ID] = phase.Name
 			}
-			l.Versions = withVersion(l.Versions, p.Phase)
+			backend.Versions = withVersion(backend.Versions, phase.Phase)
 		}
-		out.Backends = append(out.Backends, l)
+		list.Backends = append(list.Backends, backend)
 	}
-	if out.BaseRevision > 0 {
-		out.Removed = a.removedSinceRevision(number)
+	if list.BaseRevision > 0 {
+		list.Removed = a.removedSinceRevision(revision)
 	}
-	return out
+	return list
 }
 
-// goneAfter names the entries that left the list after a number.
-func (a *Agent) removedSinceRevision(number uint64) (gone []string) {
+// removedSinceRevision returns the IDs of the entries that were removed after a revision.
+func (a *Agent) removedSinceRevision(revision uint64) (removed []string) {
 	listed := make(map[string]bool, len(a.backends))
 	for i := range a.backends {
 		listed[a.backends[i].ID] = true
 	}
 	for id, changed := range a.listRevisions.changedAt {
-		if changed > number && !listed[id] {
-			gone = append(gone, id)
+		if changed > revision && !listed[id] {
+			removed = append(removed, id)
 		}
 	}
-	return gone
+	return removed
 }
--- a/internal/agent/listsync.go
+++ b/internal/agent/listsync.go
@@ -13,137 +13,144 @@
 )
 
 const (
-	// listQuiet is how long an agent hears nothing of the list before it asks others, listAskEvery the least time between two such calls;
-	// up to as much is added by lot, or all of a zone would ask its hub at once.
+	// listSilenceTimeout is how long an agent receives no list update before it requests one from
+	// another agent. listRequestInterval is the minimum time between two such requests; a jitter of
+	// up to the same time is added, or all agents of a zone would send their requests to the hub at
+	// once.
 	listSilenceTimeout  = 1200 * time.Millisecond
 	listRequestInterval = 300 * time.Millisecond
 	listRequestTimeout  = 500 * time.Millisecond
-	// listHistory is how many changes are kept for those that missed some.
+	// listHistoryLength is the number of list updates kept for agents that missed some.
 	listHistoryLength = 64
 )
 
-// lists is the platform's list as this agent has it, and how it came by it. It belongs to the agent's owner goroutine.
+// listSyncState is the version of the platform's list that this agent has, and the state of its
+// reads and requests. It is owned by the command loop.
 type listSyncState struct {
-	digest     uint64    // digest of the list, 0 if there is none
-	revision   uint64    // of its reading
-	readAt     time.Time // when its reading began, as far as those that told it know
-	receivedAt time.Time // when it was last heard, or the agent began
-	pushedAt   time.Time // when it was last heard without asking for it
+	digest     uint64    // of the list, 0 if there is none
+	revision   uint64    // of the read that the list is from
+	readAt     time.Time // start of that read, according to the agents that passed the list on
+	receivedAt time.Time // time of the last update, at first the agent's start
+	pushedAt   time.Time // time of the last update that was not requested
 
-	reading    bool // the platform is being asked
+	reading    bool // a read of the platform's list is running
 	lastReadAt time.Time
-	pageCount  int // that the list had
+	pageCount  int // pages that the list had
 
-	missingFrom   string // address of who told of a list that is not known here, "" if there is none
+	missingFrom   string // address of the sender of an update to an unknown list, "" if there is none
 	requesting    bool
-	nextRequestAt time.Time // when another agent may be asked next
+	nextRequestAt time.Time // earliest time of the next request to another agent
 	requestCount  int
-	hubFailed     bool // the hub of this zone did not answer when it was asked last, and told nothing since
+	hubFailed     bool // the zone's hub did not answer the last request and has sent no update since
 
-	history []*feed.ListUpdate // the newest changes, each to the list before, oldest first
+	history []*feed.ListUpdate // the newest updates, each a delta to the list before it, oldest first
 }
 
-// spreadList takes a list that was read here from a time on, and tells the others what changed.
-func (a *Agent) publishList(read time.Time, list []dispatch.BackendInfo) {
-	news := feed.NewFullListUpdate(list)
+// publishList applies a list whose read by this agent started at readAt, and gossips the changes.
+func (a *Agent) publishList(readAt time.Time, list []dispatch.BackendInfo) {
+	update := feed.NewFullListUpdate(list)
 	if a.backends != nil {
-		news = feed.NewListDelta(a.backends, a.listSync.digest, list)
+		update = feed.NewListDelta(a.backends, a.listSync.digest, list)
 	}
 	a.listSync.revision++
 	a.listSync.pushedAt = time.Now()
-	a.listSync.readAt, a.listSync.receivedAt = read, time.Now()
-	news.Revision, news.AgeMS = a.listSync.revision, time.Since(read).Milliseconds()
-	a.setList(news, list)
-	a.gossip.publish(&feed.GossipMessage{List: news})
+	a.listSync.readAt, a.listSync.receivedAt = readAt, time.Now()
+	update.Revision, update.AgeMS = a.listSync.revision, time.Since(readAt).Milliseconds()
+	a.setList(update, list)
+	a.gossip.publish(&feed.GossipMessage{List: update})
 }
 
-// toldList takes what another agent tells of the list without being asked.
-func (a *Agent) applyPushedList(news *feed.ListUpdate, from string) {
-	if news != nil && news.Revision >= a.listSync.revision {
+// applyPushedList applies an update that another agent sent without a request.
+func (a *Agent) applyPushedList(update *feed.ListUpdate, from string) {
+	if update != nil && update.Revision >= a.listSync.revision {
 		a.listSync.pushedAt, a.listSync.hubFailed = time.Now(), false
-		a.applyListUpdate(news, from)
+		a.applyListUpdate(update, from)
 	}
 }
 
-// hearList takes what another agent tells of the list. Changes to another list than the one in hand are noted as missing, to be asked for.
-func (a *Agent) applyListUpdate(news *feed.ListUpdate, from string) {
-	if news.Revision < a.listSync.revision || news.Revision == a.listSync.revision && news.Digest == a.listSync.digest {
+// applyListUpdate applies an update from another agent. If it is a delta to an unknown list, the
+// sender is recorded in missingFrom, and the list is requested from it.
+func (a *Agent) applyListUpdate(update *feed.ListUpdate, from string) {
+	if update.Revision < a.listSync.revision || update.Revision == a.listSync.revision && update.Digest == a.listSync.digest {
 		return
 	}
-	list, ok := news.Apply(a.backends, a.listSync.digest)
+	list, ok := update.Apply(a.backends, a.listSync.digest)
 	if !ok {
 		a.listSync.missingFrom = from
 		return
 	}
-	age := time.Duration(news.AgeMS) * time.Millisecond
+	age := time.Duration(update.AgeMS) * time.Millisecond
 	a.listArrivalDelays.Observe(age)
-	a.logSlowStage("list heard from "+from, age)
-	a.listSync.revision, a.listSync.missingFrom = news.Revision, ""
+	a.logSlowStage("list received from "+from, age)
+	a.listSync.revision, a.listSync.missingFrom = update.Revision, ""
 	a.listSync.receivedAt = time.Now()
 	a.listSync.readAt = a.listSync.receivedAt.Add(-age)
-	if news.Full && a.backends != nil {
-		news = feed.NewListDelta(a.backends, a.listSync.digest, list)
+	if update.Full && a.backends != nil {
+		update = feed.NewListDelta(a.backends, a.listSync.digest, list)
 	}
-	a.setList(news, list)
+	a.setList(update, list)
 }
 
-// setList puts a list in force, and keeps the news that led to it.
-func (a *Agent) setList(news *feed.ListUpdate, list []dispatch.BackendInfo) {
-	if news.Digest == a.listSync.digest {
+// setList replaces the list and records the update that led to it.
+func (a *Agent) setList(update *feed.ListUpdate, list []dispatch.BackendInfo) {
+	if update.Digest == a.listSync.digest {
 		return
 	}
-	a.backends, a.listSync.digest = list, news.Digest
-	a.log.Debug().Str("step", "list").Dur("age", time.Since(a.listSync.readAt)).Int("changed", len(news.Changed)).Int("gone", len(news.Removed)).Msg("the list changed")
-	if news.Full {
+	a.backends, a.listSync.digest = list, update.Digest
+	a.log.Debug().Str("step", "list").Dur("age", time.Since(a.listSync.readAt)).Int("changed", len(update.Changed)).Int("gone", len(update.Removed)).Msg("instance list changed")
+	if update.Full {
 		a.listSync.history = nil
 		a.markListReplaced()
 		return
 	}
-	a.listSync.history = append(a.listSync.history, news)
+	a.listSync.history = append(a.listSync.history, update)
 	if over := len(a.listSync.history) - listHistoryLength; over > 0 {
 		a.listSync.history = slices.Delete(a.listSync.history, 0, over)
 	}
-	changed := slices.Clone(news.Removed)
-	for i := range news.Changed {
-		changed = append(changed, news.Changed[i].ID)
+	changed := slices.Clone(update.Removed)
+	for i := range update.Changed {
+		changed = append(changed, update.Changed[i].ID)
 	}
 	a.markListChanged(changed...)
 }
 
-// listSince is what leads from a list that another agent has to the one in hand, nil if there is none.
-func (a *Agent) listUpdateSince(sum uint64) *feed.ListUpdate {
+// listUpdateSince returns the update from the list with the given digest to the current one, nil if
+// there is no list.
+func (a *Agent) listUpdateSince(digest uint64) *feed.ListUpdate {
 	if a.backends == nil {
 		return nil
 	}
-	news := &feed.ListUpdate{Digest: a.listSync.digest}
-	if sum != a.listSync.digest {
-		news = a.mergedUpdatesSince(sum)
+	update := &feed.ListUpdate{Digest: a.listSync.digest}
+	if digest != a.listSync.digest {
+		update = a.mergedUpdatesSince(digest)
 	}
-	out := *news
-	out.Revision, out.AgeMS = a.listSync.revision, time.Since(a.listSync.readAt).Milliseconds()
-	return &out
+	reply := *update
+	reply.Revision, reply.AgeMS = a.listSync.revision, time.Since(a.listSync.readAt).Milliseconds()
+	return &reply
 }
 
-func (a *Agent) mergedUpdatesSince(sum uint64) *feed.ListUpdate {
-	for i, changes := range a.listSync.history {
-		if changes.BaseDigest != sum {
+// mergedUpdatesSince merges the recorded updates since the list with the given digest. It returns
+// the full list if that list isn't in the history.
+func (a *Agent) mergedUpdatesSince(digest uint64) *feed.ListUpdate {
+	for i, update := range a.listSync.history {
+		if update.BaseDigest != digest {
 			continue
 		}
-		joined := changes
+		merged := update
 		for _, later := range a.listSync.history[i+1:] {
-			joined = joined.Merge(later)
+			merged = merged.Merge(later)
 		}
-		return joined
+		return merged
 	}
 	return feed.NewFullListUpdate(a.backends)
 }
 
-// askForList asks another agent for the list when news of it is missing, or none came for a while: at first whoever told of it, then the
-// hub of this zone and those of others by turns.
+// requestListIfStale requests the list from another agent if an update is missing or none has
+// arrived for a while.
 func (a *Agent) requestListIfStale(ctx context.Context) {
 	now := time.Now()
-	quiet := a.backends == nil || a.listSync.missingFrom != "" || now.Sub(a.listSync.pushedAt) >= listSilenceTimeout
-	if !quiet || a.listSync.requesting || now.Before(a.listSync.nextRequestAt) || len(a.members.Agents) == 0 {
+	stale := a.backends == nil || a.listSync.missingFrom != "" || now.Sub(a.listSync.pushedAt) >= listSilenceTimeout
+	if !stale || a.listSync.requesting || now.Before(a.listSync.nextRequestAt) || len(a.members.Agents) == 0 {
 		return
 	}
 	peer := a.nextListPeer()
@@ -154,13 +161,13 @@
 	a.listSync.requestCount++
 	request := &feed.ListRequest{Digest: a.listSync.digest}
 	go func() {
-		news := new(feed.ListUpdate)
-		err := a.pool.Call(ctx, listRequestTimeout, peer, feed.KindList, request, news)
+		update := new(feed.ListUpdate)
+		err := a.pool.Call(ctx, listRequestTimeout, peer, feed.KindList, request, update)
 		a.enqueue(func() {
 			a.listSync.requesting = false
 			a.listSync.nextRequestAt = time.Now().Add(listRequestInterval + rand.N(listRequestInterval))
 			if err == nil {
-				a.applyListUpdate(news, peer)
+				a.applyListUpdate(update, peer)
 			} else if peer == a.gossip.hubAddr(a.self.Zone) {
 				a.listSync.hubFailed = true
 			}
@@ -168,7 +175,9 @@
 	}()
 }
 
-// listPeer picks whom to ask next, "" if nobody is known.
+// nextListPeer returns the address of the agent to request the list from, "" if none is known: the
+// sender of an update that could not be applied, else in turns the hub of this zone and a hub of
+// another zone.
 func (a *Agent) nextListPeer() string {
 	if peer := a.listSync.missingFrom; peer != "" {
 		return peer
@@ -177,26 +186,26 @@
 	if a.listSync.requestCount%2 == 0 && !a.listSync.hubFailed && hub != "" && hub != a.self.Addr {
 		return hub
 	}
-	var others []string
-	for other := range a.gossip.otherHubs() {
-		others = append(others, other)
+	var candidates []string
+	for addr := range a.gossip.otherHubs() {
+		candidates = append(candidates, addr)
 	}
-	if len(others) == 0 {
-		others = a.gossip.zonePeers()
+	if len(candidates) == 0 {
+		candidates = a.gossip.zonePeers()
 	}
-	if len(others) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return others[rand.IntN(len(others))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// answerList serves another agent that asks for the list.
-func (a *Agent) serveList(ctx context.Context, request *feed.ListRequest) (news *feed.ListUpdate, err error) {
-	if err := a.runInLoop(ctx, func() { news = a.listUpdateSince(request.Digest) }); err != nil {
+// serveList answers another agent's request for the list.
+func (a *Agent) serveList(ctx context.Context, request *feed.ListRequest) (update *feed.ListUpdate, err error) {
+	if err := a.runInLoop(ctx, func() { update = a.listUpdateSince(request.Digest) }); err != nil {
 		return nil, err
 	}
-	if news == nil {
-		return nil, merry.New("the list is not known here")
+	if update == nil {
+		return nil, merry.New("agent: serve list: no list is known")
 	}
-	return news, nil
+	return update, nil
 }
