--- a/internal/agent/gossip.go
+++ b/internal/agent/gossip.go
@@ -14,73 +14,81 @@
 )
 
 const (
-	// flushEvery is the interval of news. It grows where a hub would send more than hubMessages a second to the agents of its zone, or spend
-	// more than newsShare of its machine's link on them: processor and link are its proxy's, and the configuration's. It grows to
-	// flushSlowest for the link's sake, so that loads stay of use.
+	// flushInterval is the interval of gossip. It grows where a hub would send more than
+	// hubMessagesPerSecond to the agents of its zone, or would use more than gossipLinkShare of its
+	// machine's link for them: CPU and link are shared with the proxy and with configuration
+	// updates. The link share extends it to maxFlushInterval at most, so that loads don't become
+	// useless.
 	flushInterval        = 60 * time.Millisecond
 	maxFlushInterval     = 300 * time.Millisecond
 	hubMessagesPerSecond = 400
 	gossipLinkShare      = 0.25
-	// bulkShare is the share of its machine's link that a hub spends on what is bulky and not urgent, the changes of kept prompts. It tells
-	// them apart from loads, so that those need not wait, and rarer, but once in bulkSlowest.
+	// bulkLinkShare is the share of its machine's link that a hub spends on bulky traffic that
+	// isn't urgent: the index batches. They are sent apart from loads, so that loads need not wait
+	// for them, and less often, but at least every maxBulkInterval.
 	bulkLinkShare   = 0.15
 	maxBulkInterval = 600 * time.Millisecond
-	// allEvery is how often all loads are told, for those that missed a change, and loadsKeep how long they are believed.
+	// fullLoadsInterval is how often all loads are sent, for agents that missed a change. loadsTTL
+	// is how long received loads stay valid.
 	fullLoadsInterval = time.Second
 	loadsTTL          = 2500 * time.Millisecond
-	// retellEvery is how often the phases of backends under orders are told again.
+	// phaseAnnounceInterval is how often the phases of backends in a rollout are announced again.
 	phaseAnnounceInterval = time.Second
 )
 
-// exchange spreads news: from each agent to the hub of its zone, between hubs, and from a hub to the agents of its zone, in a large zone by
-// way of some of them. So an agent sends and hears once per interval, whatever their number, and each piece crosses to another zone once. A hub is an agent like others,
-// picked by rendezvous hashing; one that is gone is replaced as soon as the members are told, and what was lost meanwhile is noticed:
-// loads run out and are told whole each second, a batch leaves a gap, the list is asked for by those that miss it.
+// gossiper distributes updates: from each agent to the hub of its zone, between hubs, and from a
+// hub to the agents of its zone, in a large zone through some of them as relays. So an agent sends
+// and receives one message per interval, whatever the number of agents, and an update crosses to
+// each other zone once.
+// Hubs are ordinary agents, picked by rendezvous hashing. A hub that is gone is replaced with the
+// next membership update. Receivers detect what was lost meanwhile: loads expire and are sent in
+// full each second, a lost batch leaves a gap, and agents that miss the list request it.
 type gossiper struct {
 	agent         *Agent
 	send          func(to []string, n *feed.GossipMessage) (bytes int)
-	flushedAt     time.Time // when news was last sent
-	zoneBytes     int       // bytes that the hub of this zone, if this is it, told its agents then, without what is bulky
-	bulkAt        time.Time // when changes of kept prompts were last sent on, as a hub
-	bulkBytes     int       // bytes of what was sent then
-	loadsRevision uint64    // of changes to what others have at backends
+	flushedAt     time.Time // time of the last flush
+	zoneBytes     int       // as this zone's hub: bytes sent to its agents in the last flush, without bulk messages
+	bulkAt        time.Time // as a hub: time of the last bulk messages
+	bulkBytes     int       // bytes of the last bulk messages to this zone
+	loadsRevision uint64    // number of the last change of the other agents' loads
 
 	toHub       outbox // to the hub of this zone
-	toOtherHubs outbox // to the other hubs, as a hub
-	toZone      outbox // to the agents of this zone, as a hub
-
-	localLoads      loadTable            // loads of the proxy beside this agent, as told
-	zoneLoads       map[string]loadTable // as a hub: loads of the agents of this zone, by address
-	otherZoneLoads  map[string]loadTable // as a hub: loads of the other zones, by their hub's address
-	totalLoads      loadTable            // loads of all mixers, as this zone's hub tells
-	sentToHub       sentLoads            // what was told up
-	sentToOtherHubs sentLoads            // what was told to other hubs
-	sentToZone      sentLoads            // and to the agents of this zone
+	toOtherHubs outbox // as a hub: to the other hubs
+	toZone      outbox // as a hub: to the agents of this zone
+
+	localLoads      loadTable            // loads of the proxy beside this agent, as last sent
+	zoneLoads       map[string]loadTable // as a hub: loads of this zone's agents by address
+	otherZoneLoads  map[string]loadTable // as a hub: loads of the other zones by the address of their hub
+	totalLoads      loadTable            // loads of all agents, as received from this zone's hub
+	sentToHub       sentLoads            // loads sent to this zone's hub
+	sentToOtherHubs sentLoads            // loads sent to the other hubs
+	sentToZone      sentLoads            // loads sent to this zone's agents
 }
 
-// outgoing is what comes together until it is sent.
+// outbox collects updates until they are sent.
 type outbox struct {
 	list       *feed.ListUpdate
-	listReadAt time.Time // when the list's reading began
+	listReadAt time.Time // start of the list's read
 	batches    []*kvindex.Batch
 	phases     map[string]feed.Phase
 }
 
-func (o *outbox) add(n *feed.GossipMessage) {
-	if n.List != nil {
-		o.list = o.list.Merge(n.List)
-		o.listReadAt = time.Now().Add(-time.Duration(n.List.AgeMS) * time.Millisecond)
+// add adds the list, batches and phases of a message.
+func (o *outbox) add(message *feed.GossipMessage) {
+	if message.List != nil {
+		o.list = o.list.Merge(message.List)
+		o.listReadAt = time.Now().Add(-time.Duration(message.List.AgeMS) * time.Millisecond)
 	}
-	o.batches = append(o.batches, n.Batches...)
-	for id, p := range n.Phases {
+	o.batches = append(o.batches, message.Batches...)
+	for id, phase := range message.Phases {
 		if o.phases == nil {
 			o.phases = map[string]feed.Phase{}
 		}
-		o.phases[id] = p
+		o.phases[id] = phase
 	}
 }
 
-// listNow is the list as it is to be sent now, nil if there is none.
+// currentList returns the list update with its present age, nil if there is none.
 func (o *outbox) currentList() *feed.ListUpdate {
 	if o.list == nil {
 		return nil
@@ -90,57 +98,58 @@
 	return &list
 }
 
-// urgent tells whether there is something that does not wait for its share of the link.
+// hasUrgent reports whether there is an update that doesn't wait for its share of the link.
 func (o *outbox) hasUrgent() bool { return o.list != nil || len(o.phases) > 0 }
 
+// empty reports whether there is nothing to send.
 func (o *outbox) empty() bool { return o.list == nil && len(o.batches) == 0 && len(o.phases) == 0 }
 
-// sums is loads by backend, and when they were last told.
+// loadTable is loads by backend and the time of their last update.
 type loadTable struct {
 	loads     map[feed.BackendKey]dispatch.Load
 	updatedAt time.Time
 }
 
-// take puts told loads in force.
-func (s *loadTable) apply(l *feed.Loads) {
-	if l.Full || s.loads == nil {
+// apply applies received loads. A zero load removes the backend.
+func (s *loadTable) apply(update *feed.Loads) {
+	if update.Full || s.loads == nil {
 		s.loads = map[feed.BackendKey]dispatch.Load{}
 	}
-	for id, load := range l.Changed {
+	for key, load := range update.Changed {
 		if load == (dispatch.Load{}) {
-			delete(s.loads, id)
+			delete(s.loads, key)
 		} else {
-			s.loads[id] = load
+			s.loads[key] = load
 		}
 	}
 	s.updatedAt = time.Now()
 }
 
-// said remembers what was told, to tell changes only.
+// sentLoads is the loads that were last sent to a destination. Only changes to it are sent.
 type sentLoads struct {
 	loads      map[feed.BackendKey]dispatch.Load
 	fullSentAt time.Time
 }
 
-// next gives what is to be told of loads now, nil if nothing is.
-func (s *sentLoads) next(now map[feed.BackendKey]dispatch.Load) *feed.Loads {
-	l := &feed.Loads{Changed: changedLoads(s.loads, now)}
+// next returns the update that brings the destination to the current loads, nil if none is needed.
+func (s *sentLoads) next(current map[feed.BackendKey]dispatch.Load) *feed.Loads {
+	update := &feed.Loads{Changed: changedLoads(s.loads, current)}
 	if time.Since(s.fullSentAt) >= fullLoadsInterval {
 		s.fullSentAt = time.Now()
-		l.Changed, l.Full = now, true
+		update.Changed, update.Full = current, true
 	}
-	s.loads = now
-	if !l.Full && len(l.Changed) == 0 {
+	s.loads = current
+	if !update.Full && len(update.Changed) == 0 {
 		return nil
 	}
-	return l
+	return update
 }
 
 func newGossiper(a *Agent) *gossiper {
 	return &gossiper{agent: a, send: a.sendGossip, zoneLoads: map[string]loadTable{}, otherZoneLoads: map[string]loadTable{}}
 }
 
-// hub is the address of a zone's hub, "" where no agent of it is known.
+// hubAddr returns the address of a zone's hub, "" if no agent of the zone is known.
 func (x *gossiper) hubAddr(zone string) string {
 	var addrs []string
 	for _, m := range x.agent.members.Agents {
@@ -151,21 +160,21 @@
 	return rendezvous.Owner("hub/"+zone, addrs)
 }
 
-// tell adds news of this agent's own.
-func (x *gossiper) publish(n *feed.GossipMessage) { x.toHub.add(n) }
+// publish queues an update by this agent for the next flush.
+func (x *gossiper) publish(message *feed.GossipMessage) { x.toHub.add(message) }
 
-// interval is the time between two pieces of news of one agent.
+// interval returns the time between two flushes.
 func (x *gossiper) interval() time.Duration {
 	interval := max(flushInterval, time.Duration(len(x.zonePeers())+1)*time.Second/hubMessagesPerSecond)
 	return max(interval, min(x.linkTime(x.zoneBytes, gossipLinkShare), maxFlushInterval))
 }
 
-// due tells whether the interval has passed at now, to half a tick of the ticker.
+// due reports whether a flush is due at now, with a tolerance of half a ticker period.
 func (x *gossiper) due(now time.Time) bool {
 	return now.Sub(x.flushedAt) >= x.interval()-flushInterval/2
 }
 
-// flush sends what has come together.
+// flush sends the collected updates.
 func (x *gossiper) flush() {
 	a := x.agent
 	x.flushedAt, x.zoneBytes = time.Now(), 0
@@ -174,17 +183,18 @@
 		return
 	}
 	x.localLoads.loads = loadsByKey(a.localLoads)
-	mine := x.sentToHub.next(x.localLoads.loads)
+	loads := x.sentToHub.next(x.localLoads.loads)
 	if hub == a.self.Addr {
-		x.receive(&feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: mine, List: x.toHub.currentList(), Batches: x.toHub.batches, Phases: x.toHub.phases})
-	} else if mine != nil || !x.toHub.empty() {
-		x.send([]string{hub}, &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: mine, List: x.toHub.currentList(), Batches: x.toHub.batches, Phases: x.toHub.phases})
+		x.receive(&feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: loads, List: x.toHub.currentList(), Batches: x.toHub.batches, Phases: x.toHub.phases})
+	} else if loads != nil || !x.toHub.empty() {
+		x.send([]string{hub}, &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: loads, List: x.toHub.currentList(), Batches: x.toHub.batches, Phases: x.toHub.phases})
 	}
 	x.toHub = outbox{}
 	x.flushAsHub(hub == a.self.Addr)
 }
 
-// flushHub sends on, as a hub, what agents of this zone and other hubs told.
+// flushAsHub forwards, as a hub, the updates of this zone's agents and of the other hubs. An agent
+// that isn't the hub any more forwards what it has left.
 func (x *gossiper) flushAsHub(isHub bool) {
 	if !isHub && len(x.zoneLoads) == 0 && x.toOtherHubs.empty() && x.toZone.empty() {
 		return
@@ -192,15 +202,15 @@
 	a := x.agent
 	zone := sumLoads(x.zoneLoads)
 	if loads := x.sentToOtherHubs.next(zone); loads != nil || x.toOtherHubs.hasUrgent() {
-		news := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopHubToHub, Loads: loads, List: x.toOtherHubs.currentList(), Phases: x.toOtherHubs.phases}
-		x.toOtherHubs.attachBulkInTrial(news)
-		x.send(slices.Collect(maps.Keys(x.otherHubs())), news)
+		message := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopHubToHub, Loads: loads, List: x.toOtherHubs.currentList(), Phases: x.toOtherHubs.phases}
+		x.toOtherHubs.attachBulkInTrial(message)
+		x.send(slices.Collect(maps.Keys(x.otherHubs())), message)
 	}
 	all := addLoads(zone, sumLoads(x.otherZoneLoads))
 	if loads := x.sentToZone.next(all); loads != nil || x.toZone.hasUrgent() {
-		news := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopFromHub, Loads: loads, List: x.toZone.currentList(), Phases: x.toZone.phases}
-		x.toZone.attachBulkInTrial(news)
-		x.zoneBytes = x.sendToZone(news)
+		message := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopFromHub, Loads: loads, List: x.toZone.currentList(), Phases: x.toZone.phases}
+		x.toZone.attachBulkInTrial(message)
+		x.zoneBytes = x.sendToZone(message)
 		if loads != nil {
 			x.applyTotalLoads(loads)
 		}
@@ -211,14 +221,15 @@
 	}
 }
 
-// withBulk puts changes of kept prompts into news of loads, in trial builds that do not tell them apart.
-func (o *outbox) attachBulkInTrial(n *feed.GossipMessage) {
+// attachBulkInTrial adds the index batches to a message of loads in trial builds that don't
+// separate them.
+func (o *outbox) attachBulkInTrial(message *feed.GossipMessage) {
 	if trial.Disabled(trial.SeparateLoadUpdates) {
-		n.Batches, o.batches = o.batches, nil
+		message.Batches, o.batches = o.batches, nil
 	}
 }
 
-// flushBulk sends on, as a hub, the changes of kept prompts that came together.
+// flushBulk forwards the collected index batches as a hub.
 func (x *gossiper) flushBulk() {
 	from := x.agent.self.Addr
 	x.bulkAt, x.bulkBytes = x.flushedAt, 0
@@ -231,28 +242,31 @@
 	x.toOtherHubs.batches, x.toZone.batches = nil, nil
 }
 
-// bulkDue tells whether what was told last of kept prompts is paid for by its share of the link at now.
+// bulkDue reports whether at now the link share of the last bulk messages is used up, so that the
+// next may be sent.
 func (x *gossiper) bulkDue(now time.Time) bool {
 	return now.Sub(x.bulkAt) >= min(x.linkTime(x.bulkBytes, bulkLinkShare), maxBulkInterval)
 }
 
-// paidAfter is how long a share of the machine's link takes for so many bytes, 0 where the link is not stated.
+// linkTime returns the time that sending bytes takes at a share of the machine's link, 0 if the
+// link's rate is unknown.
 func (x *gossiper) linkTime(bytes int, share float64) time.Duration {
-	perSecond := share * x.agent.settings.LinkMbps * 1e6 / 8
-	if perSecond <= 0 {
+	bytesPerSecond := share * x.agent.settings.LinkMbps * 1e6 / 8
+	if bytesPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(bytes) / perSecond * float64(time.Second))
+	return time.Duration(float64(bytes) / bytesPerSecond * float64(time.Second))
 }
 
-// postNews sends news to some agents, and encodes it once: a hub's machine would spend a quarter of its processor on doing so for each.
-func (a *Agent) sendGossip(to []string, n *feed.GossipMessage) (bytes int) {
+// sendGossip sends a message to some agents and returns the bytes sent. It encodes the message
+// once: encoding it for each receiver would take a quarter of a hub's CPU.
+func (a *Agent) sendGossip(to []string, message *feed.GossipMessage) (bytes int) {
 	if len(to) == 0 {
 		return 0
 	}
-	encoded, err := rpc.EncodeOneWay(feed.KindGossip, n)
+	encoded, err := rpc.EncodeOneWay(feed.KindGossip, message)
 	if err != nil {
-		a.log.Error().Err(err).Str("step", "news").Msg("news cannot be encoded")
+		a.log.Error().Err(err).Str("step", "news").Msg("encoding a gossip message failed")
 		return 0
 	}
 	for _, addr := range to {
@@ -262,7 +276,7 @@
 	return len(encoded) * len(to)
 }
 
-// fellows gives the other agents of this zone.
+// zonePeers returns the addresses of the other agents in this zone.
 func (x *gossiper) zonePeers() (addrs []string) {
 	for _, m := range x.agent.members.Agents {
 		if m.Zone == x.agent.self.Zone && m.Addr != x.agent.self.Addr {
@@ -272,7 +286,7 @@
 	return addrs
 }
 
-// otherZones gives the hubs of the other zones.
+// otherHubs returns the addresses of the other zones' hubs.
 func (x *gossiper) otherHubs() map[string]bool {
 	hubs, zones := map[string]bool{}, map[string]bool{x.agent.self.Zone: true}
 	for _, m := range x.agent.members.Agents {
@@ -284,52 +298,53 @@
 	return hubs
 }
 
-// take takes news, and keeps what it has to send on.
-func (x *gossiper) receive(n *feed.GossipMessage) {
+// receive applies a message and queues what has to be forwarded.
+func (x *gossiper) receive(message *feed.GossipMessage) {
 	a := x.agent
-	if n.From != a.self.Addr { // its own is in force already
-		a.applyPushedList(n.List, n.From)
-		for _, b := range n.Batches {
-			a.applyBatch(b, n.From)
+	if message.From != a.self.Addr { // an agent's own updates are already applied
+		a.applyPushedList(message.List, message.From)
+		for _, batch := range message.Batches {
+			a.applyBatch(batch, message.From)
 		}
-		a.applyPhases(n.Phases)
+		a.applyPhases(message.Phases)
 	}
-	switch n.Hop {
+	switch message.Hop {
 	case feed.HopToHub:
-		if n.Loads != nil {
-			s := x.zoneLoads[n.From]
-			s.apply(n.Loads)
-			x.zoneLoads[n.From] = s
+		if message.Loads != nil {
+			table := x.zoneLoads[message.From]
+			table.apply(message.Loads)
+			x.zoneLoads[message.From] = table
 		}
-		x.toOtherHubs.add(n)
-		x.toZone.add(n)
+		x.toOtherHubs.add(message)
+		x.toZone.add(message)
 	case feed.HopHubToHub:
-		if n.Loads != nil {
-			s := x.otherZoneLoads[n.From]
-			s.apply(n.Loads)
-			x.otherZoneLoads[n.From] = s
+		if message.Loads != nil {
+			table := x.otherZoneLoads[message.From]
+			table.apply(message.Loads)
+			x.otherZoneLoads[message.From] = table
 		}
-		x.toZone.add(n)
+		x.toZone.add(message)
 	case feed.HopFromHub:
-		x.relay(n)
-		if n.Loads != nil {
-			x.applyTotalLoads(n.Loads)
+		x.relay(message)
+		if message.Loads != nil {
+			x.applyTotalLoads(message.Loads)
 		}
 	}
 }
 
-func (x *gossiper) applyTotalLoads(l *feed.Loads) {
-	x.totalLoads.apply(l)
+// applyTotalLoads applies the loads of all agents and notifies the proxy.
+func (x *gossiper) applyTotalLoads(loads *feed.Loads) {
+	x.totalLoads.apply(loads)
 	x.loadsRevision++
 	x.agent.notifyProxy()
 }
 
-// expire drops loads that nobody tells any more.
+// expireLoads drops loads that have not been updated for loadsTTL.
 func (x *gossiper) expireLoads() {
-	for _, told := range []map[string]loadTable{x.zoneLoads, x.otherZoneLoads} {
-		for addr, s := range told {
-			if time.Since(s.updatedAt) > loadsTTL {
-				delete(told, addr)
+	for _, tables := range []map[string]loadTable{x.zoneLoads, x.otherZoneLoads} {
+		for addr, table := range tables {
+			if time.Since(table.updatedAt) > loadsTTL {
+				delete(tables, addr)
 			}
 		}
 	}
@@ -339,55 +354,57 @@
 	}
 }
 
-// others is what all other mixers have at backends that are listed.
+// remoteLoads returns the loads of all other agents at the listed backends.
 func (x *gossiper) remoteLoads() map[string]dispatch.Load {
-	others := make(map[string]dispatch.Load, len(x.totalLoads.loads))
-	for _, l := range x.agent.backends {
-		key := feed.BackendKeyOf(l.ID)
+	remote := make(map[string]dispatch.Load, len(x.totalLoads.loads))
+	for _, backend := range x.agent.backends {
+		key := feed.BackendKeyOf(backend.ID)
 		if load := x.totalLoads.loads[key].Sub(x.localLoads.loads[key]); load != (dispatch.Load{}) {
-			others[l.ID] = load
+			remote[backend.ID] = load
 		}
 	}
-	return others
+	return remote
 }
 
-// keyed gives loads by the keys of their backends.
+// loadsByKey returns loads by backend key.
 func loadsByKey(loads map[string]dispatch.Load) map[feed.BackendKey]dispatch.Load {
 	byKey := make(map[feed.BackendKey]dispatch.Load, len(loads))
-	for id, l := range loads {
-		byKey[feed.BackendKeyOf(id)] = l
+	for id, load := range loads {
+		byKey[feed.BackendKeyOf(id)] = load
 	}
 	return byKey
 }
 
-func sumLoads(told map[string]loadTable) map[feed.BackendKey]dispatch.Load {
+// sumLoads returns the sum of the tables by backend.
+func sumLoads(tables map[string]loadTable) map[feed.BackendKey]dispatch.Load {
 	sum := map[feed.BackendKey]dispatch.Load{}
-	for _, s := range told {
-		for id, l := range s.loads {
-			sum[id] = sum[id].Add(l)
+	for _, table := range tables {
+		for key, load := range table.loads {
+			sum[key] = sum[key].Add(load)
 		}
 	}
 	return sum
 }
 
+// addLoads adds the loads in b to a and returns a.
 func addLoads(a, b map[feed.BackendKey]dispatch.Load) map[feed.BackendKey]dispatch.Load {
-	for id, l := range b {
-		a[id] = a[id].Add(l)
+	for key, load := range b {
+		a[key] = a[key].Add(load)
 	}
 	return a
 }
 
-// changedLoads gives the loads that differ; one that ended is told as none.
-func changedLoads(old, now map[feed.BackendKey]dispatch.Load) map[feed.BackendKey]dispatch.Load {
+// changedLoads returns the loads that differ from old. A load that is gone is a zero load.
+func changedLoads(old, current map[feed.BackendKey]dispatch.Load) map[feed.BackendKey]dispatch.Load {
 	changed := map[feed.BackendKey]dispatch.Load{}
-	for id, l := range now {
-		if old[id] != l {
-			changed[id] = l
+	for key, load := range current {
+		if old[key] != load {
+			changed[key] = load
 		}
 	}
-	for id := range old {
-		if _, still := now[id]; !still {
-			changed[id] = dispatch.Load{}
+	for key := range old {
+		if _, ok := current[key]; !ok {
+			changed[key] = dispatch.Load{}
 		}
 	}
 	return changed
--- a/internal/agent/httpclient.go
+++ b/internal/agent/httpclient.go
@@ -6,9 +6,10 @@
 	"net/http"
 )
 
-// newWeb makes the client of backends and of the platform. It follows no redirection: an order must reach the backend that it is meant
-// for, or none. A connection that is given up is reset, so that what a cut holds up of it is lost: an order must not arrive after the lease
-// that it was given under, when another holder has given a newer one.
+// newHTTPClient returns the client for backends and the platform. It follows no redirects: a load
+// order must reach the backend that it is meant for, or none. An abandoned connection is reset, so
+// that data that is held up by a network partition is lost: an order must not arrive after the
+// lease that it was sent under, when another holder has sent a newer one.
 func newHTTPClient() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true, DialContext: dialWithReset},
@@ -16,7 +17,7 @@
 	}
 }
 
-// dialResetting makes a connection whose close drops what was not sent yet.
+// dialWithReset opens a connection that discards unsent data when it is closed.
 func dialWithReset(ctx context.Context, network, addr string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, addr)
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -8,7 +8,7 @@
 	"nettlefold/internal/superseded"
 )
 
-// Metrics gives what this agent knows, and how old it is.
+// Metrics returns the agent's metrics.
 func (a *Agent) Metrics(ctx context.Context) (*metrics.Set, error) {
 	set := metrics.NewSet()
 	err := a.runInLoop(ctx, func() { a.addMetrics(set) })
@@ -18,7 +18,7 @@
 	return set, nil
 }
 
-// addMetrics is the owner's.
+// addMetrics adds the agent's metrics to set. It runs in the command loop.
 func (a *Agent) addMetrics(set *metrics.Set) {
 	seq := uint64(0)
 	if a.snapshot != nil {
@@ -50,7 +50,7 @@
 	addAge(set, "agent_proxy_age_seconds", a.lastProxyRequest)
 }
 
-// addAge adds how long ago something was, unless it never was.
+// addAge adds the time since at as a metric, unless at is zero.
 func addAge(set *metrics.Set, name string, at time.Time) {
 	if !at.IsZero() {
 		set.Add(name, time.Since(at).Seconds())
--- a/internal/agent/phases.go
+++ b/internal/agent/phases.go
@@ -6,71 +6,73 @@
 	"nettlefold/internal/feed"
 )
 
-// phaseNews is a phase as it was heard last.
+// receivedPhase is a backend's phase and the time when it was last received.
 type receivedPhase struct {
 	feed.Phase
 	receivedAt time.Time
 }
 
-// phase tells everyone at once what a backend is at.
-func (r *rollout) announcePhase(id string, p feed.Phase) {
-	p.FencingToken = r.lease.fencingToken()
+// announcePhase applies a backend's phase and gossips it.
+func (r *rollout) announcePhase(backend string, phase feed.Phase) {
+	phase.FencingToken = r.lease.fencingToken()
 	r.agent.enqueue(func() {
 		r.agent.phaseSeq++
-		p.Seq = r.agent.phaseSeq
-		told := map[string]feed.Phase{id: p}
-		r.agent.applyPhases(told)
-		r.agent.announcedPhases[id] = announcedPhase{p, time.Now(), time.Now()}
-		r.agent.gossip.publish(&feed.GossipMessage{Phases: told})
+		phase.Seq = r.agent.phaseSeq
+		phases := map[string]feed.Phase{backend: phase}
+		r.agent.applyPhases(phases)
+		r.agent.announcedPhases[backend] = announcedPhase{phase, time.Now(), time.Now()}
+		r.agent.gossip.publish(&feed.GossipMessage{Phases: phases})
 	})
 }
 
-// takePhases takes what holders of orders told, but for what came after something newer.
+// applyPhases applies phases announced by rollout holders, except those that are older than the
+// known ones.
 func (a *Agent) applyPhases(phases map[string]feed.Phase) {
 	var changed []string
-	for id, p := range phases {
-		known, is := a.phases[id]
-		if is && p.Before(known.Phase) {
+	for backend, phase := range phases {
+		known, ok := a.phases[backend]
+		if ok && phase.Before(known.Phase) {
 			continue
 		}
-		if !is || p != known.Phase {
-			changed = append(changed, id)
+		if !ok || phase != known.Phase {
+			changed = append(changed, backend)
 		}
-		a.phases[id] = receivedPhase{p, time.Now()}
+		a.phases[backend] = receivedPhase{phase, time.Now()}
 	}
 	if len(changed) > 0 {
 		a.markListChanged(changed...)
 	}
 }
 
-// expirePhases drops what nobody tells any more.
+// expirePhases drops phases that have not been announced for phaseTTL.
 func (a *Agent) expirePhases() {
-	for id, p := range a.phases {
-		if time.Since(p.receivedAt) > phaseTTL {
-			delete(a.phases, id)
-			a.markListChanged(id)
+	for backend, phase := range a.phases {
+		if time.Since(phase.receivedAt) > phaseTTL {
+			delete(a.phases, backend)
+			a.markListChanged(backend)
 		}
 	}
 }
 
-// ownPhase is a phase that this agent told, and is to tell again for a while.
+// announcedPhase is a phase that this agent announced and keeps announcing for a while.
 type announcedPhase struct {
 	feed.Phase
 	firstSentAt, lastSentAt time.Time
 }
 
-// retellPhases tells phases again, for those that missed them, until a later holder has told another. They stay in force here meanwhile.
+// reannouncePhases announces phases again, for agents that missed them, until a later holder
+// announces a newer one. Meanwhile they stay valid at this agent.
 func (a *Agent) reannouncePhases() {
-	for id, p := range a.announcedPhases {
-		switch known := a.phases[id]; {
-		case time.Since(p.firstSentAt) > phaseAnnouncePeriod || p.Before(known.Phase):
-			delete(a.announcedPhases, id)
-		case time.Since(p.lastSentAt) >= phaseAnnounceInterval:
-			p.lastSentAt = time.Now()
-			a.announcedPhases[id] = p
-			told := map[string]feed.Phase{id: p.Phase}
-			a.applyPhases(told)
-			a.gossip.publish(&feed.GossipMessage{Phases: told})
+	for backend, phase := range a.announcedPhases {
+		switch known := a.phases[backend]; {
+		case time.Since(phase.firstSentAt) > phaseAnnouncePeriod || phase.Before(known.Phase):
+			delete(a.announcedPhases, backend)
+		case time.Since(phase.lastSentAt) >= phaseAnnounceInterval:
+			phase.lastSentAt = time.Now()
+			a.announcedPhases[backend] = phase
+			phases := map[string]feed.Phase{backend: phase.Phase}
+			a.applyPhases(phases)
+			a.gossip.publish(&feed.GossipMessage{Phases: phases})
 		}
 	}
 }
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -7,18 +7,20 @@
 	"nettlefold/internal/feed"
 )
 
-// directMost is the agents that a hub tells by itself. In a larger zone it tells the first of each group, which passes the news on: a hub's
-// link and processor are its proxy's, and news that is urgent waits behind what they carry.
+// maxDirectPeers is the number of agents up to which a hub sends to each of them. In a larger zone
+// it sends to the first agent of each group, which relays the message: the hub's link and CPU are
+// shared with its proxy, and urgent updates would wait behind the traffic.
 const maxDirectPeers = 12
 
-// tellZone sends news to the agents of this hub's zone, and gives the bytes that this machine sent.
-func (x *gossiper) sendToZone(n *feed.GossipMessage) (bytes int) {
-	fellows := x.zonePeers()
-	if len(fellows) <= maxDirectPeers {
-		return x.send(fellows, n)
+// sendToZone sends a message to the agents of this hub's zone and returns the bytes that this
+// machine sent.
+func (x *gossiper) sendToZone(message *feed.GossipMessage) (bytes int) {
+	peers := x.zonePeers()
+	if len(peers) <= maxDirectPeers {
+		return x.send(peers, message)
 	}
-	for _, group := range relayGroups(fellows) {
-		relayed := *n
+	for _, group := range relayGroups(peers) {
+		relayed := *message
 		relayed.RelayTo = group[1:]
 		bytes += x.send(group[:1], &relayed)
 	}
@@ -32,12 +34,12 @@
 	return slices.Collect(slices.Chunk(sorted, size))
 }
 
-// passOn sends news of a hub on to the group that it named.
-func (x *gossiper) relay(n *feed.GossipMessage) {
-	if len(n.RelayTo) == 0 {
+// relay forwards a hub's message to the group that it names.
+func (x *gossiper) relay(message *feed.GossipMessage) {
+	if len(message.RelayTo) == 0 {
 		return
 	}
-	passed := *n
-	passed.RelayTo = nil
-	x.send(n.RelayTo, &passed)
+	relayed := *message
+	relayed.RelayTo = nil
+	x.send(message.RelayTo, &relayed)
 }
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -7,7 +7,7 @@
 	"nettlefold/internal/dispatch"
 )
 
-// report is what a backend tells of itself.
+// backendReport is a backend's report of its state.
 type backendReport struct {
 	Busy   bool `json:"busy"`
 	Models []struct {
@@ -16,29 +16,29 @@
 	} `json:"models"`
 }
 
-// weightsState is how far a backend is on its way to a version.
+// weightsState is the state of a backend's weights relative to a version.
 type weightsState int
 
 const (
-	weightsOutdated weightsState = iota // as far as is known
-	weightsLoading                      // an order is in progress
+	weightsOutdated weightsState = iota // or unknown
+	weightsLoading                      // a load order is in progress
 	weightsCurrent
 )
 
-// weights asks a backend how far it is on its way to a version.
-func (r *rollout) queryWeights(ctx context.Context, l dispatch.BackendInfo, version int64) weightsState {
+// queryWeights queries a backend for the state of its weights relative to a version.
+func (r *rollout) queryWeights(ctx context.Context, backend dispatch.BackendInfo, version int64) weightsState {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	var state backendReport
-	header := http.Header{"X-Expected-Instance": {l.ID}}
-	if err := r.agent.getJSON(ctx, "http://"+l.Addr+"/v1/report", header, &state); err != nil {
+	var report backendReport
+	header := http.Header{"X-Expected-Instance": {backend.ID}}
+	if err := r.agent.getJSON(ctx, "http://"+backend.Addr+"/v1/report", header, &report); err != nil {
 		return weightsOutdated
 	}
-	if state.Busy {
+	if report.Busy {
 		return weightsLoading
 	}
-	for _, m := range state.Models {
-		if m.Name == r.model && m.Version >= version {
+	for _, model := range report.Models {
+		if model.Name == r.model && model.Version >= version {
 			return weightsCurrent
 		}
 	}
--- a/internal/agent/resync.go
+++ b/internal/agent/resync.go
@@ -11,23 +11,25 @@
 
 const (
 	resyncTimeout = 800 * time.Millisecond
-	// wholeMost is how many backends are fetched at a time.
+	// maxConcurrentResyncs is the number of backends that are fetched at a time.
 	maxConcurrentResyncs = 4
 )
 
-// wholes fetches all that is known of backends of which this agent missed a change. It belongs to the agent's owner goroutine.
+// indexResync fetches the whole index of backends of which this agent missed a batch. It is owned
+// by the command loop.
 type indexResync struct {
-	pending map[string]bool // backends, until they are fetched or given up
+	pending map[string]bool // backends until they are fetched or the fetch has failed
 	queue   []resyncRequest
 	running int
-	served  uint64 // to other agents
+	served  uint64 // backend indexes sent to other agents
 }
 
-// wholeFetch is a backend to be fetched, and the address of who told of the change.
+// resyncRequest is a backend to fetch, and the address of the agent that sent the batch.
 type resyncRequest struct{ backend, from string }
 
-// fetchWhole has all that is known of a backend fetched, from whoever reads its events: each agent reads those of few, so that what a zone
-// misses together is not asked of its hub alone. Who told of the change is asked if the reader has no answer.
+// requestResync queues a fetch of a backend's whole index from the agent that reads the backend's
+// events. Each agent reads those of few backends, so that the requests of a whole zone don't all go
+// to its hub. The sender of the batch is asked only if the reader doesn't answer.
 func (a *Agent) requestResync(backend, from string) {
 	if a.resync.pending[backend] {
 		return
@@ -37,25 +39,26 @@
 	a.startResyncs()
 }
 
+// startResyncs starts queued fetches up to the limit.
 func (a *Agent) startResyncs() {
 	if len(a.members.Agents) == 0 {
-		return // nobody but a hub is known yet: the next change brings it back
+		return // only a hub can be known yet: the next membership update calls this again
 	}
 	for a.resync.running < maxConcurrentResyncs && len(a.resync.queue) > 0 {
 		next := a.resync.queue[0]
 		a.resync.queue = a.resync.queue[1:]
 		a.resync.running++
 		peers := []string{next.from}
-		if reader := a.eventsReaderAddr(next.backend); reader != "" && reader != next.from {
-			peers = []string{reader, next.from}
+		if readerAddr := a.eventsReaderAddr(next.backend); readerAddr != "" && readerAddr != next.from {
+			peers = []string{readerAddr, next.from}
 		}
 		go func() {
-			whole := a.fetchBackendIndex(next.backend, peers)
+			snapshot := a.fetchBackendIndex(next.backend, peers)
 			a.enqueue(func() {
 				a.resync.running--
 				delete(a.resync.pending, next.backend)
-				if whole != nil && a.index.Apply(whole) {
-					a.recordBatch(whole)
+				if snapshot != nil && a.index.Apply(snapshot) {
+					a.recordBatch(snapshot)
 				}
 				a.startResyncs()
 			})
@@ -63,20 +66,21 @@
 	}
 }
 
-// callForWhole asks peers one after the other, nil if none has an answer.
+// fetchBackendIndex requests a backend's index from peers in turn. It returns nil if none has it.
 func (a *Agent) fetchBackendIndex(backend string, peers []string) *kvindex.Batch {
 	for _, peer := range peers {
-		whole := new(kvindex.Batch)
-		err := a.pool.Call(context.Background(), resyncTimeout, peer, feed.KindBackendIndex, &feed.BackendIndexRequest{Backend: backend}, whole)
+		snapshot := new(kvindex.Batch)
+		err := a.pool.Call(context.Background(), resyncTimeout, peer, feed.KindBackendIndex, &feed.BackendIndexRequest{Backend: backend}, snapshot)
 		if err == nil {
-			return whole
+			return snapshot
 		}
-		a.log.Debug().Err(err).Str("step", "whole").Str("peer", peer).Str("backend", backend).Msg("the backend was not fetched")
+		a.log.Debug().Err(err).Str("step", "whole").Str("peer", peer).Str("backend", backend).Msg("fetching the backend's index failed")
 	}
 	return nil
 }
 
-// eventsReader is the address of the agent that reads a backend's events, "" if it is not known or this one.
+// eventsReaderAddr returns the address of the agent that reads a backend's events, "" if it is
+// unknown or this agent.
 func (a *Agent) eventsReaderAddr(backend string) string {
 	id := rendezvous.Owner(eventsKeyPrefix+backend, a.memberIDs())
 	for _, m := range a.members.Agents {
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -19,34 +19,41 @@
 )
 
 const (
-	// atOnceShare is one part in so many of a model's backends that is out of service at a time for new weights.
+	// loadingDivisor is the divisor of a model's serving backends that gives how many may load new
+	// weights at a time.
 	loadingDivisor = 6
-	// underShare is how many times as many may be out of service at once: some of them end what runs there while others load.
+	// outOfServiceFactor is how many times as many backends may be out of service at once: some
+	// finish their requests while others load.
 	outOfServiceFactor = 2
-	// emptyLeast and emptyMost bound how long a backend gets nothing before its order, so that nothing waits there unbegun.
+	// minEmptyingTime and maxEmptyingTime bound how long a backend gets no new requests before its
+	// load order, so that none is queued there that has not begun.
 	minEmptyingTime      = 250 * time.Millisecond
 	maxEmptyingTime      = 1200 * time.Millisecond
 	emptyingPollInterval = 50 * time.Millisecond
-	// emptyAhead is how long before its lease begins a successor takes the first backends out of service, so that they are empty by then.
+	// emptyingLead is how long before its lease becomes valid a successor takes the first backends
+	// out of service, so that they are empty by then.
 	emptyingLead = 500 * time.Millisecond
-	// confirmEvery is how often the holder of a duty makes sure that it still is, and confirmFor how long it then acts.
+	// leaseRenewInterval is how often the holder of a lease renews it. leaseHoldTime is how long
+	// the holder acts after requesting a renewal.
 	leaseRenewInterval = 400 * time.Millisecond
 	leaseHoldTime      = 900 * time.Millisecond
 	orderTimeout       = 800 * time.Millisecond
 	reportInterval     = 250 * time.Millisecond
 	reportTimeout      = 600 * time.Millisecond
-	loadTimeout        = 12 * time.Second // after which a backend's order is given up and may be given again
+	loadTimeout        = 12 * time.Second // after this, a load order is considered failed and may be sent again
 )
 
+// rolloutLeaseName returns the name of the lease under which a model's load orders are sent.
 func rolloutLeaseName(model string) string { return "orders/" + model }
 
-// ownsOrders tells whether a model's orders are this agent's to give.
+// ownsRollout reports whether this agent should hold a model's rollout lease.
 func (a *Agent) ownsRollout(model string) bool {
 	key := rolloutLeaseName(model)
 	return leases.PreferredHolder(key, a.snapshot.Leases[key].Holder, a.memberIDs()) == a.self.ID
 }
 
-// dutyOrders starts a rollout of each model whose version is not everywhere, where that falls to this agent.
+// startRollouts starts a rollout for each model that this agent owns and that has outdated
+// backends.
 func (a *Agent) startRollouts(ctx context.Context) {
 	if a.snapshot == nil {
 		return
@@ -63,69 +70,73 @@
 	}
 }
 
-// behind gives the backends whose weights are older than a version, those first whose weights are the oldest: they are the first that may
-// get nothing more. A version that is named while the one before is on its way so begins with what that one has not reached.
-func (a *Agent) outdatedBackends(model string, version int64) (behind []dispatch.BackendInfo) {
-	for _, l := range a.fullList().Backends {
-		if has, serves := l.Versions[model]; serves && has < version {
-			behind = append(behind, l)
+// outdatedBackends returns the backends whose weights are older than version, oldest weights first:
+// their versions are the first that may not serve requests any more. So if a new version is set while
+// a rollout is running, it starts with the backends that the previous version has not reached.
+func (a *Agent) outdatedBackends(model string, version int64) (outdated []dispatch.BackendInfo) {
+	for _, backend := range a.fullList().Backends {
+		if current, serves := backend.Versions[model]; serves && current < version {
+			outdated = append(outdated, backend)
 		}
 	}
-	slices.SortStableFunc(behind, func(x, y dispatch.BackendInfo) int { return cmp.Compare(x.Versions[model], y.Versions[model]) })
-	return behind
+	slices.SortStableFunc(outdated, func(x, y dispatch.BackendInfo) int { return cmp.Compare(x.Versions[model], y.Versions[model]) })
+	return outdated
 }
 
-// rollOut brings a model's backends to the version wanted, a few at a time, while the duty is this agent's.
+// runRollout brings a model's backends to the wanted version, a few at a time, while this agent
+// holds the lease.
 func (a *Agent) runRollout(ctx context.Context, model string) {
-	held, err := a.acquireLease(ctx, rolloutLeaseName(model))
+	rolloutLease, err := a.acquireLease(ctx, rolloutLeaseName(model))
 	if err != nil {
-		a.log.Warn().Err(err).Str("step", "acquire").Str("model", model).Msg("the duty was not taken")
+		a.log.Warn().Err(err).Str("step", "acquire").Str("model", model).Msg("acquiring the rollout lease failed")
 		return
 	}
-	a.log.Info().Str("step", "rollout").Str("model", model).Uint64("fence", held.fencingToken()).Msg("orders are this agent's")
-	r := &rollout{agent: a, model: model, lease: held, inProgress: map[string]time.Time{}, finished: make(chan string, 64)}
+	a.log.Info().Str("step", "rollout").Str("model", model).Uint64("fence", rolloutLease.fencingToken()).Msg("rollout lease acquired")
+	r := &rollout{agent: a, model: model, lease: rolloutLease, inProgress: map[string]time.Time{}, finished: make(chan string, 64)}
 	r.run(ctx)
 }
 
-// rollout is one model's way to a version.
+// rollout is the update of a model's backends by the holder of its lease.
 type rollout struct {
 	agent      *Agent
 	model      string
 	lease      *lease
-	inProgress map[string]time.Time // backends taken out of service, since when
+	inProgress map[string]time.Time // backends out of service, and since when
 	finished   chan string
 }
 
+// run updates backends until none is outdated, the rollout belongs to another agent or the lease
+// has expired.
 func (r *rollout) run(ctx context.Context) {
-	confirmed := time.Now()
+	lastRenewal := time.Now()
 	for ctx.Err() == nil {
 		var version int64
-		var behind []dispatch.BackendInfo
-		var mine bool
+		var outdated []dispatch.BackendInfo
+		var owner bool
 		var serving int
 		if r.agent.runInLoop(ctx, func() {
 			version = r.agent.snapshot.Models[r.model].Version
-			behind = r.agent.outdatedBackends(r.model, version)
-			mine = r.agent.ownsRollout(r.model)
+			outdated = r.agent.outdatedBackends(r.model, version)
+			owner = r.agent.ownsRollout(r.model)
 			serving = r.agent.servingCount(r.model)
 		}) != nil {
 			return
 		}
-		if len(behind) == 0 && len(r.inProgress) == 0 || !mine && len(r.inProgress) == 0 {
+		if len(outdated) == 0 && len(r.inProgress) == 0 || !owner && len(r.inProgress) == 0 {
 			return
 		}
-		if time.Since(confirmed) >= leaseRenewInterval {
+		if time.Since(lastRenewal) >= leaseRenewInterval {
 			if err := r.agent.renewLease(ctx, r.lease); err != nil {
-				r.agent.log.Warn().Err(err).Str("step", "confirm").Str("model", r.model).Msg("the duty is in doubt")
+				r.agent.log.Warn().Err(err).Str("step", "confirm").Str("model", r.model).Msg("renewing the rollout lease failed")
 				if r.lease.expired(r.agent.now()) {
 					return
 				}
 			} else {
-				confirmed = time.Now()
+				lastRenewal = time.Now()
 			}
 		}
-		if mine {
-			r.startNext(ctx, behind, version, max(1, int(float64(serving)*trial.Scale(trial.RolloutConcurrency)/loadingDivisor)))
+		if owner {
+			r.startNext(ctx, outdated, version, max(1, int(float64(serving)*trial.Scale(trial.RolloutConcurrency)/loadingDivisor)))
 		}
 		select {
 		case id := <-r.finished:
@@ -136,72 +147,76 @@
 	}
 }
 
-// serving counts the backends of a model.
+// servingCount returns the number of backends that serve a model and aren't draining.
 func (a *Agent) servingCount(model string) (n int) {
-	for _, l := range a.backends {
-		if _, serves := l.Versions[model]; serves && !l.Draining {
+	for _, backend := range a.backends {
+		if _, serves := backend.Versions[model]; serves && !backend.Draining {
 			n++
 		}
 	}
 	return n
 }
 
-// start takes the next backends out of service: as many as may load at once, and as many that are emptied meanwhile.
-func (r *rollout) startNext(ctx context.Context, behind []dispatch.BackendInfo, version int64, atOnce int) {
-	for _, l := range behind {
-		if len(r.inProgress) >= outOfServiceFactor*atOnce {
+// startNext starts the update of the next backends: as many as may load at once, and as many again
+// that are emptied meanwhile.
+func (r *rollout) startNext(ctx context.Context, outdated []dispatch.BackendInfo, version int64, maxLoading int) {
+	for _, backend := range outdated {
+		if len(r.inProgress) >= outOfServiceFactor*maxLoading {
 			return
 		}
-		if _, already := r.inProgress[l.ID]; already || l.Draining {
+		if _, ok := r.inProgress[backend.ID]; ok || backend.Draining {
 			continue
 		}
-		r.inProgress[l.ID] = time.Now()
-		go r.updateBackend(ctx, l, version)
+		r.inProgress[backend.ID] = time.Now()
+		go r.updateBackend(ctx, backend, version)
 	}
 }
 
-// one brings a backend to a version.
-func (r *rollout) updateBackend(ctx context.Context, l dispatch.BackendInfo, version int64) {
-	defer func() { r.finished <- l.ID }()
-	state := r.queryWeights(ctx, l, version)
+// updateBackend brings one backend to a version. It queries the backend first, because an earlier
+// holder may have sent the load order already.
+func (r *rollout) updateBackend(ctx context.Context, backend dispatch.BackendInfo, version int64) {
+	defer func() { r.finished <- backend.ID }()
+	state := r.queryWeights(ctx, backend, version)
 	if state == weightsOutdated {
-		if err := r.emptyAndSendOrder(ctx, l, version); err != nil {
-			r.agent.log.Warn().Err(err).Str("step", "order").Str("peer", l.Addr).Msg("the order was not taken")
-			r.announcePhase(l.ID, feed.Phase{})
+		if err := r.emptyAndSendOrder(ctx, backend, version); err != nil {
+			r.agent.log.Warn().Err(err).Str("step", "order").Str("peer", backend.Addr).Msg("load order failed")
+			r.announcePhase(backend.ID, feed.Phase{})
 			return
 		}
 	}
 	if state != weightsCurrent {
-		r.announcePhase(l.ID, feed.Phase{Name: dispatch.PhaseLoading})
-		if !r.awaitLoaded(ctx, l, version, state == weightsOutdated) {
-			r.announcePhase(l.ID, feed.Phase{})
+		r.announcePhase(backend.ID, feed.Phase{Name: dispatch.PhaseLoading})
+		if !r.awaitLoaded(ctx, backend, version, state == weightsOutdated) {
+			r.announcePhase(backend.ID, feed.Phase{})
 			return
 		}
 	}
-	r.announcePhase(l.ID, feed.Phase{Model: r.model, Version: version})
+	r.announcePhase(backend.ID, feed.Phase{Model: r.model, Version: version})
 }
 
-// emptyAndOrder takes a backend out of service, waits until nothing waits there, and gives the order.
-func (r *rollout) emptyAndSendOrder(ctx context.Context, l dispatch.BackendInfo, version int64) error {
-	r.announcePhase(l.ID, feed.Phase{Name: dispatch.PhaseEmptying})
-	r.awaitQueueEmpty(ctx, l.ID)
-	if err := r.sendOrder(ctx, l, version); err != nil {
+// emptyAndSendOrder takes a backend out of service, waits until its queue is empty, and sends the
+// load order.
+func (r *rollout) emptyAndSendOrder(ctx context.Context, backend dispatch.BackendInfo, version int64) error {
+	r.announcePhase(backend.ID, feed.Phase{Name: dispatch.PhaseEmptying})
+	r.awaitQueueEmpty(ctx, backend.ID)
+	if err := r.sendOrder(ctx, backend, version); err != nil {
 		return err
 	}
-	r.agent.log.Info().Str("step", "order").Str("peer", l.Addr).Str("backend", l.ID).Int64("from", l.Versions[r.model]).Int64("version", version).Msg("order taken")
+	r.agent.log.Info().Str("step", "order").Str("peer", backend.Addr).Str("backend", backend.ID).Int64("from", backend.Versions[r.model]).Int64("version", version).Msg("load order accepted")
 	return nil
 }
 
-// awaitLoaded waits until a backend has a version. Its report is older than an order that was just taken; where another holder gave the order, a
-// backend that loads nothing any more and has not the version is to be ordered anew.
-func (r *rollout) awaitLoaded(ctx context.Context, l dispatch.BackendInfo, version int64, ordered bool) bool {
-	for began := time.Now(); time.Since(began) < loadTimeout && ctx.Err() == nil; {
+// awaitLoaded waits until a backend has a version, and reports whether it has. If the order was
+// just sent, the backend's report may be from before it, and outdated weights are ignored. If an
+// earlier holder sent it, a backend that isn't loading and has outdated weights needs a new order.
+func (r *rollout) awaitLoaded(ctx context.Context, backend dispatch.BackendInfo, version int64, orderSent bool) bool {
+	for start := time.Now(); time.Since(start) < loadTimeout && ctx.Err() == nil; {
 		time.Sleep(reportInterval)
-		switch r.queryWeights(ctx, l, version) {
+		switch r.queryWeights(ctx, backend, version) {
 		case weightsCurrent:
 			return true
 		case weightsOutdated:
-			if !ordered {
+			if !orderSent {
 				return false
 			}
 		}
@@ -209,18 +224,19 @@
 	return false
 }
 
-// awaitBegun waits until nothing waits at a backend that has not begun, as far as the mixers tell; what has begun may run on.
+// awaitQueueEmpty waits until no request is queued at a backend, according to all agents. Requests
+// that have begun may continue.
 func (r *rollout) awaitQueueEmpty(ctx context.Context, id string) {
 	time.Sleep(minEmptyingTime)
-	for began := time.Now(); time.Since(began) < maxEmptyingTime && ctx.Err() == nil; time.Sleep(emptyingPollInterval) {
-		waiting := 0
-		if r.agent.runInLoop(ctx, func() { waiting = r.agent.gossip.remoteLoads()[id].Add(r.agent.localLoads[id]).QueuedPrefillMS }) != nil || waiting <= 0 {
+	for start := time.Now(); time.Since(start) < maxEmptyingTime && ctx.Err() == nil; time.Sleep(emptyingPollInterval) {
+		queuedMS := 0
+		if r.agent.runInLoop(ctx, func() { queuedMS = r.agent.gossip.remoteLoads()[id].Add(r.agent.localLoads[id]).QueuedPrefillMS }) != nil || queuedMS <= 0 {
 			return
 		}
 	}
 }
 
-// versionOrder is the body of an order for new weights.
+// versionOrder is the body of a load order.
 type versionOrder struct {
 	Operation    string `json:"operation"`
 	Model        string `json:"model"`
@@ -230,7 +246,9 @@
 	FencingToken uint64 `json:"fence"`
 }
 
-func (r *rollout) sendOrder(ctx context.Context, l dispatch.BackendInfo, version int64) error {
+// sendOrder sends a load order once the lease is valid. An order that is already in progress (409
+// Conflict) counts as accepted.
+func (r *rollout) sendOrder(ctx context.Context, backend dispatch.BackendInfo, version int64) error {
 	body, err := json.Marshal(versionOrder{"version", r.model, version, "wait", r.agent.self.ID, r.lease.fencingToken()})
 	if err != nil {
 		return err
@@ -240,28 +258,28 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr+"/v1/order", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+backend.Addr+"/v1/order", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set("X-Expected-Instance", l.ID)
+	request.Header.Set("X-Expected-Instance", backend.ID)
 	if !r.lease.valid(r.agent.now()) {
-		return merry.New("the lease is over")
+		return merry.New("agent: send load order: the lease has expired")
 	}
-	answer, err := r.agent.httpClient.Do(request)
+	response, err := r.agent.httpClient.Do(request)
 	if err != nil {
-		return merry.Prepend(err, "order")
+		return merry.Prepend(err, "agent: send load order")
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, 4096))
-	if answer.StatusCode != http.StatusOK && answer.StatusCode != http.StatusAccepted && answer.StatusCode != http.StatusConflict {
-		return merry.New("order: " + answer.Status + " " + string(text))
+	defer response.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, 4096))
+	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusAccepted && response.StatusCode != http.StatusConflict {
+		return merry.New("agent: send load order: " + response.Status + " " + string(text))
 	}
 	return nil
 }
 
-// awaitLease waits until the lease begins.
+// awaitLease waits until the lease becomes valid.
 func (r *rollout) awaitLease(ctx context.Context) error {
 	wait := r.lease.timeUntilValid(r.agent.now())
 	if wait == 0 {
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// watchLimit bounds a call of the session; a controller that is there answers in half of it.
+	// watchTimeout bounds a watch call. A live controller answers in half of it.
 	watchTimeout = 800 * time.Millisecond
-	// avoidFor is how long a controller is passed over that did not answer or is out of touch with the core. It doubles with each time in
-	// a row, up to avoidMost: each try costs up to watchLimit, in which nothing new is heard.
+	// minAvoidTime is how long a controller is avoided that did not answer or has no quorum. It
+	// doubles with each failure in a row, up to maxAvoidTime: each attempt takes up to
+	// watchTimeout, during which the agent receives no updates.
 	minAvoidTime = 700 * time.Millisecond
 	maxAvoidTime = 8 * minAvoidTime
-	// sessionPause is the pause after a call that failed. While no controller is left that has not failed lately it doubles with each
-	// further one, up to sessionPauseMost: agents that all search at once would keep the controllers from coming into touch.
+	// minSessionBackoff is the pause after a failed call. While all known controllers have failed
+	// recently, it doubles with each further failure up to maxSessionBackoff: if all agents search
+	// at once, their calls would keep the controllers from regaining a quorum.
 	minSessionBackoff = 30 * time.Millisecond
 	maxSessionBackoff = 320 * time.Millisecond
 
@@ -30,54 +32,55 @@
 	suspectAfterMisses = 2
 )
 
-// runSession keeps one session: with the controller that rendezvous hashing gives, and with the next one as soon as that is silent or
-// says that it is out of touch.
+// runSession keeps a session with one controller: the first by rendezvous hashing, and the next one
+// as soon as that doesn't answer or reports that it has no quorum.
 func (a *Agent) runSession(ctx context.Context) {
 	failures := newControllerFailures()
 	for ctx.Err() == nil {
 		var request distribute.WatchRequest
 		var addr string
-		began := a.now()
+		start := a.now()
 		if a.runInLoop(ctx, func() {
 			request = a.watchRequest()
 			addr = a.pickController(failures.avoidUntil)
 		}) != nil {
 			return
 		}
-		pause := failures.backoffFor(addr, time.Now())
+		backoff := failures.backoffFor(addr, time.Now())
 		reply := new(distribute.WatchReply)
-		asked := a.now()
+		requestedAt := a.now()
 		err := a.pool.Call(ctx, watchTimeout, addr, distribute.KindWatch, &request, reply)
-		a.logSlowWatch(asked-began, a.now()-asked, addr, err)
+		a.logSlowWatch(requestedAt-start, a.now()-requestedAt, addr, err)
 		if err != nil || !reply.HasQuorum {
 			if err != nil {
-				a.log.Debug().Err(err).Str("step", "watch").Str("peer", addr).Msg("controller does not answer")
+				a.log.Debug().Err(err).Str("step", "watch").Str("peer", addr).Msg("controller did not answer")
 			}
-			a.runInLoop(ctx, func() { a.applyReplyWithoutQuorum(asked, reply) })
+			a.runInLoop(ctx, func() { a.applyReplyWithoutQuorum(requestedAt, reply) })
 			failures.add(addr, time.Now())
-			time.Sleep(jittered(pause))
+			time.Sleep(jittered(backoff))
 			continue
 		}
 		failures.succeeded(addr)
-		a.runInLoop(ctx, func() { a.applyWatchReply(asked, reply) })
+		a.runInLoop(ctx, func() { a.applyWatchReply(requestedAt, reply) })
 	}
 }
 
-// slowWatch is the time from which a call of the session, or the wait for the owner before it, is worth a line in the log: a controller takes
-// an agent for lost that is silent for not much longer.
+// slowWatchThreshold is the duration from which a watch call, with the wait for the command loop
+// before it, is logged. A controller considers an agent lost that is silent for not much longer.
 const slowWatchThreshold = 600 * time.Millisecond
 
-func (a *Agent) logSlowWatch(owner, call time.Duration, addr string, err error) {
-	if owner+call < slowWatchThreshold {
+// logSlowWatch logs a watch call that took longer than slowWatchThreshold.
+func (a *Agent) logSlowWatch(loopWait, call time.Duration, addr string, err error) {
+	if loopWait+call < slowWatchThreshold {
 		return
 	}
-	a.log.Info().Err(err).Str("step", "watch").Str("peer", addr).Dur("owner", owner).Dur("call", call).Int("queue", len(a.commands)).Msg("session is slow")
+	a.log.Info().Err(err).Str("step", "watch").Str("peer", addr).Dur("owner", loopWait).Dur("call", call).Int("queue", len(a.commands)).Msg("slow watch call")
 }
 
-// failures are the controllers that did not answer or were out of touch lately.
+// controllerFailures tracks the controllers that recently failed to answer or had no quorum.
 type controllerFailures struct {
-	avoidUntil map[string]time.Time     // until when each is passed over
-	avoidTime  map[string]time.Duration // for how long, the last time
+	avoidUntil map[string]time.Time     // end of the avoidance, by controller
+	avoidTime  map[string]time.Duration // length of the last avoidance, by controller
 	backoff    time.Duration            // after the next failed call
 }
 
@@ -85,9 +88,9 @@
 	return &controllerFailures{avoidUntil: map[string]time.Time{}, avoidTime: map[string]time.Duration{}, backoff: minSessionBackoff}
 }
 
-// pauseBefore gives the pause if the call that is made now should fail.
+// backoffFor returns the backoff if the call to addr that is about to start fails.
 func (f *controllerFailures) backoffFor(addr string, now time.Time) time.Duration {
-	if now.After(f.avoidUntil[addr]) { // one was left to be asked
+	if now.After(f.avoidUntil[addr]) { // a controller that isn't avoided was left
 		f.backoff = minSessionBackoff
 		return f.backoff
 	}
@@ -95,29 +98,31 @@
 	return f.backoff
 }
 
-// add has a controller passed over.
+// add records a failure of a controller, which is then avoided for a while.
 func (f *controllerFailures) add(addr string, now time.Time) {
 	f.avoidTime[addr] = min(max(2*f.avoidTime[addr], minAvoidTime), maxAvoidTime)
 	f.avoidUntil[addr] = now.Add(f.avoidTime[addr])
 }
 
-// answered forgets that a controller failed.
+// succeeded resets the failures of a controller.
 func (f *controllerFailures) succeeded(addr string) {
 	delete(f.avoidTime, addr)
 	f.backoff = minSessionBackoff
 }
 
-// jittered spreads a pause over its second half and the half behind, so that those who failed together do not come back together.
-func jittered(pause time.Duration) time.Duration {
-	return pause/2 + rand.N(pause)
+// jittered returns a random duration between half and one and a half times pause, so that agents
+// that failed together don't retry together.
+func jittered(backoff time.Duration) time.Duration {
+	return backoff/2 + rand.N(backoff)
 }
 
+// watchRequest returns the request of the next watch call.
 func (a *Agent) watchRequest() distribute.WatchRequest {
 	request := distribute.WatchRequest{Agent: a.self, AppliedSeq: a.appliedSeq, MembersDigest: a.members.Digest, Epoch: a.epoch}
 	if a.snapshot != nil {
 		request.ReceivedSeq, request.ConfigSeq = a.snapshot.Seq, a.snapshot.ConfigSeq
 		if time.Since(a.lastProxyRequest) > proxyTimeout {
-			request.AppliedSeq = request.ReceivedSeq // no proxy is there that could lag
+			request.AppliedSeq = request.ReceivedSeq // there is no proxy that could lag behind
 		}
 	}
 	for id := range a.suspects {
@@ -126,8 +131,9 @@
 	return request
 }
 
-// controller picks whom to call: the best-ranked that is not avoided, else the one whose avoidance ends first.
-func (a *Agent) pickController(avoid map[string]time.Time) string {
+// pickController returns the address of the controller to call: the best-ranked one that isn't
+// avoided, else the one whose avoidance ends first.
+func (a *Agent) pickController(avoidUntil map[string]time.Time) string {
 	known := slices.Clone(a.controllers)
 	for _, seed := range a.settings.Seeds {
 		if addr := a.settings.InternalAddr(seed); !slices.Contains(known, addr) {
@@ -137,27 +143,29 @@
 	ranked := rendezvous.Top("session/"+a.self.Addr, known, len(known))
 	now := time.Now()
 	for _, addr := range ranked {
-		if now.After(avoid[addr]) {
+		if now.After(avoidUntil[addr]) {
 			return addr
 		}
 	}
 	if len(ranked) == 0 {
 		return ""
 	}
-	return slices.MinFunc(ranked, func(x, y string) int { return cmp.Compare(avoid[x].UnixNano(), avoid[y].UnixNano()) })
+	return slices.MinFunc(ranked, func(x, y string) int { return cmp.Compare(avoidUntil[x].UnixNano(), avoidUntil[y].UnixNano()) })
 }
 
-// takeReply takes the reply of a controller in touch to a call that was made at a time: since then nothing newer can have been unknown here.
-func (a *Agent) applyWatchReply(asked time.Duration, reply *distribute.WatchReply) {
-	defer func() { a.lastQuorumContact = asked }()
+// applyWatchReply applies the reply of a controller with a quorum to a call made at requestedAt.
+// Everything that was in force at that time is known afterwards.
+func (a *Agent) applyWatchReply(requestedAt time.Duration, reply *distribute.WatchReply) {
+	defer func() { a.lastQuorumContact = requestedAt }()
 	if len(reply.Controllers) > 0 {
 		a.controllers, a.epoch = reply.Controllers, reply.Epoch
 	}
 	a.applyMembers(reply)
-	a.applySnapshot(asked, reply)
+	a.applySnapshot(requestedAt, reply)
 }
 
-// takeMembers takes the members whole, or what changed of them. A change that does not fit has the next call ask for the whole.
+// applyMembers applies a full member set or a delta. If the delta doesn't fit, the next call
+// requests the full set.
 func (a *Agent) applyMembers(reply *distribute.WatchReply) {
 	members := reply.Members
 	if members == nil && reply.MembersDelta != nil {
@@ -167,51 +175,54 @@
 	}
 	if members != nil {
 		a.members = members
-		a.startResyncs() // what was wanted while no members were known
+		a.startResyncs() // resyncs that were requested while no members were known
 		a.notifyProxy()
 	}
 }
 
-// takeLate takes what is newer from a controller that is out of touch. It is committed, but not enough to begin with: only one in touch
-// can tell that nothing newer was in force before.
-func (a *Agent) applyReplyWithoutQuorum(asked time.Duration, reply *distribute.WatchReply) {
+// applyReplyWithoutQuorum applies a newer snapshot from a controller without a quorum. The snapshot
+// is committed, but can't serve as an agent's first: only a controller with a quorum knows that
+// nothing newer was already in force.
+func (a *Agent) applyReplyWithoutQuorum(requestedAt time.Duration, reply *distribute.WatchReply) {
 	if a.snapshot != nil {
-		a.applySnapshot(asked, reply)
+		a.applySnapshot(requestedAt, reply)
 	}
 }
 
-func (a *Agent) applySnapshot(asked time.Duration, reply *distribute.WatchReply) {
-	s := reply.Snapshot
-	if s == nil || a.snapshot != nil && s.Seq <= a.snapshot.Seq {
+// applySnapshot applies a snapshot that is newer than the current one.
+func (a *Agent) applySnapshot(requestedAt time.Duration, reply *distribute.WatchReply) {
+	snapshot := reply.Snapshot
+	if snapshot == nil || a.snapshot != nil && snapshot.Seq <= a.snapshot.Seq {
 		return
 	}
-	if s.Config == nil && a.snapshot != nil && a.snapshot.ConfigSeq == s.ConfigSeq {
-		s.Config = a.snapshot.Config
+	if snapshot.Config == nil && a.snapshot != nil && a.snapshot.ConfigSeq == snapshot.ConfigSeq {
+		snapshot.Config = a.snapshot.Config
 	}
-	a.mergeVersionAges(asked, s, reply)
-	a.snapshot = s
+	a.mergeVersionAges(requestedAt, snapshot, reply)
+	a.snapshot = snapshot
 	a.notifyProxy()
 }
 
-// takeVersions brings together what a controller tells of when versions were named and what this agent knows: one that it did not hear of
-// while it was last in touch was named since.
-func (a *Agent) mergeVersionAges(asked time.Duration, s *distribute.Snapshot, reply *distribute.WatchReply) {
-	written := asked + time.Duration(reply.LongPollMS)*time.Millisecond
-	for model, wanted := range s.Models {
+// mergeVersionAges merges a controller's ages of the wanted versions with those that this agent
+// knows. A version that was unknown at the last contact with a quorum was set after it.
+func (a *Agent) mergeVersionAges(requestedAt time.Duration, snapshot *distribute.Snapshot, reply *distribute.WatchReply) {
+	writtenAt := requestedAt + time.Duration(reply.LongPollMS)*time.Millisecond
+	for model, wanted := range snapshot.Models {
 		known := a.versionHistories[model]
-		named := known.Newest() < wanted.Version
+		isNew := known.Newest() < wanted.Version
 		if a.snapshot != nil {
 			known = known.With(wanted.Version, a.lastQuorumContact)
 		}
-		a.versionHistories[model] = known.MergeAges(wanted.Version, written, reply.VersionAges[model])
-		if named {
-			a.log.Info().Str("step", "weights").Str("model", model).Int64("version", wanted.Version).Uint64("seq", s.Seq).
+		a.versionHistories[model] = known.MergeAges(wanted.Version, writtenAt, reply.VersionAges[model])
+		if isNew {
+			a.log.Info().Str("step", "weights").Str("model", model).Int64("version", wanted.Version).Uint64("seq", snapshot.Seq).
 				Interface("ages", a.versionHistories[model].Ages(a.now())).Msg("version wanted")
 		}
 	}
 }
 
-// watchPeers pings the few agents that rendezvous hashing gives this one to watch.
+// watchPeers pings the few agents that rendezvous hashing assigns to this one, and records those
+// that don't answer as suspects.
 func (a *Agent) watchPeers(ctx context.Context) {
 	missed := map[string]int{}
 	for ctx.Err() == nil {
@@ -235,6 +246,7 @@
 	}
 }
 
+// watchedPeers returns the agents that this agent pings.
 func (a *Agent) watchedPeers() (watched []distribute.Agent) {
 	byID := map[string]distribute.Agent{}
 	var ids []string
@@ -250,11 +262,12 @@
 	return watched
 }
 
-// owns tells whether a duty is this agent's, by the members it knows.
+// ownsKey reports whether this agent owns a rendezvous key among the members that it knows.
 func (a *Agent) ownsKey(key string) bool {
 	return rendezvous.Owner(key, a.memberIDs()) == a.self.ID
 }
 
+// memberIDs returns the IDs of the known members.
 func (a *Agent) memberIDs() []string {
 	ids := make([]string, 0, len(a.members.Agents))
 	for _, m := range a.members.Agents {
