--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -85,7 +85,7 @@
 	eventOwners *rendezvous.OwnerCache // owners of the keys under which backend events are read
 
 	gossip          *gossiper
-	gossipBytesSent uint64 // gossip bytes sent
+	gossipBytesSent uint64
 	localLoads      map[string]dispatch.Load
 	rollouts        map[string]bool
 	announcedPhases map[string]announcedPhase
@@ -178,6 +178,7 @@
 	a.enqueue(func() { a.settings.Seeds = settings.Seeds })
 }
 
+// now returns the time since the agent's start.
 func (a *Agent) now() time.Duration { return time.Since(a.startedAt) }
 
 // enqueue queues a command for the command loop. It drops the command once the agent has stopped.
@@ -190,10 +191,10 @@
 
 // runInLoop runs a command in the command loop and waits until it has finished.
 func (a *Agent) runInLoop(ctx context.Context, command func()) error {
-	done := make(chan struct{})
-	a.enqueue(func() { command(); close(done) })
+	finished := make(chan struct{})
+	a.enqueue(func() { command(); close(finished) })
 	select {
-	case <-done:
+	case <-finished:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -202,6 +203,7 @@
 	}
 }
 
+// tick runs the periodic work of the command loop.
 func (a *Agent) tick(ctx context.Context) {
 	a.readListIfDue(ctx)
 	a.updateEventReaders(ctx)
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -29,29 +29,33 @@
 	platformInstances = 326
 	platformPageSize  = 50
 	platformPageCount = (platformInstances + platformPageSize - 1) / platformPageSize
-	// platformLatency is how long a call to the platform takes.
+	// platformLatency is the duration of a call to the platform.
 	platformLatency   = 2 * time.Millisecond
 	platformHostName  = "platform"
 	fleetControllerIP = "10.9.9.9"
 	fleetPort         = 7340
-	// membersToldAfter is how long after an agent's end the controllers tell the others that it is gone.
+	// memberRemovalDelay is the time from an agent's crash until the controllers remove it from the
+	// members.
 	memberRemovalDelay = 3 * time.Second
 )
 
-// platform serves a list whose first entry states the time at which it was read, and refuses calls above its rate.
+// fakePlatform serves an instance list and rejects calls above its rate. The first entry's Slots is
+// the time of the read in milliseconds since the platform's start. It also serves the cache events
+// of backends.
 type fakePlatform struct {
 	limit         *rate.Limiter
 	start         time.Time
-	prefixCaches  bool // its backends keep prompts
-	eventsPerPage int  // parts that each of them reads anew between two pages of its events
+	prefixCaches  bool // the backends have prefix caches
+	eventsPerPage int  // parts that each backend caches between two of its event pages
 
-	mu      sync.Mutex
-	down    bool
-	calls   map[int64]int // by second since the start, refused ones too
-	refused int
+	mu       sync.Mutex
+	down     bool
+	calls    map[int64]int // by second since the start, including rejected calls
+	rejected int
 }
 
-// platformBurst is one part in so many of a second's calls that are answered at once.
+// platformBurstDivisor is the divisor of a second's calls that gives the number of calls answered
+// in a burst.
 const platformBurstDivisor = 10
 
 func newFakePlatform(callsPerSecond int) *fakePlatform {
@@ -60,22 +64,23 @@
 	}
 }
 
-// backendParts is how many parts of prompts a backend keeps from the first.
+// minBackendParts is the number of prompt parts that a backend has cached from the start.
 const minBackendParts = 20
 
-// events is a backend's page of kept prompts: some more with each call, under names that repeat.
-func eventsResponse(backend, since string, each int) (*http.Response, error) {
+// eventsResponse returns a page of a backend's cache events: some more with each call, with part
+// names that repeat.
+func eventsResponse(backend, since string, perPage int) (*http.Response, error) {
 	next, _ := strconv.Atoi(since)
-	news := []any{}
-	for i := next; i < next+max(1, each) || i < minBackendParts; i++ {
+	events := []any{}
+	for i := next; i < next+max(1, perPage) || i < minBackendParts; i++ {
 		part := i % (10 * minBackendParts)
-		news = append(news, []any{i, "+", "v1", fmt.Sprint(backend, "/", part), 1 + i*7919%3000, "m"})
+		events = append(events, []any{i, "+", "v1", fmt.Sprint(backend, "/", part), 1 + i*7919%3000, "m"})
 	}
-	body, err := json.Marshal(map[string]any{"epoch": 1, "next_page_token": next + len(news), "events": news})
+	body, err := json.Marshal(map[string]any{"epoch": 1, "next_page_token": next + len(events), "events": events})
 	return newResponse(http.StatusOK, body), err
 }
 
-// RoundTrip answers GET /instances, and a backend's GET /v1/kv-events.
+// RoundTrip handles GET /instances of the platform and GET /v1/kv-events of backends.
 func (p *fakePlatform) RoundTrip(request *http.Request) (*http.Response, error) {
 	time.Sleep(platformLatency)
 	if request.URL.Host != platformHostName {
@@ -89,7 +94,7 @@
 		return newResponse(http.StatusServiceUnavailable, nil), nil
 	}
 	if !p.limit.Allow() {
-		p.refused++
+		p.rejected++
 		return newResponse(http.StatusTooManyRequests, nil), nil
 	}
 	first, _ := strconv.Atoi(request.URL.Query().Get("page_token"))
@@ -112,23 +117,25 @@
 	return newResponse(http.StatusOK, body), err
 }
 
+// newResponse returns a response with a status and a body.
 func newResponse(status int, body []byte) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(bytes.NewReader(body))}
 }
 
-// busiest is the most calls in a second from a second on.
-func (p *fakePlatform) busiestSecond(from time.Duration) (most int) {
+// busiestSecond returns the maximum number of calls in one second, counted from a time after the
+// start.
+func (p *fakePlatform) busiestSecond(from time.Duration) (maxCalls int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for second, calls := range p.calls {
 		if second >= int64(from/time.Second) {
-			most = max(most, calls)
+			maxCalls = max(maxCalls, calls)
 		}
 	}
-	return most
+	return maxCalls
 }
 
-// fleet is agents that run in a bubble, with one controller that tells them of each other.
+// fleet is a set of agents in a synctest bubble with one controller that distributes the members.
 type fleet struct {
 	t        *testing.T
 	network  *simtest.Network
@@ -141,8 +148,8 @@
 	members *distribute.MemberSet
 }
 
-// playFleet starts agents of some zones all at once and plays with them.
-func runFleet(t *testing.T, zones, each, callsPerSecond int, play func(f *fleet)) {
+// runFleet starts agents in several zones at once and runs a test with them.
+func runFleet(t *testing.T, zones, agentsPerZone, callsPerSecond int, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
@@ -153,7 +160,7 @@
 		require.NoError(t, err)
 		go rpc.Serve(listener, func(_ context.Context, _ string, body []byte) (any, error) { return f.watch(body) })
 		for zone := range zones {
-			for i := range each {
+			for i := range agentsPerZone {
 				f.add(fmt.Sprint("z", zone), fmt.Sprintf("127.%d.0.%d", zone, i+1))
 			}
 		}
@@ -166,10 +173,11 @@
 			f.network.CloseHost(fleetControllerIP)
 			time.Sleep(simtest.Settled)
 		}()
-		play(f)
+		test(f)
 	})
 }
 
+// stopAll stops all agents and waits until they have stopped.
 func (f *fleet) stopAll() {
 	for _, a := range f.agents {
 		f.kill(a)
@@ -177,27 +185,29 @@
 	f.running.Wait()
 }
 
-// add makes an agent that does not run yet, and has the controller tell of it.
+// add creates an agent without starting it, and adds it to the members.
 func (f *fleet) add(zone, ip string) *Agent { return f.register(f.newAgent(zone, ip)) }
 
-// addOwner makes one to whom the list's duty falls: which life's that is is drawn by lot.
+// addOwner adds an agent that is the list reader. Agent IDs are random, so it creates agents until
+// one is.
 func (f *fleet) addOwner(zone, ip string) *Agent {
-	const lives = 10_000
+	const maxAttempts = 10_000
 	f.mu.Lock()
 	var others []string
 	for _, m := range f.members.Agents {
 		others = append(others, m.ID)
 	}
 	f.mu.Unlock()
-	for range lives {
+	for range maxAttempts {
 		if a := f.newAgent(zone, ip); rendezvous.Owner(listReaderKey, append(others, a.self.ID)) == a.self.ID {
 			return f.register(a)
 		}
 	}
-	require.FailNow(f.t, "no life is the owner's")
+	require.FailNow(f.t, "no generated agent ID is the list reader")
 	return nil
 }
 
+// newAgent returns an agent on the fleet's network.
 func (f *fleet) newAgent(zone, ip string) *Agent {
 	settings := &local.Settings{
 		NodeName: "f-" + ip, IP: ip, Zone: zone, FirstPort: fleetPort, Seeds: []string{fleetControllerIP + ":8783"},
@@ -206,6 +216,7 @@
 	return newAgent(f.network.Host(ip), &http.Client{Transport: f.platform}, settings, zerolog.Nop())
 }
 
+// register adds an agent to the fleet and to the members.
 func (f *fleet) register(a *Agent) *Agent {
 	f.agents = append(f.agents, a)
 	f.mu.Lock()
@@ -214,6 +225,7 @@
 	return a
 }
 
+// run starts an agent.
 func (f *fleet) run(a *Agent) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stops[a] = stop
@@ -224,7 +236,7 @@
 	})
 }
 
-// kill ends an agent without a word, as a loss of power does.
+// kill stops an agent without closing its connections in order, like a power failure.
 func (f *fleet) kill(a *Agent) {
 	if f.stops[a] == nil {
 		return
@@ -235,27 +247,27 @@
 	f.network.CloseHost(a.settings.IP)
 }
 
-// lose kills agents, and has the others told some time later.
+// crash kills agents. The members are updated memberRemovalDelay later.
 func (f *fleet) crash(agents ...*Agent) {
-	gone := map[string]bool{}
+	crashed := map[string]bool{}
 	for _, a := range agents {
 		f.kill(a)
-		gone[a.self.ID] = true
+		crashed[a.self.ID] = true
 	}
 	time.AfterFunc(memberRemovalDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		left := &distribute.MemberSet{Digest: f.members.Digest + 1}
+		members := &distribute.MemberSet{Digest: f.members.Digest + 1}
 		for _, m := range f.members.Agents {
-			if !gone[m.ID] {
-				left.Agents = append(left.Agents, m)
+			if !crashed[m.ID] {
+				members.Agents = append(members.Agents, m)
 			}
 		}
-		f.members = left
+		f.members = members
 	})
 }
 
-// watch answers an agent's session: with the members if it lacks them, else after a while.
+// watch answers a watch call: at once with the members if the agent has others, else after a delay.
 func (f *fleet) watch(body []byte) (any, error) {
 	request := new(distribute.WatchRequest)
 	if err := cbor.Unmarshal(body, request); err != nil {
@@ -276,41 +288,42 @@
 	return reply, nil
 }
 
-// oldest is the age of the oldest list among the agents that run, from its reading at the platform.
+// oldestListAge returns the age of the oldest list among the running agents, since its read at the
+// platform.
 func (f *fleet) oldestListAge() (oldest time.Duration) {
 	now := time.Since(f.platform.start)
 	for _, a := range f.agents {
 		if f.stops[a] == nil {
 			continue
 		}
-		read := time.Duration(0) // it has none
+		readAt := time.Duration(0) // the agent has no list yet
 		require.NoError(f.t, a.runInLoop(context.Background(), func() {
 			if len(a.backends) > 0 {
-				read = time.Duration(a.backends[0].Slots) * time.Millisecond
+				readAt = time.Duration(a.backends[0].Slots) * time.Millisecond
 			}
 		}))
-		oldest = max(oldest, now-read)
+		oldest = max(oldest, now-readAt)
 	}
 	return oldest
 }
 
-// watchAges looks at the agents for a while, and gives the age of the oldest list that one had.
+// maxListAge samples the agents' list ages for a while and returns the maximum.
 func (f *fleet) maxListAge(span time.Duration) (oldest time.Duration) {
-	const look = 100 * time.Millisecond
-	for began := time.Now(); time.Since(began) < span; time.Sleep(look) {
+	const sampleInterval = 100 * time.Millisecond
+	for start := time.Now(); time.Since(start) < span; time.Sleep(sampleInterval) {
 		oldest = max(oldest, f.oldestListAge())
 	}
 	return oldest
 }
 
-// find gives an agent that runs and of which something holds.
-func (f *fleet) find(holds func(a *Agent) bool) (found *Agent) {
+// find returns a running agent that satisfies a condition.
+func (f *fleet) find(matches func(a *Agent) bool) (found *Agent) {
 	for _, a := range f.agents {
 		if f.stops[a] == nil {
 			continue
 		}
 		require.NoError(f.t, a.runInLoop(context.Background(), func() {
-			if holds(a) {
+			if matches(a) {
 				found = a
 			}
 		}))
@@ -318,12 +331,12 @@
 	return found
 }
 
-// owner is the agent whose duty the list is.
+// listReader returns the agent that reads the platform's list.
 func (f *fleet) listReader() *Agent {
 	return f.find(func(a *Agent) bool { return a.ownsKey(listReaderKey) })
 }
 
-// hub is the hub of a zone.
+// hub returns the hub of a zone.
 func (f *fleet) hub(zone string) *Agent {
 	return f.find(func(a *Agent) bool { return a.settings.Zone == zone && a.gossip.hubAddr(zone) == a.self.Addr })
 }
--- a/internal/agent/gossip.go
+++ b/internal/agent/gossip.go
@@ -150,9 +150,9 @@
 }
 
 // hubAddr returns the address of a zone's hub, "" if no agent of the zone is known.
-func (x *gossiper) hubAddr(zone string) string {
+func (g *gossiper) hubAddr(zone string) string {
 	var addrs []string
-	for _, m := range x.agent.members.Agents {
+	for _, m := range g.agent.members.Agents {
 		if m.Zone == zone {
 			addrs = append(addrs, m.Addr)
 		}
@@ -161,63 +161,63 @@
 }
 
 // publish queues an update by this agent for the next flush.
-func (x *gossiper) publish(message *feed.GossipMessage) { x.toHub.add(message) }
+func (g *gossiper) publish(message *feed.GossipMessage) { g.toHub.add(message) }
 
 // interval returns the time between two flushes.
-func (x *gossiper) interval() time.Duration {
-	interval := max(flushInterval, time.Duration(len(x.zonePeers())+1)*time.Second/hubMessagesPerSecond)
-	return max(interval, min(x.linkTime(x.zoneBytes, gossipLinkShare), maxFlushInterval))
+func (g *gossiper) interval() time.Duration {
+	interval := max(flushInterval, time.Duration(len(g.zonePeers())+1)*time.Second/hubMessagesPerSecond)
+	return max(interval, min(g.linkTime(g.zoneBytes, gossipLinkShare), maxFlushInterval))
 }
 
 // due reports whether a flush is due at now, with a tolerance of half a ticker period.
-func (x *gossiper) due(now time.Time) bool {
-	return now.Sub(x.flushedAt) >= x.interval()-flushInterval/2
+func (g *gossiper) due(now time.Time) bool {
+	return now.Sub(g.flushedAt) >= g.interval()-flushInterval/2
 }
 
 // flush sends the collected updates.
-func (x *gossiper) flush() {
-	a := x.agent
-	x.flushedAt, x.zoneBytes = time.Now(), 0
-	hub := x.hubAddr(a.self.Zone)
+func (g *gossiper) flush() {
+	a := g.agent
+	g.flushedAt, g.zoneBytes = time.Now(), 0
+	hub := g.hubAddr(a.self.Zone)
 	if hub == "" {
 		return
 	}
-	x.localLoads.loads = loadsByKey(a.localLoads)
-	loads := x.sentToHub.next(x.localLoads.loads)
+	g.localLoads.loads = loadsByKey(a.localLoads)
+	loads := g.sentToHub.next(g.localLoads.loads)
 	if hub == a.self.Addr {
-		x.receive(&feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: loads, List: x.toHub.currentList(), Batches: x.toHub.batches, Phases: x.toHub.phases})
-	} else if loads != nil || !x.toHub.empty() {
-		x.send([]string{hub}, &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: loads, List: x.toHub.currentList(), Batches: x.toHub.batches, Phases: x.toHub.phases})
+		g.receive(&feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: loads, List: g.toHub.currentList(), Batches: g.toHub.batches, Phases: g.toHub.phases})
+	} else if loads != nil || !g.toHub.empty() {
+		g.send([]string{hub}, &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: loads, List: g.toHub.currentList(), Batches: g.toHub.batches, Phases: g.toHub.phases})
 	}
-	x.toHub = outbox{}
-	x.flushAsHub(hub == a.self.Addr)
+	g.toHub = outbox{}
+	g.flushAsHub(hub == a.self.Addr)
 }
 
 // flushAsHub forwards, as a hub, the updates of this zone's agents and of the other hubs. An agent
 // that isn't the hub any more forwards what it has left.
-func (x *gossiper) flushAsHub(isHub bool) {
-	if !isHub && len(x.zoneLoads) == 0 && x.toOtherHubs.empty() && x.toZone.empty() {
+func (g *gossiper) flushAsHub(isHub bool) {
+	if !isHub && len(g.zoneLoads) == 0 && g.toOtherHubs.empty() && g.toZone.empty() {
 		return
 	}
-	a := x.agent
-	zone := sumLoads(x.zoneLoads)
-	if loads := x.sentToOtherHubs.next(zone); loads != nil || x.toOtherHubs.hasUrgent() {
-		message := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopHubToHub, Loads: loads, List: x.toOtherHubs.currentList(), Phases: x.toOtherHubs.phases}
-		x.toOtherHubs.attachBulkInTrial(message)
-		x.send(slices.Collect(maps.Keys(x.otherHubs())), message)
-	}
-	all := addLoads(zone, sumLoads(x.otherZoneLoads))
-	if loads := x.sentToZone.next(all); loads != nil || x.toZone.hasUrgent() {
-		message := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopFromHub, Loads: loads, List: x.toZone.currentList(), Phases: x.toZone.phases}
-		x.toZone.attachBulkInTrial(message)
-		x.zoneBytes = x.sendToZone(message)
+	a := g.agent
+	zone := sumLoads(g.zoneLoads)
+	if loads := g.sentToOtherHubs.next(zone); loads != nil || g.toOtherHubs.hasUrgent() {
+		message := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopHubToHub, Loads: loads, List: g.toOtherHubs.currentList(), Phases: g.toOtherHubs.phases}
+		g.toOtherHubs.attachBulkInTrial(message)
+		g.send(slices.Collect(maps.Keys(g.otherHubs())), message)
+	}
+	all := addLoads(zone, sumLoads(g.otherZoneLoads))
+	if loads := g.sentToZone.next(all); loads != nil || g.toZone.hasUrgent() {
+		message := &feed.GossipMessage{From: a.self.Addr, Hop: feed.HopFromHub, Loads: loads, List: g.toZone.currentList(), Phases: g.toZone.phases}
+		g.toZone.attachBulkInTrial(message)
+		g.zoneBytes = g.sendToZone(message)
 		if loads != nil {
-			x.applyTotalLoads(loads)
+			g.applyTotalLoads(loads)
 		}
 	}
-	x.toOtherHubs, x.toZone = outbox{batches: x.toOtherHubs.batches}, outbox{batches: x.toZone.batches}
-	if x.bulkDue(x.flushedAt) {
-		x.flushBulk()
+	g.toOtherHubs, g.toZone = outbox{batches: g.toOtherHubs.batches}, outbox{batches: g.toZone.batches}
+	if g.bulkDue(g.flushedAt) {
+		g.flushBulk()
 	}
 }
 
@@ -230,28 +230,28 @@
 }
 
 // flushBulk forwards the collected index batches as a hub.
-func (x *gossiper) flushBulk() {
-	from := x.agent.self.Addr
-	x.bulkAt, x.bulkBytes = x.flushedAt, 0
-	if len(x.toOtherHubs.batches) > 0 {
-		x.send(slices.Collect(maps.Keys(x.otherHubs())), &feed.GossipMessage{From: from, Hop: feed.HopHubToHub, Batches: x.toOtherHubs.batches})
+func (g *gossiper) flushBulk() {
+	from := g.agent.self.Addr
+	g.bulkAt, g.bulkBytes = g.flushedAt, 0
+	if len(g.toOtherHubs.batches) > 0 {
+		g.send(slices.Collect(maps.Keys(g.otherHubs())), &feed.GossipMessage{From: from, Hop: feed.HopHubToHub, Batches: g.toOtherHubs.batches})
 	}
-	if len(x.toZone.batches) > 0 {
-		x.bulkBytes = x.sendToZone(&feed.GossipMessage{From: from, Hop: feed.HopFromHub, Batches: x.toZone.batches})
+	if len(g.toZone.batches) > 0 {
+		g.bulkBytes = g.sendToZone(&feed.GossipMessage{From: from, Hop: feed.HopFromHub, Batches: g.toZone.batches})
 	}
-	x.toOtherHubs.batches, x.toZone.batches = nil, nil
+	g.toOtherHubs.batches, g.toZone.batches = nil, nil
 }
 
 // bulkDue reports whether at now the link share of the last bulk messages is used up, so that the
 // next may be sent.
-func (x *gossiper) bulkDue(now time.Time) bool {
-	return now.Sub(x.bulkAt) >= min(x.linkTime(x.bulkBytes, bulkLinkShare), maxBulkInterval)
+func (g *gossiper) bulkDue(now time.Time) bool {
+	return now.Sub(g.bulkAt) >= min(g.linkTime(g.bulkBytes, bulkLinkShare), maxBulkInterval)
 }
 
 // linkTime returns the time that sending bytes takes at a share of the machine's link, 0 if the
 // link's rate is unknown.
-func (x *gossiper) linkTime(bytes int, share float64) time.Duration {
-	bytesPerSecond := share * x.agent.settings.LinkMbps * 1e6 / 8
+func (g *gossiper) linkTime(bytes int, share float64) time.Duration {
+	bytesPerSecond := share * g.agent.settings.LinkMbps * 1e6 / 8
 	if bytesPerSecond <= 0 {
 		return 0
 	}
@@ -277,9 +277,9 @@
 }
 
 // zonePeers returns the addresses of the other agents in this zone.
-func (x *gossiper) zonePeers() (addrs []string) {
-	for _, m := range x.agent.members.Agents {
-		if m.Zone == x.agent.self.Zone && m.Addr != x.agent.self.Addr {
+func (g *gossiper) zonePeers() (addrs []string) {
+	for _, m := range g.agent.members.Agents {
+		if m.Zone == g.agent.self.Zone && m.Addr != g.agent.self.Addr {
 			addrs = append(addrs, m.Addr)
 		}
 	}
@@ -287,20 +287,20 @@
 }
 
 // otherHubs returns the addresses of the other zones' hubs.
-func (x *gossiper) otherHubs() map[string]bool {
-	hubs, zones := map[string]bool{}, map[string]bool{x.agent.self.Zone: true}
-	for _, m := range x.agent.members.Agents {
+func (g *gossiper) otherHubs() map[string]bool {
+	hubs, zones := map[string]bool{}, map[string]bool{g.agent.self.Zone: true}
+	for _, m := range g.agent.members.Agents {
 		if !zones[m.Zone] {
 			zones[m.Zone] = true
-			hubs[x.hubAddr(m.Zone)] = true
+			hubs[g.hubAddr(m.Zone)] = true
 		}
 	}
 	return hubs
 }
 
 // receive applies a message and queues what has to be forwarded.
-func (x *gossiper) receive(message *feed.GossipMessage) {
-	a := x.agent
+func (g *gossiper) receive(message *feed.GossipMessage) {
+	a := g.agent
 	if message.From != a.self.Addr { // an agent's own updates are already applied
 		a.applyPushedList(message.List, message.From)
 		for _, batch := range message.Batches {
@@ -311,55 +311,55 @@
 	switch message.Hop {
 	case feed.HopToHub:
 		if message.Loads != nil {
-			table := x.zoneLoads[message.From]
+			table := g.zoneLoads[message.From]
 			table.apply(message.Loads)
-			x.zoneLoads[message.From] = table
+			g.zoneLoads[message.From] = table
 		}
-		x.toOtherHubs.add(message)
-		x.toZone.add(message)
+		g.toOtherHubs.add(message)
+		g.toZone.add(message)
 	case feed.HopHubToHub:
 		if message.Loads != nil {
-			table := x.otherZoneLoads[message.From]
+			table := g.otherZoneLoads[message.From]
 			table.apply(message.Loads)
-			x.otherZoneLoads[message.From] = table
+			g.otherZoneLoads[message.From] = table
 		}
-		x.toZone.add(message)
+		g.toZone.add(message)
 	case feed.HopFromHub:
-		x.relay(message)
+		g.relay(message)
 		if message.Loads != nil {
-			x.applyTotalLoads(message.Loads)
+			g.applyTotalLoads(message.Loads)
 		}
 	}
 }
 
 // applyTotalLoads applies the loads of all agents and notifies the proxy.
-func (x *gossiper) applyTotalLoads(loads *feed.Loads) {
-	x.totalLoads.apply(loads)
-	x.loadsRevision++
-	x.agent.notifyProxy()
+func (g *gossiper) applyTotalLoads(loads *feed.Loads) {
+	g.totalLoads.apply(loads)
+	g.loadsRevision++
+	g.agent.notifyProxy()
 }
 
 // expireLoads drops loads that have not been updated for loadsTTL.
-func (x *gossiper) expireLoads() {
-	for _, tables := range []map[string]loadTable{x.zoneLoads, x.otherZoneLoads} {
+func (g *gossiper) expireLoads() {
+	for _, tables := range []map[string]loadTable{g.zoneLoads, g.otherZoneLoads} {
 		for addr, table := range tables {
 			if time.Since(table.updatedAt) > loadsTTL {
 				delete(tables, addr)
 			}
 		}
 	}
-	if len(x.totalLoads.loads) > 0 && time.Since(x.totalLoads.updatedAt) > loadsTTL {
-		x.totalLoads = loadTable{}
-		x.loadsRevision++
+	if len(g.totalLoads.loads) > 0 && time.Since(g.totalLoads.updatedAt) > loadsTTL {
+		g.totalLoads = loadTable{}
+		g.loadsRevision++
 	}
 }
 
 // remoteLoads returns the loads of all other agents at the listed backends.
-func (x *gossiper) remoteLoads() map[string]dispatch.Load {
-	remote := make(map[string]dispatch.Load, len(x.totalLoads.loads))
-	for _, backend := range x.agent.backends {
+func (g *gossiper) remoteLoads() map[string]dispatch.Load {
+	remote := make(map[string]dispatch.Load, len(g.totalLoads.loads))
+	for _, backend := range g.agent.backends {
 		key := feed.BackendKeyOf(backend.ID)
-		if load := x.totalLoads.loads[key].Sub(x.localLoads.loads[key]); load != (dispatch.Load{}) {
+		if load := g.totalLoads.loads[key].Sub(g.localLoads.loads[key]); load != (dispatch.Load{}) {
 			remote[backend.ID] = load
 		}
 	}
--- a/internal/agent/gossip_test.go
+++ b/internal/agent/gossip_test.go
@@ -15,7 +15,8 @@
 	"nettlefold/internal/settings/local"
 )
 
-// fleetOf makes agents of several zones that know each other. Nothing of them runs: news is handed over by the test.
+// newAgents returns agents in several zones that know each other. They don't run: the test delivers
+// their messages.
 func newAgents(zones, each int) []*Agent {
 	var agents []*Agent
 	set := &distribute.MemberSet{Digest: 1}
@@ -32,23 +33,24 @@
 	return agents
 }
 
-// link hands over what an exchange would send: the same three hops as its flush, without sockets.
+// exchangeGossip delivers, without sockets, what flushes send over the three hops. It returns the
+// number of messages.
 func exchangeGossip(agents []*Agent) (messages int) {
 	byAddr := map[string]*Agent{}
 	for _, a := range agents {
 		byAddr[a.self.Addr] = a
 	}
-	deliver := func(to []string, n *feed.GossipMessage) int {
+	deliver := func(to []string, message *feed.GossipMessage) int {
 		for _, addr := range to {
 			messages++
-			byAddr[addr].gossip.receive(n)
+			byAddr[addr].gossip.receive(message)
 		}
 		return 0
 	}
 	for _, a := range agents {
 		a.gossip.send = deliver
 	}
-	for range 3 { // up, across, down
+	for range 3 { // to the hub, between hubs, from the hub
 		for _, a := range agents {
 			a.gossip.flush()
 		}
@@ -56,6 +58,8 @@
 	return messages
 }
 
+// TestGossipReachesEveryAgentOnce checks that an update reaches every agent, and that loads are not
+// counted twice.
 func TestGossipReachesEveryAgentOnce(t *testing.T) {
 	agents := newAgents(3, 4)
 	first := agents[0]
@@ -69,8 +73,8 @@
 	exchangeGossip(agents)
 	sum := len(agents) * (len(agents) + 1) / 2
 	for i, a := range agents {
-		require.Equal(t, 1, a.index.PartCount(), a.self.Addr)
-		require.Equal(t, sum-(i+1), a.gossip.remoteLoads()["b"].Running, "what all others have, by %s", a.self.Addr)
+		require.Equal(t, 1, a.index.PartCount(), "cached parts in the index of %s", a.self.Addr)
+		require.Equal(t, sum-(i+1), a.gossip.remoteLoads()["b"].Running, "running requests of all other agents, as known by %s", a.self.Addr)
 		if a != first {
 			require.Equal(t, dispatch.PhaseLoading, a.phases["b"].Name)
 			require.Equal(t, first.backends, a.backends)
@@ -78,19 +82,21 @@
 	}
 }
 
-// TestMessagesGrowWithAgentsNotPairs holds the exchange to what it is for.
+// TestGossipMessagesGrowLinearly checks that the number of messages grows with the number of
+// agents, not with that of their pairs.
 func TestGossipMessagesGrowLinearly(t *testing.T) {
-	count := func(each int) int {
-		agents := newAgents(4, each)
+	count := func(agentsPerZone int) int {
+		agents := newAgents(4, agentsPerZone)
 		for i, a := range agents {
 			a.localLoads = map[string]dispatch.Load{"b": {Running: i + 1}}
 		}
 		return exchangeGossip(agents)
 	}
-	few, many := count(4), count(16)
-	require.Less(t, many, 6*few, "four times the agents: %d, then %d messages", few, many)
+	small, large := count(4), count(16)
+	require.Less(t, large, 6*small, "messages per round: %d, and %d with four times the agents", small, large)
 }
 
+// TestRemovedLoadPropagates checks that a load that is gone is removed at agents of other zones.
 func TestRemovedLoadPropagates(t *testing.T) {
 	agents := newAgents(2, 2)
 	for _, a := range agents {
@@ -104,14 +110,16 @@
 	require.Empty(t, agents[3].gossip.remoteLoads())
 }
 
+// TestBatchGapRequestsResync checks that a gap between batches requests the backend's whole index.
 func TestBatchGapRequestsResync(t *testing.T) {
 	agents := newAgents(1, 2)
 	a := agents[1]
 	a.applyBatch(&kvindex.Batch{Backend: "b", From: kvindex.Cursor{Epoch: 1, Next: 9}, To: kvindex.Cursor{Epoch: 1, Next: 12}}, "10.0.0.99:1")
-	require.True(t, a.resync.pending["b"], "the whole is fetched")
+	require.True(t, a.resync.pending["b"], "a resync of the backend must be pending")
 }
 
-// TestNewsComesLessOftenInALargeZone: a hub's messages a second stay bounded as its zone grows; other zones cost it nothing.
+// TestGossipIntervalByZoneSize checks that a hub's messages per second stay bounded as its zone
+// grows, and that other zones don't matter.
 func TestGossipIntervalByZoneSize(t *testing.T) {
 	for _, c := range []struct {
 		zones, each int
@@ -125,19 +133,20 @@
 		a := newAgents(c.zones, c.each)[0]
 		now := time.Now()
 		a.gossip.flushedAt = now.Add(-c.after)
-		require.Equal(t, c.due, a.gossip.due(now), "%d zones of %d members, %v", c.zones, c.each, c.after)
-		require.LessOrEqual(t, float64(c.each)/a.gossip.interval().Seconds(), float64(hubMessagesPerSecond)*1.01, "messages a second of a hub")
+		require.Equal(t, c.due, a.gossip.due(now), "due with %d zones of %d agents, %v after the last flush", c.zones, c.each, c.after)
+		require.LessOrEqual(t, float64(c.each)/a.gossip.interval().Seconds(), float64(hubMessagesPerSecond)*1.01, "messages per second of a hub")
 	}
 }
 
-// TestNewsLeavesTheLinkToOthers: what a hub told last is paid for by a share of its machine's link before it tells more, for a bounded time.
+// TestGossipIntervalByLinkUse checks that the interval gives the link time to carry the last flush
+// at gossipLinkShare, within bounds.
 func TestGossipIntervalByLinkUse(t *testing.T) {
 	for _, c := range []struct {
 		mbps     float64
-		told     int
+		bytes    int
 		interval time.Duration
 	}{
-		{0, 1 << 20, flushInterval}, // not stated
+		{0, 1 << 20, flushInterval}, // unknown link rate
 		{1000, 30_000, flushInterval},
 		{10, 0, flushInterval},
 		{10, 18_000, flushInterval},
@@ -145,22 +154,22 @@
 		{10, 1 << 20, maxFlushInterval},
 	} {
 		a := newAgents(4, 18)[0]
-		a.settings.LinkMbps, a.gossip.zoneBytes = c.mbps, c.told
-		require.InDelta(t, c.interval, a.gossip.interval(), float64(time.Millisecond), "%v Mbit/s, %d bytes", c.mbps, c.told)
+		a.settings.LinkMbps, a.gossip.zoneBytes = c.mbps, c.bytes
+		require.InDelta(t, c.interval, a.gossip.interval(), float64(time.Millisecond), "interval at %v Mbit/s with %d bytes in the last flush", c.mbps, c.bytes)
 	}
 }
 
-// TestAHubCountsWhatItTells: the bytes of one flush, to all agents of its zone.
+// TestHubCountsZoneBytes checks that a hub counts the bytes of one flush to all agents of its zone.
 func TestHubCountsZoneBytes(t *testing.T) {
 	agents := newAgents(1, 5)
 	for _, a := range agents {
 		a.localLoads = map[string]dispatch.Load{"b": {Running: 1}}
 	}
 	for _, a := range agents {
-		told := 0
+		bytes := 0
 		a.gossip.send = func(to []string, _ *feed.GossipMessage) int {
-			told = 100 * len(to)
-			return told
+			bytes = 100 * len(to)
+			return bytes
 		}
 		a.gossip.flush()
 		if a.gossip.hubAddr("z0") == a.self.Addr {
@@ -171,8 +180,9 @@
 	}
 }
 
-// TestLoadsDoNotWaitForKeptPrompts: as a hub, an agent tells loads at each flush and holds changes of kept prompts back until what it told of
-// them last is paid for by their share of the link. Nothing of them is lost meanwhile.
+// TestLoadsNotDelayedByIndexBatches checks that a hub sends loads at each flush, and index batches
+// only when the link has had time for the last ones at bulkLinkShare. No batch may be lost
+// meanwhile.
 func TestLoadsNotDelayedByIndexBatches(t *testing.T) {
 	agents := newAgents(1, 3)
 	var hub *Agent
@@ -183,17 +193,17 @@
 	}
 	hub.settings.LinkMbps = 10
 	var loads, batches int
-	hub.gossip.send = func(to []string, n *feed.GossipMessage) int {
+	hub.gossip.send = func(to []string, message *feed.GossipMessage) int {
 		if len(to) == 0 {
 			return 0 // there are no other zones
 		}
-		if n.Loads != nil {
+		if message.Loads != nil {
 			loads++
 		}
-		batches += len(n.Batches)
-		if len(n.Batches) > 0 {
-			require.Nil(t, n.Loads, "in a message of their own")
-			return 93_750 // half a second of the share
+		batches += len(message.Batches)
+		if len(message.Batches) > 0 {
+			require.Nil(t, message.Loads, "index batches must be sent in a message without loads")
+			return 93_750 // half a second at bulkLinkShare
 		}
 		return 0
 	}
@@ -203,7 +213,7 @@
 		hub.gossip.flush()
 	}
 	require.Equal(t, 3, loads)
-	require.Equal(t, 1, batches, "the first at once, the others wait")
+	require.Equal(t, 1, batches, "the first batch is sent at once, the others wait")
 	require.False(t, hub.gossip.bulkDue(hub.gossip.bulkAt.Add(490*time.Millisecond)))
 	require.True(t, hub.gossip.bulkDue(hub.gossip.bulkAt.Add(500*time.Millisecond)))
 	hub.gossip.bulkAt = hub.gossip.bulkAt.Add(-time.Second)
--- a/internal/agent/httpclient_test.go
+++ b/internal/agent/httpclient_test.go
@@ -22,15 +22,16 @@
 	"nettlefold/internal/settings/local"
 )
 
-// TestOrdersAreNotSentOn: a backend's answer cannot send an order elsewhere, and one whose connection ends without an answer is not sent again.
+// TestHTTPClientNeitherRedirectsNorRetries checks that a backend's response can't redirect a load
+// order, and that an order whose connection ends without a response isn't sent again.
 func TestHTTPClientNeitherRedirectsNorRetries(t *testing.T) {
-	var elsewhere, here atomic.Int64
-	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
+	var redirected, received atomic.Int64
+	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { redirected.Add(1) }))
 	defer other.Close()
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch here.Add(1) {
+		switch received.Add(1) {
 		case 1:
-			w.WriteHeader(http.StatusOK) // so that the connection is kept
+			w.WriteHeader(http.StatusOK) // so that the connection is reused
 		case 2:
 			w.Header().Set("Location", other.URL)
 			w.WriteHeader(http.StatusTemporaryRedirect)
@@ -43,28 +44,28 @@
 	for i := range 3 {
 		request, err := http.NewRequest(http.MethodPost, backend.URL+"/v1/order", strings.NewReader("{}"))
 		require.NoError(t, err)
-		answer, err := web.Do(request)
+		response, err := web.Do(request)
 		if i == 2 {
 			require.Error(t, err)
 			continue
 		}
 		require.NoError(t, err)
-		answer.Body.Close()
+		response.Body.Close()
 	}
-	require.Equal(t, int64(3), here.Load())
-	require.Zero(t, elsewhere.Load())
+	require.Equal(t, int64(3), received.Load(), "requests received by the backend")
+	require.Zero(t, redirected.Load(), "redirected requests")
 }
 
-// cutPoint is where a stand-in backend's connection breaks, and what the agent makes of it.
+// connectionFault is a behaviour of a backend's connection and its expected result.
 type connectionFault struct {
 	name         string
 	serve        func(conn net.Conn, giveUp func())
-	wantArrival  bool // the order is there, whole
-	wantAccepted bool // the agent takes it for taken
+	wantArrival  bool // the complete order arrives
+	wantAccepted bool // the agent considers the order accepted
 }
 
-// readOrder reads one request, its body too.
-func readOrder(conn net.Conn) (whole bool) {
+// readOrder reads one request with its body, and reports whether it is complete.
+func readOrder(conn net.Conn) (complete bool) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return false
@@ -73,84 +74,88 @@
 	return err == nil
 }
 
-func respondWith(answer string) func(net.Conn, func()) {
-	return func(conn net.Conn, _ func()) { io.WriteString(conn, answer) }
+// respondWith returns a serve function that writes a raw response.
+func respondWith(response string) func(net.Conn, func()) {
+	return func(conn net.Conn, _ func()) { io.WriteString(conn, response) }
 }
 
-// cutPoints has every point of an order's way at which its connection may end, be silent, or bring something else.
+// connectionFaults covers each point at which the connection of a load order may end, stall, or
+// bring another response.
 var connectionFaults = []connectionFault{
-	{"closed before anything is read", nil, false, false},
+	{"closed before the order is read", nil, false, false},
 	{"closed after the order", func(net.Conn, func()) {}, true, false},
 	{"reset after the order", func(conn net.Conn, _ func()) { conn.(*net.TCPConn).SetLinger(0) }, true, false},
 	{"silent after the order", func(_ net.Conn, giveUp func()) { giveUp() }, true, false},
-	{"half a head", respondWith("HTTP/1.1 20"), true, false},
-	{"no answer in HTTP", respondWith("hello\r\n\r\n"), true, false},
-	{"an informational answer alone", respondWith("HTTP/1.1 103 Early Hints\r\n\r\n"), true, false},
-	{"half a body of a refusal", respondWith("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 9\r\n\r\nlow"), true, false},
-	{"taken, its body cut", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nok"), true, true},
-	{"taken", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
-	{"holds already", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), true, true},
-	{"another is under way", respondWith("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), true, true},
-	{"a lower fence than was seen", respondWith("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n"), true, false},
+	{"partial response header", respondWith("HTTP/1.1 20"), true, false},
+	{"response is not HTTP", respondWith("hello\r\n\r\n"), true, false},
+	{"only an informational response", respondWith("HTTP/1.1 103 Early Hints\r\n\r\n"), true, false},
+	{"partial body of a rejection", respondWith("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 9\r\n\r\nlow"), true, false},
+	{"accepted, partial body", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nok"), true, true},
+	{"accepted", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"has the version already", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"another order in progress", respondWith("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"fencing token too low", respondWith("HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n"), true, false},
 	{"another instance", respondWith("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"), true, false},
-	{"two answers", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
+	{"two responses", respondWith("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"), true, true},
 }
 
-// TestOrdersThroughEveryPointOfACut: whatever becomes of its connection, an order is sent once, on a fresh connection and on a kept one, and is
-// taken for taken only where the backend said so. The verdict is the count of orders that arrived.
+// TestSendOrderConnectionFaults checks that whatever happens to its connection, new or reused, an
+// order is sent once and is considered accepted only if the backend said so. The number of received
+// orders decides.
 func TestSendOrderConnectionFaults(t *testing.T) {
-	for _, point := range connectionFaults {
-		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, kept %v", point.name, kept), func(t *testing.T) { testSendOrderFault(t, point, kept) })
+	for _, fault := range connectionFaults {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, reused %v", fault.name, reused), func(t *testing.T) { testSendOrderFault(t, fault, reused) })
 		}
 	}
 }
 
-func testSendOrderFault(t *testing.T, point connectionFault, kept bool) {
+func testSendOrderFault(t *testing.T, fault connectionFault, reused bool) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	ctx, giveUp := context.WithCancel(t.Context())
 	defer giveUp()
-	var arrived atomic.Int64
+	var received atomic.Int64
 	go func() {
 		for first := true; ; first = false {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			if kept && first {
+			if reused && first {
 				readOrder(conn)
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
-			if point.serve != nil && readOrder(conn) {
-				arrived.Add(1)
-				point.serve(conn, giveUp)
+			if fault.serve != nil && readOrder(conn) {
+				received.Add(1)
+				fault.serve(conn, giveUp)
 			}
-			if point.name == "silent after the order" {
-				io.Copy(io.Discard, conn) // until the other side gives up
+			if fault.name == "silent after the order" {
+				io.Copy(io.Discard, conn) // until the agent closes the connection
 			}
 			conn.Close()
 		}
 	}()
 	a := New(&local.Settings{NodeName: "f", IP: "10.0.0.1", FirstPort: 7340}, zerolog.Nop())
-	held := &lease{state: leases.New(leases.Timing{HoldFor: time.Hour, MinSeparation: time.Second, MaxTransit: time.Second}, 0)}
-	require.True(t, held.renew(leases.Renewal{ReceivedAt: a.now(), FencingToken: 7}))
-	r := &rollout{agent: a, model: "m", lease: held}
+	rolloutLease := &lease{state: leases.New(leases.Timing{HoldFor: time.Hour, MinSeparation: time.Second, MaxTransit: time.Second}, 0)}
+	require.True(t, rolloutLease.renew(leases.Renewal{ReceivedAt: a.now(), FencingToken: 7}))
+	r := &rollout{agent: a, model: "m", lease: rolloutLease}
 	backend := dispatch.BackendInfo{ID: "i-1", Addr: listener.Addr().String()}
-	if kept {
+	if reused {
 		require.NoError(t, r.sendOrder(ctx, backend, 2))
 	}
 	err = r.sendOrder(ctx, backend, 2)
-	require.Equal(t, point.wantAccepted, err == nil, "%v", err)
+	require.Equal(t, fault.wantAccepted, err == nil, "order accepted: got error %v", err)
 	want := int64(0)
-	if point.wantArrival {
+	if fault.wantArrival {
 		want = 1
 	}
-	require.Equal(t, want, arrived.Load())
+	require.Equal(t, want, received.Load(), "received orders")
 }
 
-// TestAnOrderThatIsGivenUpIsReset: what was not delivered of it is lost, it does not arrive when a cut heals.
+// TestCanceledRequestResetsConnection checks that undelivered data of a canceled order is
+// discarded, and can't arrive after a network partition has healed.
 func TestCanceledRequestResetsConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -47,11 +47,11 @@
 }
 
 // renew applies a renewal and reports whether the lease accepted it.
-func (l *lease) renew(c leases.Renewal) bool {
+func (l *lease) renew(renewal leases.Renewal) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.HadPredecessor = l.hadPredecessor
-	return l.state.Renew(c)
+	renewal.HadPredecessor = l.hadPredecessor
+	return l.state.Renew(renewal)
 }
 
 // rolloutLeaseTiming returns the timing of rollout leases. Engines that reject lower fencing tokens
--- a/internal/agent/list_fleet_test.go
+++ b/internal/agent/list_fleet_test.go
@@ -8,45 +8,49 @@
 )
 
 const (
-	// drainBound is how long after the platform's list showed it a backend that leaves may still get requests.
+	// maxDrainDelay is how long a draining backend may still get requests after the platform's list
+	// shows it as draining.
 	maxDrainDelay = 4 * time.Second
-	// startBound is when every agent of a fleet that has just started has a list.
+	// fleetStartTime is the time until every agent of a new fleet has a list.
 	fleetStartTime = 6 * time.Second
 
-	// joinBound is when an agent that joins a running fleet has a list.
+	// joinTime is the time until an agent that joins a running fleet has a list.
 	joinTime = 500 * time.Millisecond
 
 	largeZoneCount, largeZoneAgents = 6, 25
-	// largeRate leaves every agent two readings of the list in ten seconds, as the deployments have it for theirs.
+	// platformCallsPerSecond allows each agent two list reads in ten seconds, as deployments do.
 	platformCallsPerSecond = 760
 )
 
-// TestAFleetThatStartsLeavesThePlatformItsRate: all agents that start at once read the list for themselves, and the owner's reading was
-// refused among theirs.
+// TestFleetStartWithinPlatformRate guards against a fault at the start of a fleet: all agents read
+// the list at once, and the list reader's calls were rejected among theirs.
 func TestFleetStartWithinPlatformRate(t *testing.T) {
 	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
 		time.Sleep(fleetStartTime)
 		oldest := f.maxListAge(4 * time.Second)
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiestSecond(0), f.platform.refused)
-		require.Less(t, oldest, maxDrainDelay)
-		require.Zero(t, f.platform.refused)
-		require.Less(t, f.platform.busiestSecond(0), platformCallsPerSecond/2)
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(0), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Zero(t, f.platform.rejected, "rejected platform calls")
+		require.Less(t, f.platform.busiestSecond(0), platformCallsPerSecond/2, "calls in the busiest second")
 	})
 }
 
-// TestTheListsOwnerIsLost: the others all read for themselves, at a rate above the platform's, and the next owner was refused among them.
+// TestListReaderCrash guards against a fault after a crash of the list reader: all other agents
+// read the list at more than the platform's rate, and the next reader's calls were rejected among
+// theirs.
 func TestListReaderCrash(t *testing.T) {
 	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
 		time.Sleep(fleetStartTime)
 		f.crash(f.listReader())
 		oldest := f.maxListAge(8 * time.Second)
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.refused)
-		require.Less(t, oldest, maxDrainDelay)
-		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/2)
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/2, "calls in the busiest second")
 	})
 }
 
-// TestTwoHubsOfAZoneAreLost: its agents heard nothing until the members were told, and read for themselves.
+// TestSuccessiveHubCrashes guards against a fault after two crashes of a zone's hub: the zone's
+// agents received nothing until the members were updated, and each read the list itself.
 func TestSuccessiveHubCrashes(t *testing.T) {
 	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
 		time.Sleep(fleetStartTime)
@@ -54,13 +58,14 @@
 		oldest := f.maxListAge(memberRemovalDelay + 500*time.Millisecond)
 		f.crash(f.hub("z1"))
 		oldest = max(oldest, f.maxListAge(8*time.Second))
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.refused)
-		require.Less(t, oldest, maxDrainDelay)
-		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/4)
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/4, "calls in the busiest second")
 	})
 }
 
-// TestThePlatformIsBack: after an outage the list is known to all again within the bound, though each had lacked it.
+// TestPlatformOutageRecovery checks that after a platform outage all agents have a current list
+// within maxDrainDelay, although each had an outdated one.
 func TestPlatformOutageRecovery(t *testing.T) {
 	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
 		time.Sleep(fleetStartTime)
@@ -69,20 +74,21 @@
 		f.platform.setDown(false)
 		time.Sleep(maxDrainDelay)
 		oldest := f.maxListAge(4 * time.Second)
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.refused)
-		require.Less(t, oldest, maxDrainDelay)
-		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/2)
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/2, "calls in the busiest second")
 	})
 }
 
-// TestAnAgentThatJoinsBecomesTheOwner: its readings must not be numbered below those that all others know.
+// TestJoiningAgentBecomesListReader checks that the lists read by a joining agent are not ignored.
+// Its revisions must not start below those that the other agents know.
 func TestJoiningAgentBecomesListReader(t *testing.T) {
 	runFleet(t, 3, 12, platformCallsPerSecond, func(f *fleet) {
 		time.Sleep(fleetStartTime)
 		f.run(f.addOwner("z1", "127.1.0.100"))
 		time.Sleep(joinTime)
 		oldest := f.maxListAge(3 * time.Second)
-		t.Logf("oldest list %v", oldest)
-		require.Less(t, oldest, successorReadAge)
+		t.Logf("oldest list %v old", oldest)
+		require.Less(t, oldest, successorReadAge, "age of the oldest list")
 	})
 }
--- a/internal/agent/listread_test.go
+++ b/internal/agent/listread_test.go
@@ -11,54 +11,58 @@
 	"nettlefold/internal/feed"
 )
 
+// longAgo is longer than any interval of list reads.
 const longAgo = time.Hour
 
-// TestWhoReadsThePlatformsList: its owner steadily, successors one after the other, then hubs, and all others at a pace.
+// TestListReadSuccession checks the list age from which each agent reads: the list reader, its
+// successors one after the other, the hubs, and all other members.
 func TestListReadSuccession(t *testing.T) {
-	large := listReadInputs{rank: successorCount + 1, memberCount: 295, pageCount: 7, platformRate: 1500, sinceLastRead: longAgo}
+	defaults := listReadInputs{rank: successorCount + 1, memberCount: 295, pageCount: 7, platformRate: 1500, sinceLastRead: longAgo}
 	for name, c := range map[string]struct {
-		plan listReadInputs
-		from time.Duration // age from which it reads
+		in   listReadInputs
+		from time.Duration // list age from which the agent reads
 	}{
-		"owner":            {listReadInputs{rank: 0}, 600 * time.Millisecond},
-		"first successor":  {listReadInputs{rank: 1}, 1500 * time.Millisecond},
-		"third successor":  {listReadInputs{rank: 3}, 2300 * time.Millisecond},
-		"hub of a zone":    {listReadInputs{rank: 4, isZoneHub: true}, 2300 * time.Millisecond},
-		"any other, first": {listReadInputs{rank: 4}, 2700 * time.Millisecond},
+		"list reader":     {listReadInputs{rank: 0}, 600 * time.Millisecond},
+		"first successor": {listReadInputs{rank: 1}, 1500 * time.Millisecond},
+		"third successor": {listReadInputs{rank: 3}, 2300 * time.Millisecond},
+		"hub of a zone":   {listReadInputs{rank: 4, isZoneHub: true}, 2300 * time.Millisecond},
+		"other member":    {listReadInputs{rank: 4}, 2700 * time.Millisecond},
 	} {
-		plan := large
-		plan.rank, plan.isZoneHub = c.plan.rank, c.plan.isZoneHub
-		plan.listAge = c.from - time.Millisecond
-		require.False(t, plan.due(0), name)
-		plan.listAge = c.from
-		require.True(t, plan.due(0), name)
-		plan.sinceLastRead = minListReadInterval - time.Millisecond
-		require.False(t, plan.due(0), "%s, tried just now", name)
+		in := defaults
+		in.rank, in.isZoneHub = c.in.rank, c.in.isZoneHub
+		in.listAge = c.from - time.Millisecond
+		require.False(t, in.due(0), name)
+		in.listAge = c.from
+		require.True(t, in.due(0), name)
+		in.sinceLastRead = minListReadInterval - time.Millisecond
+		require.False(t, in.due(0), "%s: due %v after its last read", name, in.sinceLastRead)
 	}
-	require.True(t, listReadInputs{noList: true, rank: 0, memberCount: 1, sinceLastRead: longAgo}.due(0), "an owner without a list")
-	require.False(t, listReadInputs{noList: true, rank: 0, listAge: longAgo, sinceLastRead: longAgo}.due(0), "nobody is known")
+	require.True(t, listReadInputs{noList: true, rank: 0, memberCount: 1, sinceLastRead: longAgo}.due(0), "a list reader without a list must be due")
+	require.False(t, listReadInputs{noList: true, rank: 0, listAge: longAgo, sinceLastRead: longAgo}.due(0), "an agent without known members must not be due")
 }
 
-// TestMembersReadWithinTheirShare: all of them together, whatever their number and the list's length.
+// TestMemberReadsWithinRateShare checks that all members together stay within memberRateShare,
+// whatever their number and the list's length.
 func TestMemberReadsWithinRateShare(t *testing.T) {
 	for _, c := range []struct {
 		members, pages int
 		perSecond      float64
 	}{{8, 1, 44}, {72, 3, 250}, {295, 7, 1500}, {355, 7, 1500}, {1000, 20, 1500}} {
-		plan := listReadInputs{rank: successorCount + 1, memberCount: c.members, pageCount: c.pages, platformRate: c.perSecond, listAge: longAgo, sinceLastRead: longAgo}
+		in := listReadInputs{rank: successorCount + 1, memberCount: c.members, pageCount: c.pages, platformRate: c.perSecond, listAge: longAgo, sinceLastRead: longAgo}
 		random, reads := rand.New(rand.NewPCG(1, 1)), 0
 		const ticks = 400
 		for range ticks * c.members {
-			if plan.due(random.Float64()) {
+			if in.due(random.Float64()) {
 				reads++
 			}
 		}
 		calls := float64(reads*c.pages) / (ticks * tickInterval.Seconds())
-		require.LessOrEqual(t, calls, 1.2*memberRateShare*c.perSecond, "%+v", c)
+		require.LessOrEqual(t, calls, 1.2*memberRateShare*c.perSecond, "platform calls per second of %+v", c)
 	}
 }
 
-// TestChangesThatWereMissedAreAskedFor: and come as changes, not whole, from one that still has them.
+// TestMissedListChangesAreRequested checks that an agent that missed a list change requests it, and
+// gets a delta from a peer that still has it in its history.
 func TestMissedListChangesAreRequested(t *testing.T) {
 	agents := newAgents(1, 2)
 	reader, other := agents[0], agents[1]
@@ -75,16 +79,17 @@
 	require.Len(t, other.backends, 2)
 	require.Equal(t, reader.self.Addr, other.listSync.missingFrom)
 	require.Equal(t, reader.self.Addr, other.nextListPeer())
-	news := reader.listUpdateSince(other.listSync.digest)
-	require.False(t, news.Full)
-	other.applyListUpdate(news, reader.self.Addr)
+	update := reader.listUpdateSince(other.listSync.digest)
+	require.False(t, update.Full)
+	other.applyListUpdate(update, reader.self.Addr)
 	require.ElementsMatch(t, list, other.backends)
 	require.Equal(t, reader.listSync.digest, other.listSync.digest)
 	require.Empty(t, other.listSync.missingFrom)
-	require.True(t, reader.listUpdateSince(12345).Full, "a list that nobody here knows")
+	require.True(t, reader.listUpdateSince(12345).Full, "an unknown list must be answered with the full list")
 }
 
-// TestAnOlderReadingIsNotTaken: news that waited on its way, as at a hub that stood still, does not undo what came by another.
+// TestOlderListRevisionIgnored checks that an update that was delayed, such as at a hub that was
+// paused, doesn't replace a newer list that came another way.
 func TestOlderListRevisionIgnored(t *testing.T) {
 	agents := newAgents(1, 2)
 	reader, other := agents[0], agents[1]
--- a/internal/agent/listrevisions_test.go
+++ b/internal/agent/listrevisions_test.go
@@ -15,25 +15,25 @@
 	"nettlefold/internal/feed"
 )
 
-// proxyList is what a proxy makes of the lists it is told.
+// proxyList is a proxy's state from the lists that it received.
 type proxyList struct {
 	revision uint64
 	backends map[string]dispatch.BackendInfo
 	phases   map[string]string
 }
 
-// take applies a list as the proxy does.
+// apply applies a list as the proxy does.
 func (p *proxyList) apply(t *testing.T, list *feed.List) {
 	if list.BaseRevision == 0 {
 		p.backends, p.phases = map[string]dispatch.BackendInfo{}, map[string]string{}
 	} else {
 		require.Equal(t, p.revision, list.BaseRevision)
 	}
-	for _, l := range list.Backends {
-		p.backends[l.ID] = l
-		delete(p.phases, l.ID)
-		if phase := list.Phases[l.ID]; phase != "" {
-			p.phases[l.ID] = phase
+	for _, backend := range list.Backends {
+		p.backends[backend.ID] = backend
+		delete(p.phases, backend.ID)
+		if phase := list.Phases[backend.ID]; phase != "" {
+			p.phases[backend.ID] = phase
 		}
 	}
 	for _, id := range list.Removed {
@@ -43,7 +43,7 @@
 	p.revision = list.Revision
 }
 
-// randomChange changes the agent's list or phases in some way.
+// randomListChange changes the agent's list or phases at random.
 func randomListChange(a *Agent, random *rand.Rand, round int) {
 	id := func() string { return fmt.Sprint("i-", random.IntN(40)) }
 	switch random.IntN(5) {
@@ -52,9 +52,9 @@
 	case 1:
 		a.applyPhases(map[string]feed.Phase{id(): {Model: "m", Version: int64(round), Seq: uint64(round)}})
 	case 2:
-		for known, p := range a.phases {
-			p.receivedAt = time.Now().Add(-time.Minute)
-			a.phases[known] = p
+		for known, phase := range a.phases {
+			phase.receivedAt = time.Now().Add(-time.Minute)
+			a.phases[known] = phase
 			break
 		}
 		a.expirePhases()
@@ -62,21 +62,22 @@
 		list := slices.Clone(a.backends)
 		for range 1 + random.IntN(4) {
 			entry := dispatch.BackendInfo{ID: id(), Draining: random.IntN(2) == 0, Versions: map[string]int64{"m": int64(random.IntN(3))}}
-			at := slices.IndexFunc(list, func(l dispatch.BackendInfo) bool { return l.ID == entry.ID })
+			index := slices.IndexFunc(list, func(backend dispatch.BackendInfo) bool { return backend.ID == entry.ID })
 			switch {
-			case at < 0:
+			case index < 0:
 				list = append(list, entry)
 			case random.IntN(2) == 0:
-				list[at] = entry
+				list[index] = entry
 			default:
-				list = slices.Delete(list, at, at+1)
+				list = slices.Delete(list, index, index+1)
 			}
 		}
 		a.publishList(time.Now(), list)
 	}
 }
 
-// TestAProxyComesToHaveTheListByItsChanges: whatever changed, and whichever replies were lost.
+// TestListDeltasConverge checks that a proxy has its agent's list after any changes and any lost
+// replies.
 func TestListDeltasConverge(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -88,17 +89,18 @@
 				continue
 			}
 			proxy.apply(t, a.listSinceRevision(proxy.revision))
-			whole := a.fullList()
-			require.Len(t, proxy.backends, len(whole.Backends))
-			for _, l := range whole.Backends {
-				require.True(t, l.Equal(new(proxy.backends[l.ID])), "seed %d, round %d", seed, round)
+			want := a.fullList()
+			require.Len(t, proxy.backends, len(want.Backends))
+			for _, backend := range want.Backends {
+				require.True(t, backend.Equal(new(proxy.backends[backend.ID])), "seed %d, round %d", seed, round)
 			}
-			require.True(t, maps.Equal(whole.Phases, proxy.phases), "seed %d, round %d: %v, want %v", seed, round, proxy.phases, whole.Phases)
+			require.True(t, maps.Equal(want.Phases, proxy.phases), "seed %d, round %d: %v, want %v", seed, round, proxy.phases, want.Phases)
 		}
 	}
 }
 
-// TestOneChangeIsToldAsOne: each change of one backend, as at each order for new weights, had the proxy read the whole list.
+// TestPhaseChangeSendsSingleEntry guards against a fault during rollouts: each phase change of one
+// backend made the proxy read the whole list.
 func TestPhaseChangeSendsSingleEntry(t *testing.T) {
 	a := newAgents(1, 1)[0]
 	var list []dispatch.BackendInfo
@@ -108,14 +110,14 @@
 	a.publishList(time.Now(), list)
 	request := &feed.Request{AgentID: a.self.ID, ListRevision: a.fullList().Revision}
 	a.applyPhases(map[string]feed.Phase{"i-7": {Name: dispatch.PhaseLoading}})
-	reply, fresh := a.feedReply(0, request)
-	require.True(t, fresh)
+	reply, isNew := a.feedReply(0, request)
+	require.True(t, isNew)
 	require.Len(t, reply.List.Backends, 1)
 	require.Equal(t, dispatch.PhaseLoading, reply.List.Phases["i-7"])
-	whole, err := cbor.Marshal(a.fullList())
+	full, err := cbor.Marshal(a.fullList())
 	require.NoError(t, err)
-	told, err := cbor.Marshal(reply.List)
+	delta, err := cbor.Marshal(reply.List)
 	require.NoError(t, err)
-	t.Logf("%d bytes whole, %d told", len(whole), len(told))
-	require.Less(t, len(told), len(whole)/50)
+	t.Logf("full list %d bytes, delta %d bytes", len(full), len(delta))
+	require.Less(t, len(delta), len(full)/50)
 }
--- a/internal/agent/listsync.go
+++ b/internal/agent/listsync.go
@@ -104,8 +104,8 @@
 		return
 	}
 	a.listSync.history = append(a.listSync.history, update)
-	if over := len(a.listSync.history) - listHistoryLength; over > 0 {
-		a.listSync.history = slices.Delete(a.listSync.history, 0, over)
+	if excess := len(a.listSync.history) - listHistoryLength; excess > 0 {
+		a.listSync.history = slices.Delete(a.listSync.history, 0, excess)
 	}
 	changed := slices.Clone(update.Removed)
 	for i := range update.Changed {
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -10,23 +10,24 @@
 	"nettlefold/internal/metrics"
 )
 
-// TestFiguresOfAnAgent: what it has and how old that is; nothing is told of the age of what never was.
+// TestAgentMetrics checks the agent's metrics, and that the age of something that never happened is
+// absent.
 func TestAgentMetrics(t *testing.T) {
 	a := newAgents(2, 3)[0]
 	set := metrics.NewSet()
 	a.addMetrics(set)
-	_, there := set.Value("agent_in_touch_age_seconds")
-	require.False(t, there)
+	_, ok := set.Value("agent_in_touch_age_seconds")
+	require.False(t, ok)
 	a.snapshot, a.appliedSeq = &distribute.Snapshot{Seq: 9}, 7
 	a.lastQuorumContact = a.now() - time.Minute
 	set = metrics.NewSet()
 	a.addMetrics(set)
 	for name, want := range map[string]float64{"agent_snapshot_seq": 9, "agent_applied_seq": 7, "agent_members": 6, "agent_news_interval_seconds": 0.06} {
-		got, there := set.Value(name)
-		require.True(t, there, name)
+		got, ok := set.Value(name)
+		require.True(t, ok, name)
 		require.Equal(t, want, got, name)
 	}
-	age, there := set.Value("agent_in_touch_age_seconds")
-	require.True(t, there)
+	age, ok := set.Value("agent_in_touch_age_seconds")
+	require.True(t, ok)
 	require.GreaterOrEqual(t, age, 60.0)
 }
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -14,15 +14,15 @@
 
 // sendToZone sends a message to the agents of this hub's zone and returns the bytes that this
 // machine sent.
-func (x *gossiper) sendToZone(message *feed.GossipMessage) (bytes int) {
-	peers := x.zonePeers()
+func (g *gossiper) sendToZone(message *feed.GossipMessage) (bytes int) {
+	peers := g.zonePeers()
 	if len(peers) <= maxDirectPeers {
-		return x.send(peers, message)
+		return g.send(peers, message)
 	}
 	for _, group := range relayGroups(peers) {
 		relayed := *message
 		relayed.RelayTo = group[1:]
-		bytes += x.send(group[:1], &relayed)
+		bytes += g.send(group[:1], &relayed)
 	}
 	return bytes
 }
@@ -35,11 +35,11 @@
 }
 
 // relay forwards a hub's message to the group that it names.
-func (x *gossiper) relay(message *feed.GossipMessage) {
+func (g *gossiper) relay(message *feed.GossipMessage) {
 	if len(message.RelayTo) == 0 {
 		return
 	}
 	relayed := *message
 	relayed.RelayTo = nil
-	x.send(message.RelayTo, &relayed)
+	g.send(message.RelayTo, &relayed)
 }
--- a/internal/agent/relay_test.go
+++ b/internal/agent/relay_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"testing"
 	"time"
 
@@ -12,14 +11,16 @@
 )
 
 const (
-	// largeZone is the agents of a zone of the largest deployment, and busyParts what each of its backends reads anew between two pages.
+	// largestZoneAgents is the number of agents in a zone of the largest deployment.
+	// busyEventsPerPage is the number of parts that each of its backends caches between two event
+	// pages.
 	largestZoneAgents = 55
 	busyEventsPerPage = 8
-	// newsMost is the share of a machine's link that all news together may take.
+	// maxGossipLinkShare is the share of a machine's link that all gossip together may use.
 	maxGossipLinkShare = 0.6
 )
 
-// sentBytes is what each agent sent of news.
+// gossipBytesSent returns the gossip bytes that each agent has sent.
 func (f *fleet) gossipBytesSent() map[*Agent]uint64 {
 	sent := map[*Agent]uint64{}
 	for _, a := range f.agents {
@@ -28,8 +29,9 @@
 	return sent
 }
 
-// TestAHubsLinkCarriesTheNewsOfItsZone: a hub sent each piece of news to every agent of its zone, more than its link carries, and news of
-// backends that leave waited behind the rest.
+// TestHubGossipWithinLinkShare guards against a fault in large zones: a hub sent each message to
+// every agent of its zone, more than its link carries, and updates of draining backends waited
+// behind the rest.
 func TestHubGossipWithinLinkShare(t *testing.T) {
 	runFleet(t, 1, largestZoneAgents, platformCallsPerSecond, func(f *fleet) {
 		f.platform.prefixCaches, f.platform.eventsPerPage = true, busyEventsPerPage
@@ -37,18 +39,19 @@
 		before := f.gossipBytesSent()
 		const span = 3 * time.Second
 		time.Sleep(span)
-		most := 0.0
+		maxRate := 0.0
 		for a, sent := range f.gossipBytesSent() {
-			most = max(most, float64(sent-before[a])/span.Seconds())
+			maxRate = max(maxRate, float64(sent-before[a])/span.Seconds())
 		}
 		link := f.agents[0].settings.LinkMbps * 1e6 / 8
-		t.Logf("an agent sends up to %.0f bytes a second, its link carries %.0f", most, link)
-		require.Less(t, most, maxGossipLinkShare*link)
-		require.Zero(t, f.laggingAgents(busyEventsPerPage))
+		t.Logf("maximum of one agent %.0f bytes/s, link %.0f bytes/s", maxRate, link)
+		require.Less(t, maxRate, maxGossipLinkShare*link, "bytes per second of one agent")
+		require.Zero(t, f.laggingAgents(busyEventsPerPage), "agents with an incomplete index")
 	})
 }
 
-// TestRelayGroupsAreEveryAgentOnce: and the hub's messages and a relay's stay near the root of their number.
+// TestRelayGroupsReachEveryAgentOnce checks that a message reaches every agent once, and that the
+// messages of the hub and of each relay stay near the square root of the number of agents.
 func TestRelayGroupsReachEveryAgentOnce(t *testing.T) {
 	for _, n := range []int{13, 54, 64, 332} {
 		agents := newAgents(1, n+1)
@@ -58,26 +61,26 @@
 				hub = a
 			}
 		}
-		told, most := map[string]int{}, 0
+		received, maxSent := map[string]int{}, 0
 		byAddr := map[string]*Agent{}
 		for _, a := range agents {
 			byAddr[a.self.Addr] = a
 			sent := 0
-			a.gossip.send = func(to []string, news *feed.GossipMessage) int {
+			a.gossip.send = func(to []string, message *feed.GossipMessage) int {
 				sent += len(to)
-				most = max(most, sent)
+				maxSent = max(maxSent, sent)
 				for _, addr := range to {
-					told[addr]++
-					byAddr[addr].gossip.receive(news)
+					received[addr]++
+					byAddr[addr].gossip.receive(message)
 				}
 				return 0
 			}
 		}
 		hub.gossip.sendToZone(&feed.GossipMessage{From: hub.self.Addr, Hop: feed.HopFromHub})
-		require.Len(t, told, n)
-		for addr, times := range told {
+		require.Len(t, received, n)
+		for addr, times := range received {
 			require.Equal(t, 1, times, addr)
 		}
-		require.LessOrEqual(t, most*most, 2*n+20, fmt.Sprint(n))
+		require.LessOrEqual(t, maxSent*maxSent, 2*n+20, "square of the messages sent by one agent, %d agents", n)
 	}
 }
--- a/internal/agent/resync_test.go
+++ b/internal/agent/resync_test.go
@@ -10,57 +10,62 @@
 )
 
 const (
-	// mostOfAll is four times what each agent would serve if all lacked everything and asked each other evenly: the readers of events are
-	// drawn by lot, and a backend may be missed once more.
+	// maxServedAfterHubCrash is four times what each agent would serve if all agents needed the
+	// whole index and asked each other evenly: event readers are assigned at random, and a backend
+	// may be missed a second time.
 	maxServedAfterHubCrash = 4 * platformInstances
-	// joining agents lack everything, of which one agent is to serve a quarter at the most.
+	// joiningAgents is the number of agents that join without an index. One agent may serve a
+	// quarter of their resyncs.
 	joiningAgents      = 4
 	maxServedAfterJoin = joiningAgents * platformInstances / 4
 )
 
-// mostServed is the most answers with all that is known of a backend that one agent has given.
-func (f *fleet) maxServed() (most uint64) {
+// maxServed returns the maximum number of backend indexes that one agent has served.
+func (f *fleet) maxServed() (maxServed uint64) {
 	for _, a := range f.agents {
 		if f.stops[a] != nil {
-			require.NoError(f.t, a.runInLoop(context.Background(), func() { most = max(most, a.resync.served) }))
+			require.NoError(f.t, a.runInLoop(context.Background(), func() { maxServed = max(maxServed, a.resync.served) }))
 		}
 	}
-	return most
+	return maxServed
 }
 
-// behind counts the agents that lack what another knows of backends, by the number of parts; perPage are read between two pages of events.
-func (f *fleet) laggingAgents(perPage int) (n int) {
+// laggingAgents returns the number of agents whose index has fewer parts than another's. Each
+// backend caches perPage parts between two event pages.
+func (f *fleet) laggingAgents(perPage int) (lagging int) {
 	parts := map[*Agent]int{}
-	most := 0
+	maxParts := 0
 	for _, a := range f.agents {
 		if f.stops[a] != nil {
 			require.NoError(f.t, a.runInLoop(context.Background(), func() { parts[a] = a.index.PartCount() }))
-			most = max(most, parts[a])
+			maxParts = max(maxParts, parts[a])
 		}
 	}
 	for _, known := range parts {
-		if known < most-2*perPage*platformInstances { // two pages of each backend may be on their way
-			n++
+		if known < maxParts-2*perPage*platformInstances { // two pages of each backend may be in flight
+			lagging++
 		}
 	}
-	return n
+	return lagging
 }
 
-// TestALostHubsZoneDoesNotAskOneAgentForTheIndex: all agents of the zone had missed changes of every backend, and asked their next hub for
-// each of them at once. News of backends that leave waited behind the answers on its link.
+// TestResyncLoadAfterHubCrash guards against a fault after a hub crash: all agents of the zone had
+// missed batches of every backend, and requested each from their next hub at once. Updates of
+// draining backends waited behind the replies on its link.
 func TestResyncLoadAfterHubCrash(t *testing.T) {
 	runFleet(t, 3, 16, platformCallsPerSecond, func(f *fleet) {
 		f.platform.prefixCaches = true
 		time.Sleep(fleetStartTime)
 		f.crash(f.hub("z1"))
 		time.Sleep(8 * time.Second)
-		t.Logf("most served by one agent %d, %d agents behind", f.maxServed(), f.laggingAgents(1))
-		require.Less(t, f.maxServed(), uint64(maxServedAfterHubCrash))
-		require.Zero(t, f.laggingAgents(1))
+		t.Logf("maximum served by one agent %d backend indexes, %d agents with an incomplete index", f.maxServed(), f.laggingAgents(1))
+		require.Less(t, f.maxServed(), uint64(maxServedAfterHubCrash), "backend indexes served by one agent")
+		require.Zero(t, f.laggingAgents(1), "agents with an incomplete index")
 	})
 }
 
-// TestAgentsThatJoinDoNotAskOneAgentForTheIndex: a quarter of a zone joins at once, and lacks all of the index.
+// TestResyncLoadAfterJoin checks the load of resyncs when agents without an index join, a quarter
+// of a zone at once.
 func TestResyncLoadAfterJoin(t *testing.T) {
 	runFleet(t, 3, 12, platformCallsPerSecond, func(f *fleet) {
 		f.platform.prefixCaches = true
@@ -70,8 +75,8 @@
 			f.run(f.add("z1", fmt.Sprint("127.1.0.", 100+i)))
 		}
 		time.Sleep(6 * time.Second)
-		t.Logf("most served by one agent %d before and %d after, %d agents behind", before, f.maxServed(), f.laggingAgents(1))
-		require.Less(t, f.maxServed()-before, uint64(maxServedAfterJoin))
-		require.Zero(t, f.laggingAgents(1))
+		t.Logf("maximum served by one agent %d backend indexes before and %d after, %d agents with an incomplete index", before, f.maxServed(), f.laggingAgents(1))
+		require.Less(t, f.maxServed()-before, uint64(maxServedAfterJoin), "backend indexes served by one agent")
+		require.Zero(t, f.laggingAgents(1), "agents with an incomplete index")
 	})
 }
--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -18,7 +18,8 @@
 	"nettlefold/internal/replicated"
 )
 
-// TestTheOldestWeightsAreExchangedFirst: a version that is named midway begins with the backends that the one before did not reach.
+// TestOutdatedBackendsOldestFirst checks that a version that is set during a rollout starts with
+// the backends that the previous version has not reached.
 func TestOutdatedBackendsOldestFirst(t *testing.T) {
 	a := newAgents(1, 1)[0]
 	for id, version := range map[string]int64{"a": 2, "b": 1, "c": 3, "d": 1, "e": 2} {
@@ -26,14 +27,15 @@
 	}
 	a.backends = append(a.backends, dispatch.BackendInfo{ID: "other", Versions: map[string]int64{"n": 1}}, dispatch.BackendInfo{ID: "plain"})
 	var versions []int64
-	for _, l := range a.outdatedBackends("m", 3) {
-		versions = append(versions, l.Versions["m"])
+	for _, backend := range a.outdatedBackends("m", 3) {
+		versions = append(versions, backend.Versions["m"])
 	}
 	require.Equal(t, []int64{1, 1, 2, 2}, versions)
 }
 
-// TestOrdersStayWithTheirHolder: an agent that returns to the members does not take the orders back from the one that took them over. Each
-// change of hands stops the orders for as long as the rules ask two holders to stay apart.
+// TestRolloutStaysWithLeaseHolder checks that an agent that rejoins doesn't take the lease back
+// from its successor. Each change of holder stops the load orders for the minimum separation of two
+// holders.
 func TestRolloutStaysWithLeaseHolder(t *testing.T) {
 	agents := newAgents(1, 3)
 	all := agents[0].members
@@ -47,7 +49,7 @@
 			others = append(others, a)
 		}
 	}
-	holds := func(holder string, members *distribute.MemberSet) (owners []string) {
+	ownersAfter := func(holder string, members *distribute.MemberSet) (ids []string) {
 		for _, a := range agents {
 			a.members = members
 			a.snapshot = &distribute.Snapshot{Leases: map[string]replicated.LeaseRecord{}}
@@ -55,22 +57,22 @@
 				a.snapshot.Leases[key] = replicated.LeaseRecord{Holder: holder, FencingToken: 7}
 			}
 			if a.ownsRollout("m") {
-				owners = append(owners, a.self.ID)
+				ids = append(ids, a.self.ID)
 			}
 		}
-		return owners
+		return ids
 	}
-	require.Equal(t, []string{first.self.ID}, holds("", all), "nobody held them: the ranking decides")
+	require.Equal(t, []string{first.self.ID}, ownersAfter("", all), "without a holder the ranking decides")
 	without := &distribute.MemberSet{Digest: 2, Agents: []distribute.Agent{others[0].self, others[1].self}}
-	successors := holds(first.self.ID, without)
-	require.Len(t, successors, 1, "the holder is gone: the ranking of those that are left decides")
-	require.Equal(t, successors, holds(successors[0], all), "the former holder is back")
+	successors := ownersAfter(first.self.ID, without)
+	require.Len(t, successors, 1, "without the former holder the ranking of the remaining members decides")
+	require.Equal(t, successors, ownersAfter(successors[0], all), "a former holder that rejoins must not take the lease back")
 	for _, other := range others {
-		require.Equal(t, []string{other.self.ID}, holds(other.self.ID, all), "whoever holds them keeps them")
+		require.Equal(t, []string{other.self.ID}, ownersAfter(other.self.ID, all), "the holder keeps the lease")
 	}
 }
 
-// backends gives a list of backends that have one version of model m.
+// backendsAtVersion returns backends that have a version of model m.
 func backendsAtVersion(version int64, ids ...string) (list []dispatch.BackendInfo) {
 	for _, id := range ids {
 		list = append(list, dispatch.BackendInfo{ID: id, Versions: map[string]int64{"m": version}})
@@ -78,8 +80,9 @@
 	return list
 }
 
-// TestAFormerHoldersPhasesAreOver: whoever held the orders before goes on telling what it knew of its backends. That does not take the place of
-// what their holder now has told, whichever comes last: a backend with new weights would be ordered again.
+// TestPhaseWithLowerFencingTokenIgnored checks that phases which a former holder keeps announcing
+// don't replace those of the current holder, in any order of arrival. Otherwise a backend with new
+// weights would get another load order.
 func TestPhaseWithLowerFencingTokenIgnored(t *testing.T) {
 	former := feed.Phase{Name: dispatch.PhaseLoading, FencingToken: 6, Seq: 9}
 	now := feed.Phase{Model: "m", Version: 2, FencingToken: 7, Seq: 3}
@@ -94,7 +97,8 @@
 	}
 }
 
-// TestPhasesOfOneHolderKeepTheirOrder: news may pass each other on their ways through hubs.
+// TestPhaseWithLowerSeqIgnored checks that a phase that was overtaken on its way through hubs is
+// ignored.
 func TestPhaseWithLowerSeqIgnored(t *testing.T) {
 	a := newAgents(1, 1)[0]
 	a.backends = backendsAtVersion(1, "b")
@@ -103,8 +107,8 @@
 	require.Empty(t, a.outdatedBackends("m", 2))
 }
 
-// TestAHolderBelievesWhatItTells: the holder of orders keeps a phase in force for as long as it tells it to the others. The platform's list may
-// show the old weights for longer than a phase is believed.
+// TestReannouncedPhaseStaysInForce checks that a lease holder keeps a phase valid for as long as it
+// announces it. The platform's list may show the old weights for longer than phaseTTL.
 func TestReannouncedPhaseStaysInForce(t *testing.T) {
 	a := newAgents(1, 1)[0]
 	a.backends = backendsAtVersion(1, "b")
@@ -118,8 +122,8 @@
 	require.Empty(t, a.outdatedBackends("m", 2))
 }
 
-// TestABackendIsAskedBeforeItIsOrdered: what a holder knows may be older than an order that the holder before it gave. A backend that has the
-// weights is not taken out of service for them again.
+// TestUpdateBackendQueriesReportFirst checks that a backend that has the weights isn't taken out of
+// service for them again. A new holder may not know of an order that the former holder sent.
 func TestUpdateBackendQueriesReportFirst(t *testing.T) {
 	var orders atomic.Int64
 	report := `{"busy":false,"models":[{"name":"n","version":9},{"name":"m","version":2}]}`
@@ -130,43 +134,44 @@
 		w.Write([]byte(report))
 	}))
 	defer backend.Close()
-	l := backendsAtVersion(1, "b")[0]
-	l.Addr = backend.Listener.Addr().String()
+	info := backendsAtVersion(1, "b")[0]
+	info.Addr = backend.Listener.Addr().String()
 	a := newAgents(1, 1)[0]
-	a.backends = []dispatch.BackendInfo{l}
+	a.backends = []dispatch.BackendInfo{info}
 	r := &rollout{agent: a, model: "m", lease: &lease{state: leases.New(leases.Timing{}, 7)}, finished: make(chan string, 1)}
-	r.updateBackend(context.Background(), l, 2)
-	(<-a.commands)() // the phase
+	r.updateBackend(context.Background(), info, 2)
+	(<-a.commands)() // apply the announced phase
 	require.Empty(t, a.outdatedBackends("m", 2))
 	require.Empty(t, a.commands)
 	require.Zero(t, orders.Load())
 
-	for told, want := range map[string]weightsState{
+	for reportBody, want := range map[string]weightsState{
 		`{"busy":true,"models":[{"name":"m","version":1}]}`:  weightsLoading,
 		`{"busy":false,"models":[{"name":"m","version":1}]}`: weightsOutdated,
 		`{"busy":false,"models":[{"name":"m","version":3}]}`: weightsCurrent,
 		`{"busy":false,"models":[{"name":"n","version":3}]}`: weightsOutdated,
 		`no report`: weightsOutdated,
 	} {
-		report = told
-		require.Equal(t, want, r.queryWeights(context.Background(), l, 2), told)
+		report = reportBody
+		require.Equal(t, want, r.queryWeights(context.Background(), info, 2), reportBody)
 	}
 }
 
-// TestNoOrderIsSentBeforeTheLeaseBegins: a successor empties backends while the former holder may still act, but sends nothing.
+// TestSendOrderWaitsForLease checks that a successor sends no order while the former holder may
+// still act.
 func TestSendOrderWaitsForLease(t *testing.T) {
 	var orders atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { orders.Add(1) }))
 	defer backend.Close()
 	a := newAgents(1, 1)[0]
-	l := &lease{hadPredecessor: true, state: leases.New(leases.Timing{HoldFor: time.Hour, MaxTransit: time.Hour}, 7)}
-	require.True(t, l.renew(leases.Renewal{ReceivedAt: a.now(), FencingToken: 8}))
-	require.Greater(t, l.timeUntilValid(a.now()), time.Hour)
-	require.False(t, l.valid(a.now()))
-	r := &rollout{agent: a, model: "m", lease: l}
+	held := &lease{hadPredecessor: true, state: leases.New(leases.Timing{HoldFor: time.Hour, MaxTransit: time.Hour}, 7)}
+	require.True(t, held.renew(leases.Renewal{ReceivedAt: a.now(), FencingToken: 8}))
+	require.Greater(t, held.timeUntilValid(a.now()), time.Hour)
+	require.False(t, held.valid(a.now()))
+	r := &rollout{agent: a, model: "m", lease: held}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.ErrorIs(t, r.sendOrder(ctx, dispatch.BackendInfo{ID: "b", Addr: backend.Listener.Addr().String()}, 2), context.Canceled)
 	require.Zero(t, orders.Load())
-	require.Zero(t, l.timeUntilValid(a.now()+3*time.Hour))
+	require.Zero(t, held.timeUntilValid(a.now()+3*time.Hour))
 }
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -18,7 +18,8 @@
 	"nettlefold/internal/simtest"
 )
 
-// core is three controllers as an agent meets them: each knows a number that may be old, and whether it is in touch.
+// fakeControllers is three controllers, each with a snapshot number, which may be old, and with or
+// without a quorum.
 type fakeControllers struct {
 	network      *simtest.Network
 	mu           sync.Mutex
@@ -28,6 +29,7 @@
 	calls        int
 }
 
+// callCount returns the number of watch calls to all controllers.
 func (c *fakeControllers) callCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,18 +51,18 @@
 	return c
 }
 
-// set gives a controller another number, and tells those that wait.
-func (c *fakeControllers) set(number uint64, inTouch bool, ips ...string) {
+// set sets the snapshot number and the quorum of controllers, and wakes waiting calls.
+func (c *fakeControllers) set(seq uint64, hasQuorum bool, ips ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, ip := range ips {
-		c.snapshotSeqs[ip], c.hasQuorum[ip] = number, inTouch
+		c.snapshotSeqs[ip], c.hasQuorum[ip] = seq, hasQuorum
 	}
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// watch answers as a controller's session does.
+// watch answers a watch call as a controller does.
 func (c *fakeControllers) watch(ctx context.Context, ip string, body []byte) (any, error) {
 	request := new(distribute.WatchRequest)
 	if err := cbor.Unmarshal(body, request); err != nil {
@@ -69,23 +71,23 @@
 	c.mu.Lock()
 	c.calls++
 	c.mu.Unlock()
-	held := time.NewTimer(350 * time.Millisecond)
-	defer held.Stop()
-	for over := false; ; {
+	timeout := time.NewTimer(350 * time.Millisecond)
+	defer timeout.Stop()
+	for timedOut := false; ; {
 		c.mu.Lock()
-		number, inTouch, changed := c.snapshotSeqs[ip], c.hasQuorum[ip], c.changed
+		seq, hasQuorum, changed := c.snapshotSeqs[ip], c.hasQuorum[ip], c.changed
 		c.mu.Unlock()
-		if over || number > request.ReceivedSeq || !inTouch {
-			reply := &distribute.WatchReply{HasQuorum: inTouch}
-			if number > request.ReceivedSeq {
-				reply.Snapshot = &distribute.Snapshot{Seq: number, ConfigSeq: number, Config: []byte(fmt.Sprint(number))}
+		if timedOut || seq > request.ReceivedSeq || !hasQuorum {
+			reply := &distribute.WatchReply{HasQuorum: hasQuorum}
+			if seq > request.ReceivedSeq {
+				reply.Snapshot = &distribute.Snapshot{Seq: seq, ConfigSeq: seq, Config: []byte(fmt.Sprint(seq))}
 			}
 			return reply, nil
 		}
 		select {
 		case <-changed:
-		case <-held.C:
-			over = true
+		case <-timeout.C:
+			timedOut = true
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -94,8 +96,9 @@
 
 const agentIP = "10.0.1.1"
 
-// session plays an agent's session with the controllers.
-func runSessionTest(t *testing.T, play func(c *fakeControllers, has func() uint64)) {
+// runSessionTest runs a test with an agent's session. snapshotSeq returns the number of the agent's
+// snapshot.
+func runSessionTest(t *testing.T, test func(c *fakeControllers, snapshotSeq func() uint64)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newControllers(t)
@@ -121,7 +124,7 @@
 			defer close(ended)
 			a.runSession(ctx)
 		}()
-		play(c, func() (seq uint64) {
+		test(c, func() (seq uint64) {
 			require.NoError(t, a.runInLoop(context.Background(), func() {
 				if a.snapshot != nil {
 					seq = a.snapshot.Seq
@@ -140,25 +143,26 @@
 	})
 }
 
-// TestNewsThroughAnyOneController: whichever two of the three controllers are out of touch, cut off, or answer on a link that carries one way
-// only, an agent has what the third knows within two seconds, and never what is older again.
+// TestSessionWithOneReachableController checks that an agent has the third controller's snapshot
+// within two seconds, and never an older one again, while two controllers have no quorum, are
+// unreachable, or are reachable in one direction only.
 func TestSessionWithOneReachableController(t *testing.T) {
-	for good := 1; good <= 3; good++ {
-		for _, how := range []string{"out of touch", "cut off", "answers lost", "requests lost"} {
-			t.Run(fmt.Sprint(good, how), func(t *testing.T) {
-				runSessionTest(t, func(c *fakeControllers, has func() uint64) {
-					all := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
-					c.set(5, true, all...)
+	for reachable := 1; reachable <= 3; reachable++ {
+		for _, fault := range []string{"no quorum", "unreachable", "replies lost", "requests lost"} {
+			t.Run(fmt.Sprint(reachable, fault), func(t *testing.T) {
+				runSessionTest(t, func(c *fakeControllers, snapshotSeq func() uint64) {
+					controllers := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
+					c.set(5, true, controllers...)
 					time.Sleep(time.Second)
-					require.Equal(t, uint64(5), has())
-					for i, ip := range all {
-						if i+1 == good {
+					require.Equal(t, uint64(5), snapshotSeq())
+					for i, ip := range controllers {
+						if i+1 == reachable {
 							continue
 						}
-						switch how {
-						case "out of touch":
+						switch fault {
+						case "no quorum":
 							c.set(5, false, ip)
-						case "answers lost":
+						case "replies lost":
 							c.network.Cut(true, ip, agentIP)
 						case "requests lost":
 							c.network.Cut(true, agentIP, ip)
@@ -167,10 +171,10 @@
 							c.network.Cut(true, agentIP, ip)
 						}
 					}
-					for number := uint64(6); number < 12; number++ {
-						c.set(number, true, controllerIP(good))
+					for seq := uint64(6); seq < 12; seq++ {
+						c.set(seq, true, controllerIP(reachable))
 						time.Sleep(2 * time.Second)
-						require.Equal(t, number, has())
+						require.Equal(t, seq, snapshotSeq())
 					}
 				})
 			})
@@ -178,46 +182,49 @@
 	}
 }
 
-// TestNothingToBeginWithFromAControllerOutOfTouch: an agent that knows nothing yet takes nothing from controllers that cannot tell whether it
-// is the newest; one that knows something takes what is newer, and nothing older.
+// TestNoInitialSnapshotWithoutQuorum checks that an agent without a snapshot takes none from
+// controllers without a quorum, which can't know whether it is the newest. An agent with a snapshot
+// takes newer ones from them, but no older ones.
 func TestNoInitialSnapshotWithoutQuorum(t *testing.T) {
-	runSessionTest(t, func(c *fakeControllers, has func() uint64) {
-		all := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
-		c.set(4, false, all...)
+	runSessionTest(t, func(c *fakeControllers, snapshotSeq func() uint64) {
+		controllers := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
+		c.set(4, false, controllers...)
 		time.Sleep(5 * time.Second)
-		require.Zero(t, has())
-		c.set(7, true, all[0])
+		require.Zero(t, snapshotSeq())
+		c.set(7, true, controllers[0])
 		time.Sleep(8 * time.Second)
-		require.Equal(t, uint64(7), has())
-		c.set(7, false, all[0])
-		c.set(9, false, all[1])
+		require.Equal(t, uint64(7), snapshotSeq())
+		c.set(7, false, controllers[0])
+		c.set(9, false, controllers[1])
 		time.Sleep(8 * time.Second)
-		require.Equal(t, uint64(9), has(), "committed is committed")
-		c.set(4, true, all[2])
+		require.Equal(t, uint64(9), snapshotSeq(), "a committed snapshot must be taken from a controller without a quorum")
+		c.set(4, true, controllers[2])
 		time.Sleep(3 * time.Second)
-		require.Equal(t, uint64(9), has())
+		require.Equal(t, uint64(9), snapshotSeq())
 	})
 }
 
 func TestMain(m *testing.M) { simtest.Main(m) }
 
-// TestAgentsThatSearchTogether: while no controller is in touch an agent calls at a bounded rate, and soon after one is again it has its news.
+// TestSessionBackoffWithoutQuorum checks that the rate of calls is bounded while no controller has
+// a quorum, and that the agent has the newest snapshot soon after one has.
 func TestSessionBackoffWithoutQuorum(t *testing.T) {
-	runSessionTest(t, func(c *fakeControllers, has func() uint64) {
-		all := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
-		c.set(4, false, all...)
+	runSessionTest(t, func(c *fakeControllers, snapshotSeq func() uint64) {
+		controllers := []string{controllerIP(1), controllerIP(2), controllerIP(3)}
+		c.set(4, false, controllers...)
 		time.Sleep(time.Second)
 		before := c.callCount()
 		const span = 10 * time.Second
 		time.Sleep(span)
-		require.LessOrEqual(t, c.callCount()-before, 3*int(span/maxSessionBackoff))
-		c.set(5, true, all...)
+		require.LessOrEqual(t, c.callCount()-before, 3*int(span/maxSessionBackoff), "watch calls in %v", span)
+		c.set(5, true, controllers...)
 		time.Sleep(3 * maxSessionBackoff / 2)
-		require.Equal(t, uint64(5), has())
+		require.Equal(t, uint64(5), snapshotSeq())
 	})
 }
 
-// TestAChangeOfOtherMembers: an agent that cannot apply a change keeps the members that it knows and asks for the whole.
+// TestMembersDeltaWithUnknownBase checks that an agent that can't apply a delta keeps its members
+// and requests the full set.
 func TestMembersDeltaWithUnknownBase(t *testing.T) {
 	a := New(&local.Settings{NodeName: "f", IP: agentIP, FirstPort: 7340}, zerolog.Nop())
 	one := distribute.NewMemberSet([]distribute.Agent{{ID: "f/1"}})
