--- a/mixer/suspect.go
+++ b/mixer/suspect.go
@@ -2,85 +2,96 @@
 
 import "cmp"
 
-// hearken judges searchers not by the list: when forwards to one since its last answer have waited, added up,
-// for several times what they take, it is suspect. One alone may be slow or heavy and has to wait longer.
-func (m *Mixer) hearken(now int64, p *part, mean float64) {
+// checkSilence is the failure detector: it suspects the searchers of a part's forwards once the forwards sent
+// there since the last answer have waited, in sum, for several mean latencies. A single one may be slow or
+// heavy and has to wait longer.
+func (m *Mixer) checkSilence(now int64, p *part, mean float64) {
 	for _, f := range p.forwards {
-		if s := f.s; !s.suspect && s.heard <= f.sent {
-			silence := s.unheard
-			for _, g := range s.out {
-				if g.sent >= s.heard {
-					silence += now - g.sent
+		if s := f.searcher; !s.suspect && s.lastAnswer <= f.sentAt {
+			silence := s.unansweredWait
+			for _, g := range s.inFlight {
+				if g.sentAt >= s.lastAnswer {
+					silence += now - g.sentAt
 				}
 			}
-			if float64(now-f.sent) > lineLate*mean && !f.done {
-				f.miss(now)
+			if float64(now-f.sentAt) > connLostMeans*mean && !f.done {
+				f.recordLoss(now)
 			}
-			f.gone = f.gone || float64(now-f.sent) > goneTimes*mean
-			if float64(silence) > silentTimes*mean {
-				m.distrust(now, s)
+			f.presumedLost = f.presumedLost || float64(now-f.sentAt) > presumedLostMeans*mean
+			if float64(silence) > suspectMeans*mean {
+				m.markSuspect(now, s)
 			}
 		}
 	}
 }
 
-// distrust keeps a searcher from being picked, but for a test, until it answers.
-func (m *Mixer) distrust(now int64, s *searcher) {
-	s.wait = int64(min(max(2*float64(s.wait), testFirst*m.long), testLast*m.long))
-	s.testAt = now + s.wait/2 + m.rng.Int63n(s.wait)
+// markSuspect excludes a searcher from picks, except for probes with backoff and jitter, until it answers.
+func (m *Mixer) markSuspect(now int64, s *searcher) {
+	s.probeInterval = int64(min(max(2*float64(s.probeInterval), firstProbeShare*m.longestExpected),
+		lastProbeShare*m.longestExpected))
+	s.nextProbe = now + s.probeInterval/2 + m.rng.Int63n(s.probeInterval)
 	if !s.suspect {
 		s.suspect = true
-		m.stir()
-		s.rouse(now)
+		m.invalidateReviews()
+		s.reviewLookups(now)
 	}
 }
 
-func (s *searcher) rouse(now int64) {
-	for _, f := range s.out {
-		f.part.l.rouse(now, now)
+// reviewLookups schedules a review of every lookup with a forward in flight at s.
+func (s *searcher) reviewLookups(now int64) {
+	for _, f := range s.inFlight {
+		f.part.lookup.scheduleReview(now, now)
 	}
 }
 
-// doubted tells whether others hold s silent, and it has not answered this mixer since.
-func (s *searcher) doubted(now int64) bool { return s.said(now).Silent && s.heard < s.word.At }
+// reportedSilent reports whether peers consider s silent and it has not answered this mixer since.
+func (s *searcher) reportedSilent(now int64) bool {
+	return s.currentReport(now).Silent && s.lastAnswer < s.report.At
+}
 
-// due tells whether a suspect may be tested. Mixers that suspect it together test it as often as one alone.
-func (s *searcher) due(now int64) bool { return now >= s.testAt+s.wait*int64(s.said(now).Suspecting) }
+// probeDue reports whether a suspect may be probed. Mixers that suspect it probe it together as often as one.
+func (s *searcher) probeDue(now int64) bool {
+	return now >= s.nextProbe+s.probeInterval*int64(s.currentReport(now).Suspecting)
+}
 
-// shunned tells whether s is suspect or in a silent zone, and not to be tested now.
-func (m *Mixer) shunned(now int64, s *searcher) bool {
-	if !s.suspect && s.doubted(now) {
-		return true // those who found out test it
+// avoided reports whether s is suspect or in a silent zone and must not be probed now.
+func (m *Mixer) avoided(now int64, s *searcher) bool {
+	if !s.suspect && s.reportedSilent(now) {
+		return true // the mixers that suspect it probe it
 	}
-	return (s.suspect || s.zone.silent()) && (s.suspect && !s.due(now) || !m.mayTest(now))
+	return (s.suspect || s.zone.silent()) && (s.suspect && !s.probeDue(now) || !m.mayProbe(now))
 }
 
-// mayTest is the allowance for tests.
-func (m *Mixer) mayTest(now int64) bool {
-	return m.tests.Read(now, halfLife) < max(testFloor, testShare*m.sent.Read(now, halfLife))
+// mayProbe reports whether the probe budget allows one more.
+func (m *Mixer) mayProbe(now int64) bool {
+	return m.sentProbes.Read(now, loadHalfLife) <
+		max(minProbes, probeShare*m.sentForwards.Read(now, loadHalfLife))
 }
 
-// connect closes what lies idle to s where idle connections lose more than new ones. It guards against
-// connections dropped unseen, which say nothing of the searcher. Where connecting fails, new ones lose more.
-func (m *Mixer) connect(now int64, s *searcher) *DecayingRatio {
-	line, share := &m.idle, m.anew.Read(now, lineHalf, 0, lean)
-	if line.over.Read(now, lineHalf)-lineTimes*share*line.under.Read(now, lineHalf) >= lineLost {
-		m.floor.CloseIdle(s.id)
-		line = &m.anew
+// chooseConnection closes the idle connections to s if idle ones lose more forwards than new ones do, and
+// returns the loss statistics of the kind now used. Connections may be dropped silently, which says nothing
+// about the searcher; where connecting itself fails, new ones lose more.
+func (m *Mixer) chooseConnection(now int64, s *searcher) *DecayingRatio {
+	loss, share := &m.idleConnLoss, m.newConnLoss.Read(now, connLossHalfLife, 0, fleetPriorCalls)
+	if loss.numerator.Read(now, connLossHalfLife)-
+		idleLossFactor*share*loss.denominator.Read(now, connLossHalfLife) >= idleLossThreshold {
+		m.env.CloseIdle(s.id)
+		loss = &m.newConnLoss
 	}
-	line.Add(now, 0, 1, lineHalf)
-	return line
+	loss.Add(now, 0, 1, connLossHalfLife)
+	return loss
 }
 
-// miss counts a forward as lost on its connection and in its zone, the latter where others answer meanwhile.
-// It guards against a zone lost, which a mixer with little traffic else meets searcher by searcher for long.
-func (f *forward) miss(now int64) {
-	if f.missed == 0 && f.line != nil {
-		f.line.Add(now, 1, 0, lineHalf)
+// recordLoss counts a forward as lost, once, on its connection and, while other zones answer, in its zone. A
+// mixer with little traffic would otherwise detect the loss of a zone one searcher at a time.
+func (f *forward) recordLoss(now int64) {
+	if f.lostAt == 0 && f.connLoss != nil {
+		f.connLoss.Add(now, 1, 0, connLossHalfLife)
 	}
-	if z := f.s.zone; f.missed == 0 && z.heard <= f.sent && f.sent < f.part.l.m.heard {
-		z.missed++
-		f.part.l.m.stir()
+	if z := f.searcher.zone; f.lostAt == 0 && z.lastAnswer <= f.sentAt &&
+		f.sentAt < f.part.lookup.mixer.lastAnswer {
+		z.lost++
+		f.part.lookup.mixer.invalidateReviews()
 	}
-	f.missed = cmp.Or(f.missed, now)
+	f.lostAt = cmp.Or(f.lostAt, now)
 }
