--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,7 @@
-// Package agent is the program beside each proxy: it keeps the session with a controller, watches a few peers, does the duties that
-// fall to it, and feeds the proxy over loopback. One goroutine owns its tables and works through a queue of commands.
+// Package agent implements the agent that runs beside each proxy. It keeps a session with a
+// controller, pings a few peers as a failure detector, does the work that rendezvous hashing or a
+// lease assigns to it, and feeds the proxy over loopback. One goroutine, the command loop, owns the
+// agent's state and runs a queue of commands.
 package agent
 
 import (
@@ -25,141 +27,145 @@
 )
 
 const (
-	tickEvery    = 100 * time.Millisecond
-	commandQueue = 1024
-	// phasesKeep is how long an owner's phases are believed, and phasesTold how long it tells them again.
-	phasesKeep   = 4 * time.Second
-	phasesTold   = loadLimit + 2*time.Second
-	feedHold     = 200 * time.Millisecond
-	proxySilence = time.Second
-	// keptBatches is how many changes of kept prompts are held for the proxy at least; the oldest go droppedAtOnce at a time, as all others move.
-	keptBatches   = 2048
-	droppedAtOnce = 512
+	tickInterval       = 100 * time.Millisecond
+	commandQueueLength = 1024
+	// phaseTTL is how long a received phase stays valid without being announced again.
+	// phaseAnnouncePeriod is how long the holder of a rollout lease keeps announcing a phase.
+	phaseTTL            = 4 * time.Second
+	phaseAnnouncePeriod = loadTimeout + 2*time.Second
+	feedLongPollTimeout = 200 * time.Millisecond
+	proxyTimeout        = time.Second
+	// minRecentBatches is the minimum number of index batches that are kept for the proxy. The
+	// oldest are dropped batchTrimLength at a time, because dropping one moves all others.
+	minRecentBatches = 2048
+	batchTrimLength  = 512
 )
 
-// Agent is one mixer's agent.
+// Agent is the agent of one proxy.
 type Agent struct {
-	settings *local.Settings
-	log      zerolog.Logger
-	network  rpc.Network
-	pool     *rpc.Pool
-	web      *http.Client
-	self     distribute.Agent
-	start    time.Time
-	commands chan func()
-	done     chan struct{}
-	changed  chan struct{} // closed and replaced by the owner when a proxy may want to hear
+	settings    *local.Settings
+	log         zerolog.Logger
+	network     rpc.Network
+	pool        *rpc.Pool
+	httpClient  *http.Client
+	self        distribute.Agent
+	startedAt   time.Time
+	commands    chan func()
+	done        chan struct{}
+	feedChanged chan struct{} // closed and replaced by the command loop when the proxy may be missing an update
 
-	// What follows is the owner's.
-	snapshot    *distribute.Snapshot
-	versions    map[string]superseded.History // since when models' versions are known to be wanted
-	inTouch     time.Duration                 // when a call was made that a controller in touch answered, the last one
-	controllers []string
-	epoch       uint64 // of the view that controllers are of
-	members     *distribute.MemberSet
-	suspects    map[string]bool
-	applied     uint64
-	proxyAt     time.Time
+	// The fields below are owned by the command loop.
+	snapshot          *distribute.Snapshot
+	versionHistories  map[string]superseded.History // by model: the time bounds of its wanted versions
+	lastQuorumContact time.Duration                 // start of the last call that a controller with a quorum answered
+	controllers       []string
+	epoch             uint64 // of the chain view that the controllers are from
+	members           *distribute.MemberSet
+	suspects          map[string]bool
+	appliedSeq        uint64
+	lastProxyRequest  time.Time
 
-	list     []dispatch.BackendInfo // nil if it is not known
-	lists    lists
-	listFeed listFeed
-	phases   map[string]phaseNews
+	backends      []dispatch.BackendInfo // the platform's instance list, nil until one is known
+	listSync      listSyncState
+	listRevisions listRevisions
+	phases        map[string]receivedPhase
 
-	listArrivals    metrics.Histogram // of the list, from its reading to its arrival here
-	listApplied     applied
-	snapshotApplied applied
+	listArrivalDelays    metrics.Histogram // delays from the start of a list read to the list's arrival
+	listApplyTracker     applyTracker
+	snapshotApplyTracker applyTracker
 
-	index      *kvindex.Index
-	batches    []*kvindex.Batch // the newest, the last of which has number batchCount
-	batchCount uint64
-	readers    map[string]context.CancelFunc
-	readersOf  sourcesOf // what readers were last held to
-	readersAt  time.Time
-	wholes     wholes
+	index            *kvindex.Index
+	recentBatches    []*kvindex.Batch // newest last; the last one has number batchCount
+	batchCount       uint64
+	eventReaders     map[string]context.CancelFunc
+	readerInputs     eventReaderInputs // the inputs of the last update of eventReaders
+	readersCheckedAt time.Time
+	resync           indexResync
 
-	eventOwners *rendezvous.OwnerCache // of the backends' events
+	eventOwners *rendezvous.OwnerCache // owners of the keys under which backend events are read
 
-	news      *exchange
-	newsBytes uint64 // of news that was sent
-	ownLoads  map[string]dispatch.Load
-	rollouts  map[string]bool
-	ownPhases map[string]ownPhase
-	// phaseCount numbers the phases that this agent tells.
-	phaseCount uint64
+	gossip          *gossiper
+	gossipBytesSent uint64
+	localLoads      map[string]dispatch.Load
+	rollouts        map[string]bool
+	announcedPhases map[string]announcedPhase
+	// phaseSeq numbers the phases that this agent announces.
+	phaseSeq uint64
 
-	storesOf   uint64 // number of the configuration that storeAddrs is of
-	storeAddrs []string
+	kvStoresConfigSeq uint64 // sequence number of the configuration that kvStoreAddrs is from
+	kvStoreAddrs      []string
 }
 
-// New makes an agent on the machine's own network.
+// New returns an agent that uses the machine's own network.
 func New(settings *local.Settings, log zerolog.Logger) *Agent {
-	return newOn(rpc.TCP{}, newWeb(), settings, log)
+	return newAgent(rpc.TCP{}, newHTTPClient(), settings, log)
 }
 
-// newOn makes an agent that meets other machines on a network, and backends and the platform through a client.
-func newOn(network rpc.Network, web *http.Client, settings *local.Settings, log zerolog.Logger) *Agent {
-	life := fmt.Sprintf("%s/%016x%04x", settings.NodeName, time.Now().UnixNano(), rand.IntN(1<<16))
+// newAgent returns an agent that reaches other machines through network, and backends and the
+// platform through httpClient.
+func newAgent(network rpc.Network, httpClient *http.Client, settings *local.Settings, log zerolog.Logger) *Agent {
+	id := fmt.Sprintf("%s/%016x%04x", settings.NodeName, time.Now().UnixNano(), rand.IntN(1<<16))
 	a := &Agent{
-		settings: settings,
-		log:      log,
-		network:  network,
-		pool:     rpc.NewPoolWithNetwork(network),
-		web:      web,
-		self:     distribute.Agent{ID: life, Addr: settings.InternalAddr(settings.IP), Zone: settings.Zone},
-		start:    time.Now(),
-		commands: make(chan func(), commandQueue),
-		done:     make(chan struct{}),
-		changed:  make(chan struct{}),
-		members:  &distribute.MemberSet{},
-		suspects: map[string]bool{},
-		phases:   map[string]phaseNews{},
-		versions: map[string]superseded.History{},
-		inTouch:  superseded.DistantPast,
-		index:    kvindex.New(),
-		readers:  map[string]context.CancelFunc{},
+		settings:          settings,
+		log:               log,
+		network:           network,
+		pool:              rpc.NewPoolWithNetwork(network),
+		httpClient:        httpClient,
+		self:              distribute.Agent{ID: id, Addr: settings.InternalAddr(settings.IP), Zone: settings.Zone},
+		startedAt:         time.Now(),
+		commands:          make(chan func(), commandQueueLength),
+		done:              make(chan struct{}),
+		feedChanged:       make(chan struct{}),
+		members:           &distribute.MemberSet{},
+		suspects:          map[string]bool{},
+		phases:            map[string]receivedPhase{},
+		versionHistories:  map[string]superseded.History{},
+		lastQuorumContact: superseded.DistantPast,
+		index:             kvindex.New(),
+		eventReaders:      map[string]context.CancelFunc{},
 
-		eventOwners: rendezvous.NewOwnerCache(),
-		wholes:      wholes{wanted: map[string]bool{}},
-		listFeed:    listFeed{changedIn: map[string]uint64{}},
-		rollouts:    map[string]bool{},
-		ownPhases:   map[string]ownPhase{},
+		eventOwners:     rendezvous.NewOwnerCache(),
+		resync:          indexResync{pending: map[string]bool{}},
+		listRevisions:   listRevisions{changedAt: map[string]uint64{}},
+		rollouts:        map[string]bool{},
+		announcedPhases: map[string]announcedPhase{},
 	}
-	a.news = newExchange(a)
-	a.lists.heardAt, a.lists.toldAt = a.start, a.start
+	a.gossip = newGossiper(a)
+	a.listSync.receivedAt, a.listSync.pushedAt = a.startedAt, a.startedAt
 	return a
 }
 
-// Run works until ctx ends.
+// Run serves peers and the proxy and runs the command loop until ctx is done. It returns an error
+// if it cannot listen.
 func (a *Agent) Run(ctx context.Context) error {
-	outside, err := a.network.Listen(a.self.Addr)
+	peerListener, err := a.network.Listen(a.self.Addr)
 	if err != nil {
-		return merry.Prepend(err, "agent: listen to machines")
+		return merry.Prepend(err, "agent: listen for peers")
 	}
-	defer outside.Close()
-	inside, err := a.network.Listen(a.settings.LoopbackAddr())
+	defer peerListener.Close()
+	proxyListener, err := a.network.Listen(a.settings.LoopbackAddr())
 	if err != nil {
-		return merry.Prepend(err, "agent: listen to the proxy")
+		return merry.Prepend(err, "agent: listen for the proxy")
 	}
-	defer inside.Close()
-	go rpc.Serve(outside, a.handlePeer)
-	go rpc.Serve(inside, a.handleProxy)
+	defer proxyListener.Close()
+	go rpc.Serve(peerListener, a.handlePeer)
+	go rpc.Serve(proxyListener, a.handleProxy)
 	go a.runSession(ctx)
 	go a.watchPeers(ctx)
-	ticker := time.NewTicker(tickEvery)
-	defer ticker.Stop()
-	flush := time.NewTicker(flushEvery)
-	defer flush.Stop()
+	tickTicker := time.NewTicker(tickInterval)
+	defer tickTicker.Stop()
+	flushTicker := time.NewTicker(flushInterval)
+	defer flushTicker.Stop()
 	defer close(a.done)
 	for {
 		select {
 		case command := <-a.commands:
 			command()
-		case now := <-flush.C:
-			if a.news.due(now) {
-				a.news.flush()
+		case now := <-flushTicker.C:
+			if a.gossip.due(now) {
+				a.gossip.flush()
 			}
-		case <-ticker.C:
+		case <-tickTicker.C:
 			a.tick(ctx)
 		case <-ctx.Done():
 			return nil
@@ -167,13 +173,15 @@
 	}
 }
 
-// Reload takes settings that changed: the seeds.
+// Reload applies changed settings. Only the seeds can change at run time.
 func (a *Agent) Reload(settings *local.Settings) {
 	a.enqueue(func() { a.settings.Seeds = settings.Seeds })
 }
 
-func (a *Agent) now() time.Duration { return time.Since(a.start) }
+// now returns the time since the agent's start.
+func (a *Agent) now() time.Duration { return time.Since(a.startedAt) }
 
+// enqueue queues a command for the command loop. It drops the command once the agent has stopped.
 func (a *Agent) enqueue(command func()) {
 	select {
 	case a.commands <- command:
@@ -181,8 +189,8 @@
 	}
 }
 
-// ask runs a command at the owner and waits for it.
-func (a *Agent) ask(ctx context.Context, command func()) error {
+// runInLoop runs a command in the command loop and waits until it has finished.
+func (a *Agent) runInLoop(ctx context.Context, command func()) error {
 	finished := make(chan struct{})
 	a.enqueue(func() { command(); close(finished) })
 	select {
@@ -195,90 +203,91 @@
 	}
 }
 
+// tick runs the periodic work of the command loop.
 func (a *Agent) tick(ctx context.Context) {
-	a.dutyList(ctx)
-	a.dutyEvents(ctx)
-	a.dutyOrders(ctx)
-	a.news.expire()
-	a.retellPhases()
+	a.readListIfDue(ctx)
+	a.updateEventReaders(ctx)
+	a.startRollouts(ctx)
+	a.gossip.expireLoads()
+	a.reannouncePhases()
 	a.expirePhases()
 }
 
-// notify wakes the proxy's call.
-func (a *Agent) notify() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+// notifyProxy wakes the proxy's long-polling feed request.
+func (a *Agent) notifyProxy() {
+	close(a.feedChanged)
+	a.feedChanged = make(chan struct{})
 }
 
-// handlePeer serves other machines.
+// handlePeer handles the calls of other agents.
 func (a *Agent) handlePeer(ctx context.Context, kind string, body []byte) (any, error) {
 	switch kind {
 	case feed.KindGossip:
-		news := new(feed.GossipMessage)
-		if err := cbor.Unmarshal(body, news); err != nil {
+		message := new(feed.GossipMessage)
+		if err := cbor.Unmarshal(body, message); err != nil {
 			return nil, err
 		}
-		a.enqueue(func() { a.news.take(news) })
+		a.enqueue(func() { a.gossip.receive(message) })
 		return nil, nil
 	case feed.KindBackendIndex:
 		request := new(feed.BackendIndexRequest)
 		if err := cbor.Unmarshal(body, request); err != nil {
 			return nil, err
 		}
-		var whole *kvindex.Batch
-		err := a.ask(ctx, func() {
-			whole = a.index.Snapshot(request.Backend)
-			a.wholes.served++
+		var snapshot *kvindex.Batch
+		err := a.runInLoop(ctx, func() {
+			snapshot = a.index.Snapshot(request.Backend)
+			a.resync.served++
 		})
-		if err == nil && whole == nil {
-			err = merry.New("nothing is known of " + request.Backend)
+		if err == nil && snapshot == nil {
+			err = merry.New("agent: backend index: unknown backend " + request.Backend)
 		}
-		return whole, err
+		return snapshot, err
 	case feed.KindList:
 		request := new(feed.ListRequest)
 		if err := cbor.Unmarshal(body, request); err != nil {
 			return nil, err
 		}
-		return a.answerList(ctx, request)
+		return a.serveList(ctx, request)
 	case feed.KindPing:
 		return struct{}{}, nil
 	}
-	return nil, merry.New("no such call: " + kind)
+	return nil, merry.New("agent: handle peer call: unknown kind " + kind)
 }
 
-// handleProxy serves the proxy beside this agent.
+// handleProxy handles the calls of the proxy beside this agent.
 func (a *Agent) handleProxy(ctx context.Context, kind string, body []byte) (any, error) {
 	if kind == feed.KindLoads {
 		loads := map[string]dispatch.Load{}
 		if err := cbor.Unmarshal(body, &loads); err != nil {
 			return nil, err
 		}
-		a.enqueue(func() { a.ownLoads = loads })
+		a.enqueue(func() { a.localLoads = loads })
 		return nil, nil
 	}
 	if kind != feed.KindFeed {
-		return nil, merry.New("no such call: " + kind)
+		return nil, merry.New("agent: handle proxy call: unknown kind " + kind)
 	}
 	request := new(feed.Request)
 	if err := cbor.Unmarshal(body, request); err != nil {
 		return nil, err
 	}
 	began := a.now()
-	held := time.NewTimer(feedHold)
-	defer held.Stop()
+	timeout := time.NewTimer(feedLongPollTimeout)
+	defer timeout.Stop()
 	for {
 		var reply *feed.Reply
-		var fresh bool
+		var isNew bool
 		var changed chan struct{}
-		if err := a.ask(ctx, func() { reply, fresh = a.feedReply(began, request); changed = a.changed }); err != nil {
+		if err := a.runInLoop(ctx, func() { reply, isNew = a.feedReply(began, request); changed = a.feedChanged }); err != nil {
 			return nil, err
 		}
-		if fresh {
+		if isNew {
 			return reply, nil
 		}
 		select {
 		case <-changed:
-		case <-held.C:
+		case <-timeout.C:
 			return reply, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -286,76 +295,79 @@
 	}
 }
 
-// feedReply makes the answer to a call of the proxy that came at a time, and tells whether there is something in it that it lacks.
-func (a *Agent) feedReply(began time.Duration, request *feed.Request) (reply *feed.Reply, fresh bool) {
-	a.proxyAt = time.Now()
-	a.applied = max(a.applied, request.SnapshotSeq)
-	same := request.AgentID == a.self.ID
-	reply = &feed.Reply{AgentID: a.self.ID, BatchCount: a.batchCount, LoadsRevision: a.news.number}
-	if !same || request.LoadsRevision != a.news.number {
-		reply.Loads, fresh = a.news.others(), true
+// feedReply returns the reply to a feed request that arrived at began, and whether it contains
+// anything that the proxy is missing.
+func (a *Agent) feedReply(began time.Duration, request *feed.Request) (reply *feed.Reply, isNew bool) {
+	a.lastProxyRequest = time.Now()
+	a.appliedSeq = max(a.appliedSeq, request.SnapshotSeq)
+	sameAgent := request.AgentID == a.self.ID
+	reply = &feed.Reply{AgentID: a.self.ID, BatchCount: a.batchCount, LoadsRevision: a.gossip.loadsRevision}
+	if !sameAgent || request.LoadsRevision != a.gossip.loadsRevision {
+		reply.Loads, isNew = a.gossip.remoteLoads(), true
 	}
 	if a.snapshot != nil && a.snapshot.Seq > request.SnapshotSeq {
 		snapshot := *a.snapshot
 		if snapshot.ConfigSeq == request.ConfigSeq {
 			snapshot.Config = nil
 		}
-		reply.Snapshot, reply.VersionAges, fresh = &snapshot, a.currentAges(), true
+		reply.Snapshot, reply.VersionAges, isNew = &snapshot, a.versionAges(), true
 		reply.LongPollMS = (a.now() - began).Milliseconds()
 	}
-	a.noteApplied(same, request)
+	a.observeApplied(sameAgent, request)
 	switch {
-	case a.list == nil:
-	case !same:
-		reply.List, fresh = a.listFor(), true
-	case request.ListRevision != a.listFeed.number:
-		reply.List, fresh = a.listAfter(request.ListRevision), true
+	case a.backends == nil:
+	case !sameAgent:
+		reply.List, isNew = a.fullList(), true
+	case request.ListRevision != a.listRevisions.current:
+		reply.List, isNew = a.listSinceRevision(request.ListRevision), true
 	}
-	if !same || request.MembersDigest != a.members.Digest {
-		reply.Members, fresh = a.members, true
+	if !sameAgent || request.MembersDigest != a.members.Digest {
+		reply.Members, isNew = a.members, true
 	}
-	return reply, a.feedIndex(request, reply, reply.Snapshot != nil) || fresh
+	return reply, a.addIndexUpdates(request, reply, reply.Snapshot != nil) || isNew
 }
 
-// feedIndex adds what a proxy lacks of the index, as much as one reply may bring; beside a snapshot, which is urgent, nothing but the news
-// that it has to begin anew. The list and the members come with it: while weights are exchanged the list changes with each call. It tells
-// whether it added something.
-func (a *Agent) feedIndex(request *feed.Request, reply *feed.Reply, urgent bool) (fresh bool) {
-	behind := a.batchCount - request.BatchCount
-	if request.AgentID != a.self.ID || behind > uint64(len(a.batches)) {
+// addIndexUpdates adds the index updates that the proxy is missing to a reply, as many as one reply
+// may carry, and reports whether it added any. A reply with a snapshot, which is urgent, carries at
+// most the reset of the index. List and members don't delay the index: during a rollout the list
+// changes with each call.
+func (a *Agent) addIndexUpdates(request *feed.Request, reply *feed.Reply, snapshotOnly bool) (isNew bool) {
+	lag := a.batchCount - request.BatchCount
+	if request.AgentID != a.self.ID || lag > uint64(len(a.recentBatches)) {
 		reply.Reset, reply.KnownBackends = true, a.index.Backends()
 		return true
 	}
 	reply.BatchCount = request.BatchCount
-	if urgent {
+	if snapshotOnly {
 		return false
 	}
 	changes := 0
-	for _, b := range a.batches[uint64(len(a.batches))-behind:] {
+	for _, batch := range a.recentBatches[uint64(len(a.recentBatches))-lag:] {
 		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
-		changes += len(b.Changes)
-		reply.Batches = append(reply.Batches, b)
+		changes += len(batch.Changes)
+		reply.Batches = append(reply.Batches, batch)
 		reply.BatchCount++
 	}
-	for _, id := range request.ResyncBackends {
+	for _, backend := range request.ResyncBackends {
 		if changes >= feed.MaxChangesPerReply {
 			return true
 		}
-		whole := a.index.Snapshot(id)
-		if whole == nil {
-			whole = &kvindex.Batch{Backend: id, Snapshot: true}
+		snapshot := a.index.Snapshot(backend)
+		if snapshot == nil {
+			snapshot = &kvindex.Batch{Backend: backend, Snapshot: true}
 		}
-		changes += len(whole.Changes)
-		reply.Batches = append(reply.Batches, whole)
+		changes += len(snapshot.Changes)
+		reply.Batches = append(reply.Batches, snapshot)
 	}
 	return len(reply.Batches) > 0
 }
 
-func (a *Agent) currentAges() map[string][]superseded.Age {
+// versionAges returns the ages of the wanted versions by model.
+func (a *Agent) versionAges() map[string][]superseded.Age {
 	ages := map[string][]superseded.Age{}
-	for model, times := range a.versions {
+	for model, times := range a.versionHistories {
 		ages[model] = times.Ages(a.now())
 	}
 	return ages
--- a/internal/agent/list_fleet_test.go
+++ b/internal/agent/list_fleet_test.go
@@ -8,81 +8,87 @@
 )
 
 const (
-	// drainBound is how long after the platform's list showed it a backend that leaves may still get requests.
-	drainBound = 4 * time.Second
-	// startBound is when every agent of a fleet that has just started has a list.
-	startBound = 6 * time.Second
+	// maxDrainDelay is how long a draining backend may still get requests after the platform's list
+	// shows it as draining.
+	maxDrainDelay = 4 * time.Second
+	// fleetStartTime is the time until every agent of a new fleet has a list.
+	fleetStartTime = 6 * time.Second
 
-	// joinBound is when an agent that joins a running fleet has a list.
-	joinBound = 500 * time.Millisecond
+	// joinTime is the time until an agent that joins a running fleet has a list.
+	joinTime = 500 * time.Millisecond
 
-	largeZones, largeEach = 6, 25
-	// largeRate leaves every agent two readings of the list in ten seconds, as the deployments have it for theirs.
-	largeRate = 760
+	largeZoneCount, largeZoneAgents = 6, 25
+	// platformCallsPerSecond allows each agent two list reads in ten seconds, as deployments do.
+	platformCallsPerSecond = 760
 )
 
-// TestAFleetThatStartsLeavesThePlatformItsRate: all agents that start at once read the list for themselves, and the owner's reading was
-// refused among theirs.
-func TestAFleetThatStartsLeavesThePlatformItsRate(t *testing.T) {
-	playFleet(t, largeZones, largeEach, largeRate, func(f *fleet) {
-		time.Sleep(startBound)
-		oldest := f.watchAges(4 * time.Second)
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiest(0), f.platform.refused)
-		require.Less(t, oldest, drainBound)
-		require.Zero(t, f.platform.refused)
-		require.Less(t, f.platform.busiest(0), largeRate/2)
+// TestFleetStartWithinPlatformRate guards against a fault at the start of a fleet: all agents read
+// the list at once, and the list reader's calls were rejected among theirs.
+func TestFleetStartWithinPlatformRate(t *testing.T) {
+	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
+		time.Sleep(fleetStartTime)
+		oldest := f.maxListAge(4 * time.Second)
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(0), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Zero(t, f.platform.rejected, "rejected platform calls")
+		require.Less(t, f.platform.busiestSecond(0), platformCallsPerSecond/2, "calls in the busiest second")
 	})
 }
 
-// TestTheListsOwnerIsLost: the others all read for themselves, at a rate above the platform's, and the next owner was refused among them.
-func TestTheListsOwnerIsLost(t *testing.T) {
-	playFleet(t, largeZones, largeEach, largeRate, func(f *fleet) {
-		time.Sleep(startBound)
-		f.lose(f.owner())
-		oldest := f.watchAges(8 * time.Second)
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiest(startBound), f.platform.refused)
-		require.Less(t, oldest, drainBound)
-		require.Less(t, f.platform.busiest(startBound), largeRate/2)
+// TestListReaderCrash guards against a fault after a crash of the list reader: all other agents
+// read the list at more than the platform's rate, and the next reader's calls were rejected among
+// theirs.
+func TestListReaderCrash(t *testing.T) {
+	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
+		time.Sleep(fleetStartTime)
+		f.crash(f.listReader())
+		oldest := f.maxListAge(8 * time.Second)
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/2, "calls in the busiest second")
 	})
 }
 
-// TestTwoHubsOfAZoneAreLost: its agents heard nothing until the members were told, and read for themselves.
-func TestTwoHubsOfAZoneAreLost(t *testing.T) {
-	playFleet(t, largeZones, largeEach, largeRate, func(f *fleet) {
-		time.Sleep(startBound)
-		f.lose(f.hub("z1"))
-		oldest := f.watchAges(membersToldAfter + 500*time.Millisecond)
-		f.lose(f.hub("z1"))
-		oldest = max(oldest, f.watchAges(8*time.Second))
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiest(startBound), f.platform.refused)
-		require.Less(t, oldest, drainBound)
-		require.Less(t, f.platform.busiest(startBound), largeRate/4)
+// TestSuccessiveHubCrashes guards against a fault after two crashes of a zone's hub: the zone's
+// agents received nothing until the members were updated, and each read the list itself.
+func TestSuccessiveHubCrashes(t *testing.T) {
+	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
+		time.Sleep(fleetStartTime)
+		f.crash(f.hub("z1"))
+		oldest := f.maxListAge(memberRemovalDelay + 500*time.Millisecond)
+		f.crash(f.hub("z1"))
+		oldest = max(oldest, f.maxListAge(8*time.Second))
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/4, "calls in the busiest second")
 	})
 }
 
-// TestThePlatformIsBack: after an outage the list is known to all again within the bound, though each had lacked it.
-func TestThePlatformIsBack(t *testing.T) {
-	playFleet(t, largeZones, largeEach, largeRate, func(f *fleet) {
-		time.Sleep(startBound)
+// TestPlatformOutageRecovery checks that after a platform outage all agents have a current list
+// within maxDrainDelay, although each had an outdated one.
+func TestPlatformOutageRecovery(t *testing.T) {
+	runFleet(t, largeZoneCount, largeZoneAgents, platformCallsPerSecond, func(f *fleet) {
+		time.Sleep(fleetStartTime)
 		f.platform.setDown(true)
 		time.Sleep(6 * time.Second)
 		f.platform.setDown(false)
-		time.Sleep(drainBound)
-		oldest := f.watchAges(4 * time.Second)
-		t.Logf("oldest list %v, busiest second %d calls, %d refused", oldest, f.platform.busiest(startBound), f.platform.refused)
-		require.Less(t, oldest, drainBound)
-		require.Less(t, f.platform.busiest(startBound), largeRate/2)
+		time.Sleep(maxDrainDelay)
+		oldest := f.maxListAge(4 * time.Second)
+		t.Logf("oldest list %v old, %d calls in the busiest second, %d rejected", oldest, f.platform.busiestSecond(fleetStartTime), f.platform.rejected)
+		require.Less(t, oldest, maxDrainDelay, "age of the oldest list")
+		require.Less(t, f.platform.busiestSecond(fleetStartTime), platformCallsPerSecond/2, "calls in the busiest second")
 	})
 }
 
-// TestAnAgentThatJoinsBecomesTheOwner: its readings must not be numbered below those that all others know.
-func TestAnAgentThatJoinsBecomesTheOwner(t *testing.T) {
-	playFleet(t, 3, 12, largeRate, func(f *fleet) {
-		time.Sleep(startBound)
+// TestJoiningAgentBecomesListReader checks that the lists read by a joining agent are not ignored.
+// Its revisions must not start below those that the other agents know.
+func TestJoiningAgentBecomesListReader(t *testing.T) {
+	runFleet(t, 3, 12, platformCallsPerSecond, func(f *fleet) {
+		time.Sleep(fleetStartTime)
 		f.run(f.addOwner("z1", "127.1.0.100"))
-		time.Sleep(joinBound)
-		oldest := f.watchAges(3 * time.Second)
-		t.Logf("oldest list %v", oldest)
-		require.Less(t, oldest, listStale)
+		time.Sleep(joinTime)
+		oldest := f.maxListAge(3 * time.Second)
+		t.Logf("oldest list %v old", oldest)
+		require.Less(t, oldest, successorReadAge, "age of the oldest list")
 	})
 }
