--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -21,7 +21,7 @@
 	"nettlefold/internal/settings/local"
 )
 
-// freePort gives a port that nobody listens on.
+// freePort returns a TCP port on which nothing listens.
 func freePort(t *testing.T) int {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// alone is the settings of a core of one machine.
+// singleNodeSettings returns the settings of a core of one machine.
 func singleNodeSettings(t *testing.T) *local.Settings {
 	control := "127.0.0.1:" + strconv.Itoa(freePort(t))
 	return &local.Settings{
@@ -39,7 +39,7 @@
 	}
 }
 
-// run starts a controller, and gives what stops it.
+// startController starts a controller and returns a function that stops it.
 func startController(t *testing.T, settings *local.Settings) (stop func()) {
 	t.Helper()
 	c, err := New(settings, zerolog.Nop())
@@ -48,13 +48,13 @@
 	ended, listening := make(chan error, 1), make(chan struct{})
 	go func() { ended <- c.Run(ctx) }()
 	go func() {
-		c.runInLoop(context.Background(), func() {}) // the owner works once all listen
+		c.runInLoop(context.Background(), func() {}) // the event loop starts after all listeners
 		close(listening)
 	}()
 	select {
 	case <-listening:
 	case err := <-ended:
-		require.NoError(t, err, "the controller ended at once")
+		require.NoError(t, err, "controller failed to start")
 	}
 	return func() {
 		cancel()
@@ -63,6 +63,7 @@
 	}
 }
 
+// sendRequest sends a request to the operator's API and returns the status and the body.
 func sendRequest(t *testing.T, settings *local.Settings, method, path, match, body string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+settings.ControlAddr+path, strings.NewReader(body))
@@ -70,18 +71,22 @@
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	return answer.StatusCode, string(text)
+	return response.StatusCode, string(text)
 }
 
+// configDocument returns a configuration whose route refers to service.
 func configDocument(version int, service string) string {
-	return fmt.Sprintf(`{"version":%d,"routes":[{"host":"h","path_prefix":"/","timeout_ms":10,"service":%q}],"services":[{"name":"s"}], "kept":"as sent"}`, version, service)
+	return fmt.Sprintf(`{"version":%d,"routes":[{"host":"h","path_prefix":"/","timeout_ms":10,"service":%q}],`+
+		`"services":[{"name":"s"}], "kept":"as sent"}`, version, service)
 }
 
+// TestOperatorAPI checks the responses of the operator's API, and that the configuration survives a
+// restart.
 func TestOperatorAPI(t *testing.T) {
 	settings := singleNodeSettings(t)
 	stop := startController(t, settings)
@@ -90,19 +95,19 @@
 		return status
 	}
 	status, _ := sendRequest(t, settings, http.MethodGet, "/v1/configuration", "", "")
-	require.Equal(t, 404, status, "none yet")
+	require.Equal(t, 404, status, "no configuration yet")
 	require.Equal(t, 200, put("0", configDocument(3, "s")))
-	require.Equal(t, 200, put("0", configDocument(3, "s")), "the same again")
-	require.Equal(t, 412, put("0", configDocument(9, "s")), "a rival")
-	require.Equal(t, 412, put("2", configDocument(9, "s")), "on a version that never was")
-	require.Equal(t, 400, put("3", configDocument(3, "s")), "the same version with another base")
+	require.Equal(t, 200, put("0", configDocument(3, "s")), "the same write again")
+	require.Equal(t, 412, put("0", configDocument(9, "s")), "another version on the same base")
+	require.Equal(t, 412, put("2", configDocument(9, "s")), "a base that never existed")
+	require.Equal(t, 400, put("3", configDocument(3, "s")), "a committed version with another base")
 	require.Equal(t, 400, put("3", configDocument(4, "nowhere")))
 	require.Equal(t, 400, put("3", configDocument(4, "s")[:20]))
 	require.Equal(t, 400, put("three", configDocument(4, "s")))
 	_, text := sendRequest(t, settings, http.MethodPut, "/v1/configuration", "3", configDocument(4, "nowhere"))
 	require.Contains(t, text, "/routes/0/service")
 	require.Equal(t, 200, put("3", configDocument(8, "s")))
-	require.Equal(t, 200, put("0", configDocument(3, "s")), "an order that was taken is never refused")
+	require.Equal(t, 200, put("0", configDocument(3, "s")), "a committed write is not refused later")
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -124,14 +129,15 @@
 	require.Contains(t, text, `"config_version": 8`)
 	stop()
 
-	stop = startController(t, settings) // again, on the same disk
+	stop = startController(t, settings) // restart on the same disk
 	defer stop()
 	status, text = sendRequest(t, settings, http.MethodGet, "/v1/configuration", "", "")
 	require.Equal(t, 200, status)
-	require.Equal(t, configDocument(8, "s"), text, "to the letter")
+	require.Equal(t, configDocument(8, "s"), text, "configuration must be unchanged byte for byte")
 }
 
-// TestIdentities: a seed's identity at the first start is known to all, any other empty disk is a newcomer that promises nothing.
+// TestReplicaIdentity: at the first start all machines derive the identity of a seed. Any other
+// empty disk gets a new identity and belongs to no view.
 func TestReplicaIdentity(t *testing.T) {
 	seed := singleNodeSettings(t)
 	c, err := New(seed, zerolog.Nop())
@@ -144,7 +150,7 @@
 	again.FirstStart = false
 	c, err = New(&again, zerolog.Nop())
 	require.NoError(t, err)
-	require.Equal(t, chain.NodeID(seed.ControlAddr+seedIdentitySuffix), c.replica.Self().ID, "its disk remembers")
+	require.Equal(t, chain.NodeID(seed.ControlAddr+seedIdentitySuffix), c.replica.Self().ID, "identity is stored on disk")
 	c.store.Close()
 
 	lost := again
@@ -160,12 +166,12 @@
 	elsewhere.ControlAddr, elsewhere.DataDirectory = "127.0.0.1:1", t.TempDir()
 	c, err = New(&elsewhere, zerolog.Nop())
 	require.NoError(t, err)
-	require.Zero(t, c.replica.View().Epoch, "it is no seed")
+	require.Zero(t, c.replica.View().Epoch, "epoch of a machine that is not a seed")
 	c.store.Close()
 }
 
-// TestADamagedDiskIsANewcomers: a machine whose state is damaged keeps a copy aside, and answers for nothing that it knew; also where the
-// settings still say that this is the first start.
+// TestDamagedStoreGetsNewIdentity: a machine whose store is damaged keeps a copy of it and joins
+// with a new identity, even if the settings still say that this is the first start.
 func TestDamagedStoreGetsNewIdentity(t *testing.T) {
 	settings := singleNodeSettings(t)
 	c, err := New(settings, zerolog.Nop())
@@ -188,41 +194,47 @@
 	require.Equal(t, text, kept)
 }
 
-// TestNothingIsToldWhenTheDiskFails: a step whose records were not synced has not happened.
+// TestFailedWriteSendsNoConfirmation: a step whose records could not be synced must not confirm a
+// read, and the controller is no longer current until the store is reopened.
 func TestFailedWriteSendsNoConfirmation(t *testing.T) {
 	settings := singleNodeSettings(t)
 	c, err := New(settings, zerolog.Nop())
 	require.NoError(t, err)
 	c.tick()
 	require.True(t, c.published.Load().current)
-	c.store.Close() // from here on each write fails
-	reader := make(chan struct{})
-	c.confirmationWaiters[77] = reader
+	c.store.Close() // every later write fails
+	waiter := make(chan struct{})
+	c.confirmationWaiters[77] = waiter
 	c.applyOutput(chain.Output{Records: []chain.Record{{Meta: &chain.Meta{Identity: "x"}}}, Confirmed: []uint64{77}})
 	select {
-	case <-reader:
-		t.Fatal("a reader was answered")
+	case <-waiter:
+		t.Fatal("read was confirmed although the write failed")
 	default:
 	}
 	require.False(t, c.published.Load().current)
 	require.False(t, c.diskFailedAt.IsZero())
 	c.diskFailedAt = c.diskFailedAt.Add(-reopenDelay)
-	c.tick() // the disk works again
+	c.tick() // reopens the store
 	require.True(t, c.diskFailedAt.IsZero())
 	require.Equal(t, chain.NodeID(settings.ControlAddr+seedIdentitySuffix), c.replica.Self().ID)
 	c.store.Close()
 }
 
-// TestSessionsAndMembers: each machine's newest life once, with a session here or elsewhere; what all have applied.
+// TestSessionsAndMembers: the member set contains the newest instance of each machine with a
+// session here or elsewhere, and the applied sequence number is the lowest of all sessions.
 func TestSessionsAndMembers(t *testing.T) {
 	c, err := New(singleNodeSettings(t), zerolog.Nop())
 	require.NoError(t, err)
 	defer c.store.Close()
-	agent := func(life, addr string) distribute.Agent { return distribute.Agent{ID: life, Addr: addr, Zone: "a"} }
+	agent := func(id, addr string) distribute.Agent { return distribute.Agent{ID: id, Addr: addr, Zone: "a"} }
 	c.recordCall(&distribute.WatchRequest{Agent: agent("f1/1", "10.0.0.1:1"), AppliedSeq: 5})
 	c.recordCall(&distribute.WatchRequest{Agent: agent("f2/1", "10.0.0.2:1"), AppliedSeq: 9})
-	c.receiveTable(&distribute.AgentTable{Controller: "x", Agents: []distribute.Agent{agent("f1/0", "10.0.0.1:1"), agent("f3/1", "10.0.0.3:1")}})
-	require.Equal(t, []distribute.Agent{agent("f1/1", "10.0.0.1:1"), agent("f2/1", "10.0.0.2:1"), agent("f3/1", "10.0.0.3:1")}, c.collectMembers().Agents)
+	c.receiveTable(&distribute.AgentTable{
+		Controller: "x", Agents: []distribute.Agent{agent("f1/0", "10.0.0.1:1"), agent("f3/1", "10.0.0.3:1")},
+	})
+	require.Equal(t, []distribute.Agent{
+		agent("f1/1", "10.0.0.1:1"), agent("f2/1", "10.0.0.2:1"), agent("f3/1", "10.0.0.3:1"),
+	}, c.collectMembers().Agents)
 	require.True(t, c.replica.AppliedEverywhere(c.sinceStart(), 5))
 	require.False(t, c.replica.AppliedEverywhere(c.sinceStart(), 6))
 	c.recordCall(&distribute.WatchRequest{Agent: agent("f1/2", "10.0.0.1:1"), AppliedSeq: 9})
@@ -230,28 +242,30 @@
 	require.Equal(t, "f1/2", c.collectMembers().Agents[0].ID)
 }
 
-// TestWhatWasNotWrittenIsNotShown: a step that commits in memory, and whose records the disk did not take, shows nothing new to agents and
-// readers; nor does what they do while the disk fails.
+// TestFailedWriteIsNotPublished: a step that commits in memory but whose records could not be
+// written publishes no new state to agents and readers, also not when agents call while the disk
+// fails.
 func TestFailedWriteIsNotPublished(t *testing.T) {
 	c, err := New(singleNodeSettings(t), zerolog.Nop())
 	require.NoError(t, err)
 	c.tick()
 	before := c.published.Load()
 	require.True(t, before.current)
-	c.store.Close() // from here on each write fails
+	c.store.Close() // every later write fails
 	_, out, err := c.replica.Propose(c.sinceStart(), &replicated.Operation{Kind: replicated.KindVersion, Model: "m", Version: 2})
 	require.NoError(t, err)
-	require.True(t, out.Committed, "this core of one commits at once")
+	require.True(t, out.Committed, "a core of one machine commits at once")
 	c.applyOutput(out)
 	for range 2 {
-		shown := c.published.Load()
-		require.Equal(t, before.state, shown.state)
-		require.Equal(t, before.view, shown.view)
-		require.False(t, shown.current)
+		published := c.published.Load()
+		require.Equal(t, before.state, published.state)
+		require.Equal(t, before.view, published.view)
+		require.False(t, published.current)
 		c.recordCall(&distribute.WatchRequest{Agent: distribute.Agent{ID: "f/1", Addr: "10.0.0.1:1"}})
 	}
 	c.diskFailedAt = c.diskFailedAt.Add(-reopenDelay)
-	c.tick() // the disk works again
-	require.NotEqual(t, before.instance(), c.published.Load().instance(), "what waits for numbers of the earlier replica asks again")
+	c.tick() // reopens the store
+	require.NotEqual(t, before.instance(), c.published.Load().instance(),
+		"calls that wait for a sequence number of the earlier replica must retry")
 	c.store.Close()
 }
--- a/internal/controller/fleet_load_test.go
+++ b/internal/controller/fleet_load_test.go
@@ -16,7 +16,7 @@
 	"nettlefold/internal/settings/local"
 )
 
-// loadFleet is core machines and the sessions of many agents on loopback addresses, for benchmarks.
+// benchmarkFleet runs core machines and the sessions of many agents on loopback addresses.
 type benchmarkFleet struct {
 	controllers []*Controller
 	replies     atomic.Int64
@@ -27,12 +27,14 @@
 	benchmarkControllers = 9
 	benchmarkAgents      = 291
 	benchmarkPort        = 21340
-	// loadCallLimit is an agent's patience with a controller.
+	// benchmarkCallTimeout is the time after which an agent tries another controller.
 	benchmarkCallTimeout = 800 * time.Millisecond
 )
 
+// benchmarkIP returns the loopback address of a controller.
 func benchmarkIP(i int) string { return fmt.Sprintf("127.0.7.%d", i+1) }
 
+// startControllers starts all controllers.
 func (f *benchmarkFleet) startControllers(ctx context.Context, b *testing.B) {
 	seeds := []string{}
 	for i := range 3 {
@@ -51,31 +53,34 @@
 	}
 }
 
-// runAgent keeps one agent's session, as its program does.
+// runAgent maintains the session of one agent as its program does.
 func (f *benchmarkFleet) runAgent(ctx context.Context, i int) {
 	pool := rpc.NewPool()
 	defer pool.Close()
-	self := distribute.Agent{ID: fmt.Sprintf("front-zone-%d/%016x%04x", i, time.Now().UnixNano(), i), Addr: fmt.Sprintf("10.0.%d.%d:7340", i/250, i%250), Zone: fmt.Sprint("z", i%6)}
+	self := distribute.Agent{
+		ID:   fmt.Sprintf("front-zone-%d/%016x%04x", i, time.Now().UnixNano(), i),
+		Addr: fmt.Sprintf("10.0.%d.%d:7340", i/250, i%250), Zone: fmt.Sprint("z", i%6),
+	}
 	request := distribute.WatchRequest{Agent: self}
-	known := []string{}
+	controllers := []string{}
 	for _, c := range f.controllers[:3] {
-		known = append(known, c.settings.InternalAddr(c.settings.IP))
+		controllers = append(controllers, c.settings.InternalAddr(c.settings.IP))
 	}
-	for at := 0; ctx.Err() == nil; {
-		addr := rendezvous.Top("session/"+self.Addr, known, len(known))[at%len(known)]
+	for attempt := 0; ctx.Err() == nil; {
+		addr := rendezvous.Top("session/"+self.Addr, controllers, len(controllers))[attempt%len(controllers)]
 		reply := new(distribute.WatchReply)
 		if err := pool.Call(ctx, benchmarkCallTimeout, addr, distribute.KindWatch, &request, reply); err != nil || !reply.HasQuorum {
-			at++
+			attempt++
 			continue
 		}
-		at = 0
+		attempt = 0
 		f.replies.Add(1)
 		if reply.Members != nil {
 			f.memberSets.Add(1)
 			request.MembersDigest = reply.Members.Digest
 		}
 		if len(reply.Controllers) > 0 {
-			known, request.Epoch = reply.Controllers, reply.Epoch
+			controllers, request.Epoch = reply.Controllers, reply.Epoch
 		}
 		if reply.Snapshot != nil {
 			request.AppliedSeq, request.ReceivedSeq, request.ConfigSeq = reply.Snapshot.Seq, reply.Snapshot.Seq, reply.Snapshot.ConfigSeq
@@ -83,7 +88,8 @@
 	}
 }
 
-// BenchmarkStartOfALargeFleet starts all machines at once and reports what the controllers did for so long.
+// BenchmarkLargeFleetStart starts all agents at once and reports the work of the event loops in the
+// first 10 seconds, the newest epoch, and the replies and full member sets sent.
 func BenchmarkLargeFleetStart(b *testing.B) {
 	for range b.N {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -97,10 +103,10 @@
 		var epoch uint64
 		for _, c := range f.controllers {
 			require.NoError(b, c.runInLoop(ctx, func() {
-				work := c.totalStats
-				work.add(&c.recentStats)
-				for i := range work.commands {
-					busy += work.commands[i].busy
+				stats := c.totalStats
+				stats.add(&c.recentStats)
+				for i := range stats.commands {
+					busy += stats.commands[i].busy
 				}
 				epoch = max(epoch, c.replica.View().Epoch)
 			}))
--- a/internal/controller/metrics_test.go
+++ b/internal/controller/metrics_test.go
@@ -10,7 +10,8 @@
 	"nettlefold/internal/distribute"
 )
 
-// TestFiguresOfTheCore: one head, all in touch, and a machine that is cut off says so.
+// TestControllerMetrics: there is one head, all machines are in contact with a quorum, and a
+// machine that is isolated reports that it is not.
 func TestControllerMetrics(t *testing.T) {
 	runCluster(t, 1, func(w *testCluster, random *rand.Rand) {
 		require.True(t, w.commitWithin(3*time.Second, random))
@@ -42,12 +43,12 @@
 	})
 }
 
-// figure reads one figure of a controller.
+// metric returns the value of one metric of a controller.
 func (w *testCluster) metric(ip, name string) float64 {
 	w.t.Helper()
 	set, err := w.machines[ip].controller.Metrics(w.t.Context())
 	require.NoError(w.t, err)
-	value, there := set.Value(name)
-	require.True(w.t, there, name)
+	value, found := set.Value(name)
+	require.True(w.t, found, "metric %s is missing", name)
 	return value
 }
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -15,7 +15,8 @@
 	"nettlefold/internal/distribute"
 )
 
-// TestHeartbeatsBehindSessionsWork: a message of another replica does not wait for the calls of many agents that came before it.
+// TestChainMessagesPrecedeSessionCalls: a message of another replica must not wait for agents'
+// calls that were queued before it, or heartbeats are late.
 func TestChainMessagesPrecedeSessionCalls(t *testing.T) {
 	c, err := New(singleNodeSettings(t), zerolog.Nop())
 	require.NoError(t, err)
@@ -32,7 +33,8 @@
 	require.Equal(t, commandChain, order[0])
 }
 
-// TestTablesOfAgentsThatBeginTogether: 291 agents that begin at one controller within half a second cost the others a few tables, not one each.
+// TestAgentTableBatching: 291 agents that call one controller within half a second cause a few
+// tables to be sent to the other controllers, not one per agent.
 func TestAgentTableBatching(t *testing.T) {
 	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
 		const agents, within = 291, 500 * time.Millisecond
@@ -44,27 +46,30 @@
 		time.Sleep(minTableInterval + agents*publishIntervalPerMember + 2*tickInterval)
 		require.Len(t, w.machines[ipOf(2)].controller.published.Load().members.Agents, agents)
 		tables := w.metric(ipOf(2), `controller_commands_total{kind="table"}`) - before
-		// the two other controllers' own, and one for each pace of this one
+		// one of each of the two other controllers, and one per minTableInterval of this one
 		require.LessOrEqual(t, tables, 2+float64((within+time.Second)/minTableInterval))
 		time.Sleep(time.Second)
 	})
 }
 
-// TestMembersFromAControllerOutOfTouch: its callers take none, so none are encoded for them.
+// TestNoMembersWithoutQuorum: the reply of a controller without a quorum contains no members, as
+// callers ignore them.
 func TestNoMembersWithoutQuorum(t *testing.T) {
 	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
 		w.watch(ipOf(1), agentInstance{distribute.Agent{ID: "f/1", Addr: "10.0.1.1:7340", Zone: "x"}, 0})
-		ask := func() *distribute.WatchReply {
-			reply, err := w.machines[ipOf(1)].controller.watch(context.Background(), &distribute.WatchRequest{Agent: distribute.Agent{ID: "f/2", Addr: "10.0.1.2:7340"}})
+		call := func() *distribute.WatchReply {
+			reply, err := w.machines[ipOf(1)].controller.watch(context.Background(), &distribute.WatchRequest{
+				Agent: distribute.Agent{ID: "f/2", Addr: "10.0.1.2:7340"},
+			})
 			require.NoError(t, err)
 			return reply
 		}
-		reply := ask()
+		reply := call()
 		require.True(t, reply.HasQuorum)
 		require.NotNil(t, reply.Members)
 		w.setIsolatedFromCore(true, ipOf(1))
 		time.Sleep(2 * time.Second)
-		reply = ask()
+		reply = call()
 		require.False(t, reply.HasQuorum)
 		require.Nil(t, reply.Members)
 		w.setIsolatedFromCore(false, ipOf(1))
@@ -72,7 +77,8 @@
 	})
 }
 
-// TestOneAgentComesToManyMembers: who has the members shown before is told of the one that came, and who has others of all.
+// TestMemberDeltaForOneAddedAgent: a caller with the previous member set receives a delta with the
+// added agent, and a caller with an unknown set receives all members.
 func TestMemberDeltaForOneAddedAgent(t *testing.T) {
 	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
 		const agents = 100
@@ -101,7 +107,8 @@
 	})
 }
 
-// TestInTouchAsSoonAsAViewIsNew: controllers do not wait for the next heartbeat's time before they tell each other that they have a view.
+// TestCurrentSoonAfterViewChange: after a view change controllers send a heartbeat at once instead
+// of waiting for the next interval, so they become current early.
 func TestCurrentSoonAfterViewChange(t *testing.T) {
 	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
 		w.addMachine(4, false)
@@ -116,27 +123,28 @@
 	})
 }
 
-// TestSessionsThatWaitedWhileAControllerStoodStill: calls that came meanwhile are worked through before the tick judges who is silent, and
-// those without a call get the time that was lost.
+// TestSessionsSurviveControllerStall: calls that arrived while the controller was stalled are
+// executed before the tick checks for expired sessions, and the timeouts of the other sessions are
+// extended by the stall.
 func TestSessionsSurviveControllerStall(t *testing.T) {
 	c, err := New(singleNodeSettings(t), zerolog.Nop())
 	require.NoError(t, err)
 	defer c.store.Close()
-	calls, waits := distribute.Agent{ID: "f/1", Addr: "10.0.1.1:1"}, distribute.Agent{ID: "f/2", Addr: "10.0.1.2:1"}
-	c.recordCall(&distribute.WatchRequest{Agent: calls})
-	c.recordCall(&distribute.WatchRequest{Agent: waits})
-	stoodStill := 2 * sessionTimeout
+	calling, waiting := distribute.Agent{ID: "f/1", Addr: "10.0.1.1:1"}, distribute.Agent{ID: "f/2", Addr: "10.0.1.2:1"}
+	c.recordCall(&distribute.WatchRequest{Agent: calling})
+	c.recordCall(&distribute.WatchRequest{Agent: waiting})
+	stall := 2 * sessionTimeout
 	for _, s := range c.sessions {
-		s.lastCallAt = s.lastCallAt.Add(-stoodStill)
+		s.lastCallAt = s.lastCallAt.Add(-stall)
 	}
-	c.sessions[calls.Addr].lastCallAt = time.Now().Add(-2 * stoodStill) // its silence is longer than the time that was lost
-	c.recentStats.lastTick = time.Now().Add(-stoodStill - tickInterval)
-	c.enqueue(commandSession, func() { c.recordCall(&distribute.WatchRequest{Agent: calls}) })
+	c.sessions[calling.Addr].lastCallAt = time.Now().Add(-2 * stall) // silent for longer than the stall
+	c.recentStats.lastTick = time.Now().Add(-stall - tickInterval)
+	c.enqueue(commandSession, func() { c.recordCall(&distribute.WatchRequest{Agent: calling}) })
 	c.drainCommands()
 	c.executeTick()
 	require.Len(t, c.sessions, 2)
-	require.False(t, c.sessions[calls.Addr].lastCallAt.After(time.Now()))
-	c.sessions[waits.Addr].lastCallAt = time.Now().Add(-stoodStill)
+	require.False(t, c.sessions[calling.Addr].lastCallAt.After(time.Now()))
+	c.sessions[waiting.Addr].lastCallAt = time.Now().Add(-stall)
 	c.executeTick()
 	require.Len(t, c.sessions, 1)
 }
--- a/internal/controller/simulated_test.go
+++ b/internal/controller/simulated_test.go
@@ -16,83 +16,89 @@
 	"nettlefold/internal/simtest"
 )
 
-// inWorld plays a core of three in a bubble.
-func runCluster(t *testing.T, seed uint64, play func(w *testCluster, random *rand.Rand)) {
+// runCluster runs a core of three machines in a synctest bubble, and checks afterwards that the
+// operator's calls are linearizable.
+func runCluster(t *testing.T, seed uint64, scenario func(w *testCluster, random *rand.Rand)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCluster(t, 3)
 		defer w.close()
 		time.Sleep(2 * time.Second)
-		play(w, rand.New(rand.NewPCG(seed, seed)))
+		scenario(w, rand.New(rand.NewPCG(seed, seed)))
 		w.requireLinearizable()
 	})
 }
 
-// TestCutOffForTwentySeconds: the machine that was cut off from the others answers the operator with nothing but 503 or silence, while the
-// others take writes; once it is back it has them.
+// TestIsolatedMachineRefusesRequests: for 20 seconds a machine isolated from the others answers the
+// operator only with status 503 or not at all, while the others commit writes. Afterwards it
+// returns the newest configuration.
 func TestIsolatedMachineRefusesRequests(t *testing.T) {
 	for i := 1; i <= 3; i++ {
 		runCluster(t, uint64(i), func(w *testCluster, random *rand.Rand) {
-			cut := ipOf(i)
+			isolated := ipOf(i)
 			require.True(t, w.commitWithin(3*time.Second, random))
-			w.setIsolatedFromCore(true, cut)
+			w.setIsolatedFromCore(true, isolated)
 			end := time.Now().Add(20 * time.Second)
-			refused, served := 0, 0
+			attempts, committed := 0, 0
 			for n := 0; time.Now().Before(end); n++ {
 				other := ipOf(i%3 + 1)
 				if version, ok := w.getConfig(other); ok && w.putConfig(other, version, version+1, fmt.Sprint(n)) == simtest.Taken {
-					served++
+					committed++
 				}
-				status, _ := w.request(cut, http.MethodGet, "/v1/configuration", "", "")
+				status, _ := w.request(isolated, http.MethodGet, "/v1/configuration", "", "")
 				require.Contains(t, []int{0, http.StatusServiceUnavailable}, status)
 				for path, method := range map[string]string{"/v1/evacuations/x": http.MethodPost, "/v1/version-put": http.MethodPost} {
-					status, _ = w.request(cut, method, path, "", `{"model":"m","version":1}`)
+					status, _ = w.request(isolated, method, path, "", `{"model":"m","version":1}`)
 					require.Contains(t, []int{0, http.StatusServiceUnavailable}, status)
 				}
-				require.Equal(t, simtest.Unclear, w.putConfig(cut, 999, 1000, "refused for good only if sure"))
-				refused++
+				require.Equal(t, simtest.Unclear, w.putConfig(isolated, 999, 1000, "outcome must be unknown"))
+				attempts++
 			}
-			require.Greater(t, served, 3)
-			require.Greater(t, refused, 3)
-			w.setIsolatedFromCore(false, cut)
+			require.Greater(t, committed, 3, "writes committed by the others")
+			require.Greater(t, attempts, 3, "writes tried at the isolated machine")
+			w.setIsolatedFromCore(false, isolated)
 			time.Sleep(3 * time.Second)
 			newest, ok := w.getConfig(ipOf(i%3 + 1))
 			require.True(t, ok)
-			again, ok := w.getConfig(cut)
+			again, ok := w.getConfig(isolated)
 			require.True(t, ok)
 			require.Equal(t, newest, again)
 		})
 	}
 }
 
-// More worlds than CI has time for: go test ./internal/controller -run TwoOperators -timeout 0 -worlds 500 -first 100.
+// To run more seeds than CI does:
+// go test ./internal/controller -run ConcurrentOperators -timeout 0 -worlds 500 -first 100
 var (
-	runsFlag      = flag.Uint64("worlds", 8, "worlds of two operators to play")
-	firstSeedFlag = flag.Uint64("first", 1, "the first one's seed")
+	runsFlag      = flag.Uint64("worlds", 8, "number of seeds of TestConcurrentOperatorsUnderFaults")
+	firstSeedFlag = flag.Uint64("first", 1, "first seed")
 )
 
-// TestTwoOperators: eight calls at a time with equal numbers, some sent again at other machines, while machines are cut off, end in order, are
-// killed, have their disks fail, and come back: one of two rivals is confirmed, what was acknowledged is never refused, and all reads fit.
+// TestConcurrentOperatorsUnderFaults: four operators write on the same base versions, and repeat
+// some writes at other machines, while machines are isolated, shut down, killed, or have their
+// disks fail. At most one of two conflicting writes is confirmed, an acknowledged write is never
+// refused later, and all reads are linearizable.
 func TestConcurrentOperatorsUnderFaults(t *testing.T) {
 	for seed := *firstSeedFlag; seed < *firstSeedFlag+*runsFlag; seed++ {
 		runCluster(t, seed, func(w *testCluster, random *rand.Rand) {
 			stop := make(chan struct{})
-			var all sync.WaitGroup
+			var operators sync.WaitGroup
 			for operator := range 4 {
-				own := rand.New(rand.NewPCG(seed, uint64(operator)))
-				all.Go(func() { runOperator(w, own, operator, stop) })
+				operatorRandom := rand.New(rand.NewPCG(seed, uint64(operator)))
+				operators.Go(func() { runOperator(w, operatorRandom, operator, stop) })
 			}
 			for range 6 {
 				injectFault(w, random)
 			}
 			close(stop)
-			all.Wait()
+			operators.Wait()
 			require.True(t, w.commitWithin(6*time.Second, random))
 		})
 	}
 }
 
-// operate is an operator who writes on top of what it reads, and sends again what got no clear answer.
+// runOperator writes on top of the version that it reads, and repeats a write without a clear
+// outcome up to twice.
 func runOperator(w *testCluster, random *rand.Rand, operator int, stop chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -113,38 +119,39 @@
 	}
 }
 
-// upset lets one thing happen to the machines, and ends with all of them there.
+// injectFault injects one random fault and ends with all machines running and connected.
 func injectFault(w *testCluster, random *rand.Rand) {
 	ip := ipOf(1 + random.IntN(3))
-	rest := time.Duration(500+random.IntN(2500)) * time.Millisecond
+	duration := time.Duration(500+random.IntN(2500)) * time.Millisecond
 	switch random.IntN(6) {
 	case 4, 5:
 		for range 1 + random.IntN(3) {
 			w.failDisk(ip)
-			time.Sleep(rest / 3)
+			time.Sleep(duration / 3)
 		}
 	case 0:
 		w.setIsolatedFromCore(true, ip)
-		time.Sleep(rest)
+		time.Sleep(duration)
 		w.setIsolatedFromCore(false, ip)
 	case 1:
 		w.stopMachine(ip, true)
-		time.Sleep(rest)
+		time.Sleep(duration)
 		w.startMachine(ip)
 	case 2:
 		w.stopMachine(ip, false)
-		time.Sleep(rest)
+		time.Sleep(duration)
 		w.startMachine(ip)
 	case 3:
 		other := ipOf(1 + random.IntN(3))
 		w.setLinkCut(true, ip, other)
-		time.Sleep(rest)
+		time.Sleep(duration)
 		w.setLinkCut(false, ip, other)
 	}
 	time.Sleep(1500 * time.Millisecond)
 }
 
-// TestToldToEndAnswersItsCalls: a controller that is told to end hands over, answers the calls that it has, and its last order is there.
+// TestGracefulShutdownAnswersRequests: a controller that shuts down hands off its role and answers
+// the requests in progress, and the others can commit soon after.
 func TestGracefulShutdownAnswersRequests(t *testing.T) {
 	for i := 1; i <= 3; i++ {
 		runCluster(t, uint64(i), func(w *testCluster, random *rand.Rand) {
@@ -152,18 +159,19 @@
 			version, ok := w.getConfig(ipOf(i))
 			require.True(t, ok)
 			answered := make(chan simtest.Outcome)
-			go func() { answered <- w.putConfig(ipOf(i), version, version+1, "the last") }()
+			go func() { answered <- w.putConfig(ipOf(i), version, version+1, "during shutdown") }()
 			time.Sleep(4 * simtest.Latency)
 			began := time.Now()
 			w.stopMachine(ipOf(i), true)
 			require.Less(t, time.Since(began), 2*time.Second)
 			require.NotEqual(t, simtest.Refused, <-answered)
-			require.True(t, w.commitWithin(time.Second, random), "the others go on at once")
+			require.True(t, w.commitWithin(time.Second, random), "the other machines must commit within 1 s")
 		})
 	}
 }
 
-// TestDamagedDiskInTheCore: a machine finds its state damaged, comes back as a newcomer, and the core bears the loss of another.
+// TestDamagedStoreInCluster: a machine with a damaged store rejoins with a new identity, after
+// which the core tolerates the loss of another machine.
 func TestDamagedStoreInCluster(t *testing.T) {
 	runCluster(t, 1, func(w *testCluster, random *rand.Rand) {
 		for range 5 {
@@ -180,10 +188,11 @@
 	})
 }
 
-// TestAnOrderHeldUpOnItsWay: an evacuation sits behind a cut while the operator gives it up, has it taken elsewhere, and takes it back; when
-// the link heals the old order comes to nothing.
+// TestDelayedEvacuationIsSuperseded: an evacuation is delayed by a cut link while the operator
+// gives up, has it committed through another machine, and reverts it. When the link heals, the
+// delayed evacuation must not take effect.
 func TestDelayedEvacuationIsSuperseded(t *testing.T) {
-	for _, held := range []time.Duration{300, 600, 850} {
+	for _, delay := range []time.Duration{300, 600, 850} {
 		runCluster(t, 1, func(w *testCluster, random *rand.Rand) {
 			require.True(t, w.commitWithin(3*time.Second, random))
 			head, _, _ := strings.Cut(w.machines[ipOf(1)].controller.published.Load().view.Acceptors[0].Addr, ":")
@@ -203,11 +212,11 @@
 				w.request(contact, http.MethodPost, "/v1/evacuations/x", "", "")
 				close(done)
 			}()
-			time.Sleep(5 * simtest.Latency) // it has read what the order is based on, or is about to
+			time.Sleep(5 * simtest.Latency) // the contact has read the base of the operation, or is about to
 			w.setLinkCut(true, contact, head)
 			require.Equal(t, 200, statusCode(w.request(other, http.MethodPost, "/v1/evacuations/x", "", "")))
 			require.Equal(t, 200, statusCode(w.request(other, http.MethodDelete, "/v1/evacuations/x", "", "")))
-			time.Sleep(held * time.Millisecond)
+			time.Sleep(delay * time.Millisecond)
 			w.setLinkCut(false, contact, head)
 			time.Sleep(3 * time.Second)
 			<-done
@@ -216,6 +225,7 @@
 	}
 }
 
+// statusCode returns the first result of testCluster.request.
 func statusCode(code int, _ string) int { return code }
 
 func TestMain(m *testing.M) { simtest.Main(m) }
--- a/internal/controller/spread_test.go
+++ b/internal/controller/spread_test.go
@@ -10,7 +10,8 @@
 	"nettlefold/internal/metrics"
 )
 
-// TestSpreadOfCommittedNumbers: each number counts once when the last agent has it, and once when it is in force everywhere.
+// TestPropagationTracker: each sequence number is counted once when the last agent has received it,
+// and once when the last agent has applied it.
 func TestPropagationTracker(t *testing.T) {
 	var s propagationTracker
 	s.recordCommit(time.Second, 1)
@@ -28,17 +29,19 @@
 	_, took = s.oldestPending(13 * time.Second)
 	require.Zero(t, took)
 
-	requireMetrics(t, &s.applied, map[string]float64{`bucket{le="1"}`: 0, `bucket{le="2"}`: 1, `bucket{le="6"}`: 1, `bucket{le="+Inf"}`: 2, "count": 2, "sum": 11.2})
+	requireMetrics(t, &s.applied, map[string]float64{
+		`bucket{le="1"}`: 0, `bucket{le="2"}`: 1, `bucket{le="6"}`: 1, `bucket{le="+Inf"}`: 2, "count": 2, "sum": 11.2,
+	})
 }
 
-// requireFigures holds a histogram to some of its figures.
+// requireMetrics checks some of the values of a histogram.
 func requireMetrics(t *testing.T, h *metrics.Histogram, want map[string]float64) {
 	t.Helper()
 	set := metrics.NewSet()
 	h.AddTo(set, "x")
-	for name, figure := range want {
-		value, there := set.Value("x_" + name)
-		require.True(t, there, name)
-		require.InDelta(t, figure, value, 1e-9, name)
+	for name, wantValue := range want {
+		value, found := set.Value("x_" + name)
+		require.True(t, found, "metric %s is missing", name)
+		require.InDelta(t, wantValue, value, 1e-9, name)
 	}
 }
--- a/internal/controller/tallies_api_test.go
+++ b/internal/controller/tallies_api_test.go
@@ -10,6 +10,7 @@
 	"nettlefold/internal/tally"
 )
 
+// TestParseAdd checks a valid body with an unknown field, invalid bodies, and invalid names.
 func TestParseAdd(t *testing.T) {
 	add, err := parseAdd("t3", []byte(`{"id":"5c0e7a21d94b36f8","by":4,"more":[]}`))
 	require.NoError(t, err)
@@ -21,7 +22,7 @@
 		_, err := parseAdd("t3", []byte(body))
 		require.Error(t, err, body)
 	}
-	_, err = parseAdd("\xff", []byte(`{"id":"a","by":1}`)) // it could not be told to other machines
+	_, err = parseAdd("\xff", []byte(`{"id":"a","by":1}`)) // could not be sent to other machines
 	require.ErrorIs(t, err, errInvalidName)
 	_, err = parseAdd(strings.Repeat("t", 129), []byte(`{"id":"a","by":1}`))
 	require.ErrorIs(t, err, errInvalidName)
@@ -38,10 +39,10 @@
 		}
 		encoded, err := cbor.Marshal(add)
 		if err != nil || cbor.Unmarshal(encoded, &tally.Add{}) != nil {
-			t.Fatalf("%q was taken as %v, which cannot be told", body, add)
+			t.Fatalf("parseAdd of %q: got %v, which cannot be encoded and decoded", body, add)
 		}
 		if !validName(add.ID) || add.By > maxAmount || add.By < -maxAmount {
-			t.Fatalf("%q was taken as %v", body, add)
+			t.Fatalf("parseAdd of %q: got invalid add %v", body, add)
 		}
 	})
 }
--- a/internal/controller/tallies_sockets_test.go
+++ b/internal/controller/tallies_sockets_test.go
@@ -19,45 +19,45 @@
 	"nettlefold/internal/tally"
 )
 
-// socketNetwork is the machine's own TCP, in which addresses of the loopback can be cut off from each other: their connections end, and
-// none are made.
+// socketNetwork is the TCP network of the host, in which loopback addresses can be isolated from
+// each other: their connections are closed, and new ones hang.
 type socketNetwork struct {
 	mu       sync.Mutex
-	isolated map[string]bool // hosts that reach no other
-	conns    map[net.Conn][2]string
+	isolated map[string]bool        // hosts that can reach no other
+	conns    map[net.Conn][2]string // local and remote IP of each connection
 }
 
 func newSocketNetwork() *socketNetwork {
 	return &socketNetwork{isolated: map[string]bool{}, conns: map[net.Conn][2]string{}}
 }
 
-// cutOff cuts a host off from all others, or joins it again.
-func (n *socketNetwork) setIsolated(cut bool, ip string) {
+// setIsolated isolates a host from all others, or reconnects it.
+func (n *socketNetwork) setIsolated(isolated bool, ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.isolated[ip] = cut
+	n.isolated[ip] = isolated
 	for conn, ends := range n.conns {
-		if cut && (ends[0] == ip || ends[1] == ip) {
+		if isolated && (ends[0] == ip || ends[1] == ip) {
 			conn.Close()
 			delete(n.conns, conn)
 		}
 	}
 }
 
-// socketHost is the network as one host sees it.
+// socketHost is the network as seen by one host.
 type socketHost struct {
 	rpc.TCP
 	network *socketNetwork
 	ip      string
 }
 
-// Dial connects as TCP does. Behind a cut it hangs until its limit.
+// Dial connects by TCP. To or from an isolated host it waits until ctx ends.
 func (h *socketHost) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ip, _, _ := strings.Cut(addr, ":")
 	h.network.mu.Lock()
-	cut := h.network.isolated[ip] || h.network.isolated[h.ip]
+	isolated := h.network.isolated[ip] || h.network.isolated[h.ip]
 	h.network.mu.Unlock()
-	if cut {
+	if isolated {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -71,7 +71,7 @@
 	return conn, nil
 }
 
-// socketCore is three controllers that meet over real sockets.
+// socketCluster is three controllers that communicate over real sockets.
 type socketCluster struct {
 	t           *testing.T
 	network     *socketNetwork
@@ -81,10 +81,10 @@
 
 func newSocketCluster(t *testing.T) *socketCluster {
 	c := &socketCluster{t: t, network: newSocketNetwork()}
-	net := fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(255))
+	subnet := fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(255))
 	var seeds []string
 	for i := range 3 {
-		c.ips = append(c.ips, fmt.Sprintf("%s.%d", net, i+1))
+		c.ips = append(c.ips, fmt.Sprintf("%s.%d", subnet, i+1))
 		seeds = append(seeds, c.ips[i]+":8783")
 	}
 	for i, ip := range c.ips {
@@ -108,7 +108,7 @@
 	return c
 }
 
-// add adds at a machine, and tries again until it is acknowledged.
+// add submits an add to a machine and retries until it is acknowledged.
 func (c *socketCluster) add(i int, id string) {
 	require.Eventually(c.t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
@@ -117,21 +117,21 @@
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
-// addMany adds at a machine, many at a time.
+// addConcurrently submits adds to a machine from concurrent callers.
 func (c *socketCluster) addConcurrently(i int, prefix string, count int) {
 	const callers = 64
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for caller := range callers {
-		all.Go(func() {
+		group.Go(func() {
 			for n := caller; n < count; n += callers {
 				c.add(i, fmt.Sprint(prefix, n))
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// waitFor waits until all machines read a total.
+// waitForTotal waits until all machines read a total.
 func (c *socketCluster) waitForTotal(total int64) {
 	require.Eventually(c.t, func() bool {
 		for _, controller := range c.controllers {
@@ -144,11 +144,13 @@
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
-// More adds than CI has time for: go test ./internal/controller -run MergeOverSockets -v -adds 3000.
-var addsFlag = flag.Int("adds", 200, "adds on each side of a cut")
+// addsFlag allows more adds than CI does:
+// go test ./internal/controller -run MergeOverSockets -v -adds 3000
+var addsFlag = flag.Int("adds", 200, "adds on each side of a partition")
 
-// TestSidesOfACutMergeOverSockets: a machine that is cut off and the other two each take adds, one of them the same; when the cut heals all
-// three read the sum. The log has how long that took.
+// TestPartitionedAddsMergeOverSockets: an isolated machine and the other two each accept adds, one
+// of them with the same ID. After the partition heals, all three read the sum. The time that this
+// takes is logged.
 func TestPartitionedAddsMergeOverSockets(t *testing.T) {
 	c := newSocketCluster(t)
 	c.add(0, "first")
@@ -158,14 +160,14 @@
 		c.network.setIsolated(true, c.ips[0])
 		c.add(0, fmt.Sprint("both ", round))
 		c.add(1, fmt.Sprint("both ", round))
-		cut := time.Now()
+		partitioned := time.Now()
 		c.addConcurrently(0, fmt.Sprint("alone ", round, " "), adds)
 		c.addConcurrently(1, fmt.Sprint("others ", round, " "), adds)
 		total += 1 + 2*int64(adds)
 		c.network.setIsolated(false, c.ips[0])
-		t.Logf("%d adds on each side took %v", adds, time.Since(cut).Round(time.Millisecond))
+		t.Logf("%d adds on each side took %v", adds, time.Since(partitioned).Round(time.Millisecond))
 		healed := time.Now()
 		c.waitForTotal(total)
-		t.Logf("%d adds on each side: merged %v after the cut", adds, time.Since(healed).Round(time.Millisecond))
+		t.Logf("%d adds on each side: merged %v after the partition healed", adds, time.Since(healed).Round(time.Millisecond))
 	}
 }
--- a/internal/controller/tallies_test.go
+++ b/internal/controller/tallies_test.go
@@ -12,24 +12,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// inTallyWorld plays a core of three that keeps tallies, in a bubble.
-func runTallyCluster(t *testing.T, play func(w *testCluster)) {
+// runTallyCluster runs a core of three machines with tallies in a synctest bubble.
+func runTallyCluster(t *testing.T, scenario func(w *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestClusterWithContracts(t, 3, contractTallies)
 		defer w.close()
 		time.Sleep(2 * time.Second)
-		play(w)
+		scenario(w)
 	})
 }
 
-// addTo adds at a machine: the status, 0 where no answer came in time.
+// addToTally submits an add to a machine and returns the HTTP status, 0 if there was no answer in
+// time.
 func (w *testCluster) addToTally(ip, name, id string, by int) int {
 	status, _ := w.request(ip, http.MethodPost, "/v1/tallies/"+name, "", fmt.Sprintf(`{"id":%q,"by":%d}`, id, by))
 	return status
 }
 
-// totalAt reads a tally at a machine, -1 where it is not answered.
+// tallyTotal reads a tally at a machine and returns its total, -1 if the read failed.
 func (w *testCluster) tallyTotal(ip, name string) int {
 	status, text := w.request(ip, http.MethodGet, "/v1/tallies/"+name, "", "")
 	total := -1
@@ -76,7 +77,8 @@
 	})
 }
 
-// TestFiguresOfTallies: during a cut each side tells how many others it reaches and what they lack.
+// TestTallyMetrics: during a partition each side reports how many peers it reaches and what they
+// lack.
 func TestTallyMetrics(t *testing.T) {
 	runTallyCluster(t, func(w *testCluster) {
 		require.Equal(t, 2.0, w.metric(ipOf(1), "tally_peers_in_reach"))
@@ -95,7 +97,7 @@
 	})
 }
 
-// TestWithoutTheContractThereAreNoTallies: no route, no file.
+// TestTalliesDisabledWithoutContract: without the contract there is neither a route nor a file.
 func TestTalliesDisabledWithoutContract(t *testing.T) {
 	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
 		require.Equal(t, http.StatusNotFound, w.addToTally(ipOf(1), "t", "a", 1))
@@ -105,7 +107,7 @@
 	})
 }
 
-// TestAnAddNeedsNoSlowAnswer: with all machines there, an add takes some round trips and no timer.
+// TestAddLatency: with all machines running, an add takes a few round trips and waits for no timer.
 func TestAddLatency(t *testing.T) {
 	runTallyCluster(t, func(w *testCluster) {
 		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "first", 1))
@@ -115,7 +117,8 @@
 	})
 }
 
-// TestARestartedMachineStillTellsTheOthers: whatever its clock began at before, its adds come to the others soon.
+// TestAddsPropagateAfterRestart: after each restart, whatever the base of the machine's clock, its
+// adds reach the others within 50 ms.
 func TestAddsPropagateAfterRestart(t *testing.T) {
 	runTallyCluster(t, func(w *testCluster) {
 		for n := range 8 {
@@ -129,7 +132,8 @@
 	})
 }
 
-// TestALostDiskLearnsBeforeItIsRead: cut off from the others an empty disk answers no read; once it reaches them it reads what they hold.
+// TestEmptyDiskCatchesUpBeforeReads: an isolated machine with an empty disk answers no read, also
+// not after another start. Once it reaches the others, it catches up and reads what they have.
 func TestEmptyDiskCatchesUpBeforeReads(t *testing.T) {
 	runTallyCluster(t, func(w *testCluster) {
 		for n := range 5 {
@@ -144,12 +148,12 @@
 			time.Sleep(time.Second)
 			require.Equal(t, -1, w.tallyTotal(ipOf(1), "t"))
 		}
-		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "apart", 1), "it takes adds all the same")
+		require.Equal(t, http.StatusOK, w.addToTally(ipOf(1), "t", "apart", 1), "adds are accepted before reads are")
 		w.stopMachine(ipOf(1), false)
 		w.setIsolatedFromCore(true, ipOf(1))
 		w.startMachine(ipOf(1))
 		time.Sleep(4 * time.Second)
-		require.Equal(t, -1, w.tallyTotal(ipOf(1), "t"), "also after another start")
+		require.Equal(t, -1, w.tallyTotal(ipOf(1), "t"), "read after another start of the isolated machine")
 		w.setIsolatedFromCore(false, ipOf(1))
 		time.Sleep(3 * time.Second)
 		for i := 1; i <= 3; i++ {
@@ -158,7 +162,8 @@
 	})
 }
 
-// TestAllLosePowerAndOneItsDisk: what was acknowledged is read at all machines soon after.
+// TestFullRestartWithOneLostDisk: all machines lose power and one loses its disk. All machines read
+// the acknowledged adds soon after.
 func TestFullRestartWithOneLostDisk(t *testing.T) {
 	runTallyCluster(t, func(w *testCluster) {
 		for n := range 5 {
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -21,11 +21,12 @@
 	"nettlefold/internal/simtest"
 )
 
-// A world plays whole controllers, their own code with its goroutines, store and HTTP, in a synctest bubble: time passes only when all wait,
-// and the machines meet over a network in memory that delays, holds up and cuts.
-
+// testPort is the first port of the machines.
 const testPort = 7340
 
+// testCluster runs complete controllers with their goroutines, stores and HTTP servers in a
+// synctest bubble, where time advances only while all goroutines wait. The machines communicate
+// over an in-memory network that can delay and cut links.
 type testCluster struct {
 	t         *testing.T
 	dir       string
@@ -33,12 +34,12 @@
 	machines  map[string]*testMachine
 
 	network *simtest.Network
-	mu      sync.Mutex // of calls
+	mu      sync.Mutex // guards calls
 	start   time.Time
 	calls   []simtest.Call
 }
 
-// worldMachine is a core machine and the process that runs on it, if one does.
+// testMachine is a core machine and the controller that runs on it, if one does.
 type testMachine struct {
 	ip         string
 	settings   *local.Settings
@@ -47,25 +48,32 @@
 	done       chan struct{}
 }
 
+// newTestCluster starts a cluster of n machines.
 func newTestCluster(t *testing.T, n int) *testCluster { return newTestClusterWithContracts(t, n) }
 
-// newWorldOf is a world under more parts of the rules.
+// newTestClusterWithContracts starts a cluster of n machines under the given contracts.
 func newTestClusterWithContracts(t *testing.T, n int, contracts ...string) *testCluster {
-	w := &testCluster{t: t, dir: t.TempDir(), contracts: contracts, machines: map[string]*testMachine{}, network: simtest.NewNetwork(), start: time.Now()}
+	w := &testCluster{
+		t: t, dir: t.TempDir(), contracts: contracts, machines: map[string]*testMachine{},
+		network: simtest.NewNetwork(), start: time.Now(),
+	}
 	for i := range n {
 		w.addMachine(i+1, true)
 	}
 	return w
 }
 
+// ipOf returns the address of machine i, counted from 1.
 func ipOf(i int) string { return fmt.Sprintf("10.0.0.%d", i) }
 
-// add places a machine, with an empty disk, and starts it.
+// addMachine adds a machine with an empty disk and starts it.
 func (w *testCluster) addMachine(i int, first bool) {
 	ip := ipOf(i)
 	settings := &local.Settings{
 		NodeName: "core-" + ip, IP: ip, Zone: "zone-" + ip, Zones: map[string]string{"x": "r", "y": "r"}, ControlAddr: ip + ":8783",
-		FirstStart: first, Contracts: w.contracts, MemoryMB: 256, FirstPort: testPort, LastPort: testPort + 10, MachineFaultTolerance: 1, DataDirectory: filepath.Join(w.dir, fmt.Sprint(i, "-", len(w.calls), "-", time.Now().UnixNano())),
+		FirstStart: first, Contracts: w.contracts, MemoryMB: 256,
+		FirstPort: testPort, LastPort: testPort + 10, MachineFaultTolerance: 1,
+		DataDirectory: filepath.Join(w.dir, fmt.Sprint(i, "-", len(w.calls), "-", time.Now().UnixNano())),
 	}
 	for seed := 1; seed <= 3; seed++ {
 		settings.Seeds = append(settings.Seeds, ipOf(seed)+":8783")
@@ -75,7 +83,7 @@
 	w.startMachine(ip)
 }
 
-// boot starts a machine's process on what is on its disk.
+// startMachine starts a machine's controller on its present disk.
 func (w *testCluster) startMachine(ip string) {
 	m := w.machines[ip]
 	c, err := newWithNetwork(w.network.Host(ip), m.settings, zerolog.Nop())
@@ -90,10 +98,10 @@
 	}()
 }
 
-// end ends a machine's process: told to, with its grace, or at once and without a word.
-func (w *testCluster) stopMachine(ip string, grace bool) {
+// stopMachine stops a machine's controller: gracefully, or abruptly without any message to others.
+func (w *testCluster) stopMachine(ip string, graceful bool) {
 	m := w.machines[ip]
-	if !grace {
+	if !graceful {
 		w.setIsolated(true, ip)
 		m.controller.enqueue(commandOther, func() { m.controller.settings.Bounds.Grace = 0 })
 	}
@@ -102,11 +110,12 @@
 	m.controller.pool.Close()
 	m.controller.store.Close()
 	w.network.CloseHost(ip)
-	if !grace {
+	if !graceful {
 		w.setIsolated(false, ip)
 	}
 }
 
+// close stops all machines.
 func (w *testCluster) close() {
 	for ip := range w.machines {
 		if m := w.machines[ip]; m.controller != nil {
@@ -120,7 +129,7 @@
 	time.Sleep(simtest.Settled)
 }
 
-// separate cuts a machine off from all others, or joins it again.
+// setIsolated cuts all links of a machine, including those of the operator, or restores them.
 func (w *testCluster) setIsolated(cut bool, ip string) {
 	for other := range w.machines {
 		w.setLinkCut(cut, ip, other)
@@ -130,7 +139,8 @@
 	w.setLinkCut(cut, operatorIP, ip)
 }
 
-// separateCore cuts some machines off from the other machines; the operator reaches them on.
+// setIsolatedFromCore cuts or restores the links between the given machines and the other machines.
+// The operator still reaches all of them.
 func (w *testCluster) setIsolatedFromCore(cut bool, ips ...string) {
 	side := map[string]bool{}
 	for _, ip := range ips {
@@ -145,9 +155,10 @@
 	}
 }
 
+// setLinkCut cuts or restores the link in one direction.
 func (w *testCluster) setLinkCut(cut bool, from, to string) { w.network.Cut(cut, from, to) }
 
-// put writes a configuration at a machine and notes the call for the check of the history.
+// putConfig writes a configuration at a machine and records the call for the linearizability check.
 func (w *testCluster) putConfig(ip string, base, version int64, mark string) simtest.Outcome {
 	body := configDocument(int(version), "s")
 	body = strings.Replace(body, "as sent", mark, 1)
@@ -163,7 +174,8 @@
 	return call.Outcome
 }
 
-// get reads the configuration at a machine and notes it; false where no answer came.
+// getConfig reads the configuration at a machine and records the call; ok is false if there was no
+// response.
 func (w *testCluster) getConfig(ip string) (version int64, ok bool) {
 	call := simtest.Call{Outcome: simtest.Taken, Start: time.Since(w.start)}
 	status, text := w.request(ip, http.MethodGet, "/v1/configuration", "", "")
@@ -179,6 +191,7 @@
 	return call.Version, true
 }
 
+// recordCall records a call that ends now.
 func (w *testCluster) recordCall(call simtest.Call) {
 	call.End = time.Since(w.start)
 	w.mu.Lock()
@@ -186,9 +199,10 @@
 	w.calls = append(w.calls, call)
 }
 
-// taken has a write taken by anybody, within so long.
-func (w *testCluster) commitWithin(within time.Duration, random *rand.Rand) bool {
-	end := time.Now().Add(within)
+// commitWithin reports whether a write could be committed at any running machine within a time
+// limit.
+func (w *testCluster) commitWithin(limit time.Duration, random *rand.Rand) bool {
+	end := time.Now().Add(limit)
 	for time.Now().Before(end) {
 		for ip, m := range w.machines {
 			select {
@@ -206,19 +220,20 @@
 	return false
 }
 
+// requireLinearizable checks that the recorded calls are linearizable.
 func (w *testCluster) requireLinearizable() {
 	w.t.Helper()
-	require.True(w.t, simtest.Linearizable(w.calls), "the operator's calls cannot be put in an order")
+	require.True(w.t, simtest.Linearizable(w.calls), "the operator's calls are not linearizable")
 }
 
-// storeFile is the newest file of a machine's store.
+// storeFile returns the path of the newest file of a machine's store.
 func (w *testCluster) storeFile(ip string) string {
 	files, err := filepath.Glob(filepath.Join(w.machines[ip].settings.DataDirectory, "state-*.db"))
 	require.NoError(w.t, err)
 	return files[len(files)-1]
 }
 
-// damage flips a bit in the middle of a machine's store.
+// corruptStore flips a bit in the middle of a machine's store.
 func (w *testCluster) corruptStore(ip string) {
 	path := w.storeFile(ip)
 	text, err := os.ReadFile(path)
@@ -227,13 +242,14 @@
 	require.NoError(w.t, os.WriteFile(path, text, 0o644))
 }
 
-// operatorIP is where the operator's calls come from.
+// operatorIP is the address from which the operator's calls come.
 const operatorIP = "10.0.9.9"
 
-// operatorPatience is when the operator turns elsewhere.
+// operatorTimeout is the time after which the operator tries another machine.
 const operatorTimeout = time.Second
 
-// ask sends one call of the operator to a machine: status 0 where no answer came in time.
+// request sends one call of the operator to a machine and returns the status, 0 if there was no
+// answer in time, and the body.
 func (w *testCluster) request(ip, method, path, match, body string) (status int, text string) {
 	network := w.network.Host(operatorIP)
 	client := &http.Client{Timeout: operatorTimeout, Transport: &http.Transport{
@@ -245,14 +261,14 @@
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, ""
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var b strings.Builder
-	if _, err := io.Copy(&b, answer.Body); err != nil {
+	if _, err := io.Copy(&b, response.Body); err != nil {
 		return 0, ""
 	}
-	return answer.StatusCode, b.String()
+	return response.StatusCode, b.String()
 }
--- a/internal/durable/inspect_test.go
+++ b/internal/durable/inspect_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestInspectLeavesStoreUnchanged: Inspect reports a torn write and does not change the file.
 func TestInspectLeavesStoreUnchanged(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -28,6 +29,7 @@
 	require.Equal(t, torn, after)
 }
 
+// TestDamageOffset: the damage of a record is reported with the offset of that record.
 func TestDamageOffset(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -14,16 +14,20 @@
 	"nettlefold/internal/replicated"
 )
 
+// chainRecord shortens the type for the tests of Inspect.
 type chainRecord = chain.Record
 
+// entryRecord returns a log entry with an operation of size bytes.
 func entryRecord(seq uint64, size int) chain.Record {
 	return chain.Record{Entry: &chain.Entry{Seq: seq, Epoch: 1, Operation: []byte(fmt.Sprintf("%0*d", size, seq))}, Generation: 0}
 }
 
+// metaRecord returns metadata with a promise for a round.
 func metaRecord(round uint64) chain.Record {
 	return chain.Record{Meta: &chain.Meta{Identity: "a", View: chain.View{Epoch: 1}, Promised: chain.Ballot{Round: round, Proposer: "a"}}}
 }
 
+// openStore opens the store in a directory.
 func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir)
@@ -31,6 +35,7 @@
 	return s
 }
 
+// loadStore loads the contents of a store.
 func loadStore(t *testing.T, s *Store) chain.Saved {
 	t.Helper()
 	saved, err := s.Load()
@@ -38,6 +43,7 @@
 	return saved
 }
 
+// singleFile returns the path of the only file in a directory.
 func singleFile(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -46,6 +52,7 @@
 	return files[0]
 }
 
+// TestWriteAndLoad: written records are loaded after the store is reopened.
 func TestWriteAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -59,8 +66,8 @@
 	require.Equal(t, uint64(2), saved.Entries[1].Seq)
 }
 
-// TestPowerLostInEveryStepOfAWrite cuts, holes and garbles what was not synced, at every byte of it: what was synced stays, and what
-// is left of the rest is a prefix.
+// TestPowerLossDuringWrite truncates, zeroes or corrupts the unsynced part of a file at each of its
+// bytes. Synced records must remain, and of the rest a prefix.
 func TestPowerLossDuringWrite(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -69,19 +76,19 @@
 	synced, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.NoError(t, s.Write([]chain.Record{entryRecord(2, 60), metaRecord(2), entryRecord(3, 60)}))
-	full, err := os.ReadFile(path) // without the mark that only comes after the sync
+	full, err := os.ReadFile(path) // without the marker that follows the sync
 	require.NoError(t, err)
 	s.Close()
 	random := rand.New(rand.NewPCG(1, 2))
 	for at := len(synced); at < len(full); at++ {
-		cut := full[:at]
-		hole := append([]byte(nil), full...)
-		for i := at; i < min(at+30, len(hole)); i++ {
-			hole[i] = 0
+		truncated := full[:at]
+		zeroed := append([]byte(nil), full...)
+		for i := at; i < min(at+30, len(zeroed)); i++ {
+			zeroed[i] = 0
 		}
-		garbled := append([]byte(nil), full...)
-		garbled[at] ^= byte(1 + random.IntN(255))
-		for name, text := range map[string][]byte{"cut": cut, "hole": hole, "garbled": garbled} {
+		corrupted := append([]byte(nil), full...)
+		corrupted[at] ^= byte(1 + random.IntN(255))
+		for name, text := range map[string][]byte{"truncated": truncated, "zeroed": zeroed, "corrupted": corrupted} {
 			after := filepath.Join(t.TempDir())
 			require.NoError(t, os.WriteFile(filePath(after, 1), text, 0o644))
 			s, err := Open(after)
@@ -101,7 +108,8 @@
 	}
 }
 
-// TestAWriteAfterATornEndIsKept: the end that was cut off must not lie before what is written next.
+// TestWriteAfterTornTail: a torn tail must be truncated, or it would precede and hide the next
+// write.
 func TestWriteAfterTornTail(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -120,26 +128,27 @@
 	require.Len(t, saved.Entries, 2)
 }
 
-// TestPowerLostInACompaction leaves the new file in every state of its making beside the old one.
+// TestPowerLossDuringCompaction truncates the new file of a compaction at many lengths, with the
+// old file still present.
 func TestPowerLossDuringCompaction(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	state := replicated.New()
 	state.Apply(1, &replicated.Operation{Kind: replicated.KindEvacuate, Zone: "z"})
 	require.NoError(t, s.Write([]chain.Record{metaRecord(7), {Snapshot: &chain.Snapshot{State: state.Encode()}}, entryRecord(2, 50)}))
-	kept, err := s.liveRecords()
+	live, err := s.liveRecords()
 	require.NoError(t, err)
 	old, err := os.ReadFile(s.path)
 	require.NoError(t, err)
-	s.compact(kept)
+	s.compact(live)
 	s.Close()
-	made, err := os.ReadFile(singleFile(t, dir))
+	compacted, err := os.ReadFile(singleFile(t, dir))
 	require.NoError(t, err)
 	require.Equal(t, 2, s.number)
-	for at := 0; at <= len(made); at += 7 {
+	for at := 0; at <= len(compacted); at += 7 {
 		after := t.TempDir()
 		require.NoError(t, os.WriteFile(filePath(after, 1), old, 0o644))
-		require.NoError(t, os.WriteFile(filePath(after, 2), made[:at], 0o644))
+		require.NoError(t, os.WriteFile(filePath(after, 2), compacted[:at], 0o644))
 		s := openStore(t, after)
 		saved := loadStore(t, s)
 		require.Equal(t, uint64(7), saved.Meta.Promised.Round)
@@ -150,14 +159,15 @@
 	}
 }
 
-// TestManyChangesStaySmall writes 3,000 changes of 20 KB, 60 MB in all: what the disk holds stays level.
+// TestCompactionBoundsDiskUse writes 3,000 entries of 20 KiB, 60 MB in all. The files must never
+// exceed 32 MiB.
 func TestCompactionBoundsDiskUse(t *testing.T) {
 	const changes, size, snapshotEvery = 3000, 20 << 10, 48
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	defer s.Close()
 	state := replicated.New()
-	most := int64(0)
+	maxBytes := int64(0)
 	for seq := uint64(1); seq <= changes; seq++ {
 		records := []chain.Record{entryRecord(seq, size)}
 		if seq%snapshotEvery == 0 {
@@ -173,13 +183,14 @@
 			require.NoError(t, err)
 			sum += info.Size()
 		}
-		most = max(most, sum)
+		maxBytes = max(maxBytes, sum)
 	}
-	require.Less(t, most, int64(32<<20))
+	require.Less(t, maxBytes, int64(32<<20), "bytes on disk")
 }
 
-// TestDamageAnywhere flips each bit of each byte of a small store that was closed in order: the damage is found where it is, by the start as
-// by the inspection, and the file is left as it was. Only the last mark may be lost without a word, as it holds nothing.
+// TestBitFlipsAreDetected flips each bit of a small store that was closed. Open and Inspect must
+// report the damage at the same offset, and the file must stay as it was. Only the last sync marker
+// may be lost silently, as it holds no data.
 func TestBitFlipsAreDetected(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -203,9 +214,9 @@
 				require.False(t, scanLog(damaged).damaged, "bit %d at %d", bit, at)
 				continue
 			}
-			found := scanLog(damaged)
-			require.True(t, found.damaged, "bit %d at %d", bit, at)
-			require.LessOrEqual(t, found.validBytes, int64(at))
+			result := scanLog(damaged)
+			require.True(t, result.damaged, "bit %d at %d", bit, at)
+			require.LessOrEqual(t, result.validBytes, int64(at))
 			if bit != 0 {
 				continue
 			}
@@ -215,9 +226,9 @@
 			require.ErrorAs(t, err, &damage)
 			report, err := Inspect(dir)
 			require.NoError(t, err)
-			var verified *DamageError
-			require.ErrorAs(t, report.Verify(), &verified)
-			require.Equal(t, verified.Offset, damage.Offset, "the start and the verification name the same place")
+			var inspected *DamageError
+			require.ErrorAs(t, report.Verify(), &inspected)
+			require.Equal(t, inspected.Offset, damage.Offset, "Inspect and Open must report the same offset")
 			after, err := os.ReadFile(path)
 			require.NoError(t, err)
 			require.Equal(t, damaged, after)
@@ -225,7 +236,8 @@
 	}
 }
 
-// TestSetAside: a damaged store is kept under another name, and the directory takes a new one; one that was set aside before goes.
+// TestQuarantine: the file of a damaged store is renamed, the directory accepts a new store, and
+// the file of an earlier quarantine is removed.
 func TestQuarantine(t *testing.T) {
 	dir := t.TempDir()
 	for round := uint64(1); round <= 2; round++ {
@@ -242,7 +254,8 @@
 	}
 }
 
-// TestLostSetAside: the power goes before the new name lasts; the damage is found again.
+// TestPowerLossDuringQuarantine: if the power is lost before the rename is durable, the next start
+// finds the damage again.
 func TestPowerLossDuringQuarantine(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -261,7 +274,7 @@
 	}
 }
 
-// TestGapsAreDamage: what was written once and is not there is told, however it came to be lost.
+// TestMissingRecordsAreDamage: a gap in the entries or a missing snapshot is reported as damage.
 func TestMissingRecordsAreDamage(t *testing.T) {
 	for name, records := range map[string][]chain.Record{
 		"an entry":   {metaRecord(1), entryRecord(1, 9), entryRecord(3, 9)},
@@ -278,8 +291,9 @@
 	}
 }
 
-// TestWhatAKilledProcessLeftIsSyncedBeforeItIsRead: a process that is killed between the write and its sync leaves records that the next one
-// reads; the power may go after that. They are relied on only once they are synced.
+// TestOpenSyncsUnsyncedRecords: a process that is killed between a write and its sync leaves
+// records that the next process reads. As the power may be lost after that, Open must sync them
+// first, and fail if it cannot.
 func TestOpenSyncsUnsyncedRecords(t *testing.T) {
 	defer func() { fsync = (*os.File).Sync }()
 	dir := t.TempDir()
@@ -289,7 +303,7 @@
 	require.Error(t, s.Write([]chain.Record{entryRecord(2, 10)}))
 	s.close()
 	_, err := Open(dir)
-	require.Error(t, err, "what cannot be synced is not read")
+	require.Error(t, err, "Open must fail if the file cannot be synced")
 	synced := 0
 	fsync = func(f *os.File) error {
 		synced++
@@ -297,12 +311,12 @@
 	}
 	s = openStore(t, dir)
 	defer s.Close()
-	require.Equal(t, 1, synced, "before anything is read")
+	require.Equal(t, 1, synced, "syncs before the first read")
 	saved := loadStore(t, s)
 	require.Len(t, saved.Entries, 2)
 }
 
-// TestRenew: after a write that failed, what is kept goes into a file of its own.
+// TestRewrite: after a failed write all live records are written to a new file.
 func TestRewrite(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
