--- a/mixer/admission.go
+++ b/mixer/admission.go
@@ -41,8 +41,7 @@
 	}
 }
 
-// infeasible reports whether a new lookup is predicted to miss its deadline. Rejecting it early protects the
-// others under overload of the fleet or of a few slices: late work keeps other work from being in time.
+// infeasible predicts a missed deadline: in overload, be it of a few slices, late work makes other work late.
 func (l *Lookup) infeasible(now int64) bool {
 	m := l.mixer
 	times, fleet, fade := m.partTimes[:0], m.fleetUnitTime(now), m.fleetPace.DecaySinceUpdate(now, loadHalfLife)
--- a/mixer/cold.go
+++ b/mixer/cold.go
@@ -10,8 +10,7 @@
 	return m.config.ColdFrom + (1-m.config.ColdFrom)*max(0, float64(now-s.started)/float64(m.config.ColdFor))
 }
 
-// coldWait returns how long no part may be sent to s while it is cold. Credit accumulates up to one part and
-// starts at random, or every mixer would send a new searcher its first part at once.
+// coldWait returns how long cold s gets no part. Credit, up to 1, starts at random or all would send at once.
 func (m *Mixer) coldWait(now int64, s *searcher) int64 {
 	if m.capacityShare(now, s) == 1 {
 		return 0
--- a/mixer/learn.go
+++ b/mixer/learn.go
@@ -57,8 +57,7 @@
 	s.recentPace.Add(now, time, float64(calls), loadHalfLife)
 }
 
-// typicalLatency returns the recent mean latency of the tariff's forwards, a default without answers, and the
-// time after which a forward is late compared with nearly all of them.
+// typicalLatency returns the tariff's recent mean latency, or a default, and when a forward counts as late.
 func (m *Mixer) typicalLatency(now int64, l *Lookup) (mean float64, late int64) {
 	n, mean, dev := m.latencies[l.request.Tariff].Read(now, loadHalfLife)
 	if n < epsilon {
@@ -67,9 +66,8 @@
 	return mean, int64(mean + lateDeviations*max(dev, mean/4))
 }
 
-// unitTime estimates the latency of forwards to s per call in flight there; times those calls, it gives
-// a new forward's predicted latency. The fleet's figure, corrected by what peers report of s, serves as the
-// prior; a report newer than the last answer outweighs what s showed this mixer before.
+// unitTime estimates latency per call in flight at s; times those calls, a new forward's. The prior is the
+// fleet's, corrected by peer reports on s; one newer than the last answer outweighs older own statistics.
 func (m *Mixer) unitTime(now int64, s *searcher) float64 {
 	if s.unitMemo.valid(now, m.calls) {
 		return s.unitMemo.value
--- a/mixer/list.go
+++ b/mixer/list.go
@@ -74,8 +74,7 @@
 	}
 }
 
-// UpdatePeerReports takes the reports and loans of other mixers. All expire: without new ones the mixer acts
-// alone.
+// UpdatePeerReports takes peers' reports and loans. All expire: without new ones the mixer acts alone.
 func (m *Mixer) UpdatePeerReports(now int64, reports []PeerReport) {
 	m.calls++
 	for _, r := range reports {
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -1,15 +1,13 @@
 // Package mixer decides how lookups are distributed over many searchers, the backends that serve them.
 //
-// New makes a Mixer. UpdateList and ListFailed report changes of the membership list; StartLookup returns the
-// handle of a lookup, AddPart adds its parts, HandleOutcome reports how a forward ended and Abandon that
-// the client has left; HandleTimer runs when a timer expires, and UpdatePeerReports takes the reports of
-// other mixers. Calls must come in the order of the clock. The mixer acts through its Environment.
+// A Mixer acts through its Environment. UpdateList and ListFailed report on the membership list, StartLookup
+// starts a lookup, AddPart adds its parts, HandleOutcome ends a forward, Abandon a lookup whose client left;
+// HandleTimer runs timers, UpdatePeerReports takes other mixers' reports. Calls must come in clock order.
 //
-// The base policy is water-filling with least outstanding requests: exactly as many parts as make the
-// answer complete, each sent to the holder with the fewest calls in flight from this mixer, counting each
-// call as it is made. docs/design.md describes what is added to that and why. Start with review.go, through
-// which every lookup advances: pick.go selects searchers, admission.go sheds load, learn.go updates
-// statistics from outcomes, suspect.go detects failures and cold.go limits traffic during slow start.
+// The base policy is water-filling with least outstanding requests: exactly as many parts as complete the
+// answer, each sent to the holder with the fewest calls in flight from this mixer, counted as they are made.
+// docs/design.md has the additions and why. Lookups advance through review.go; pick.go selects searchers,
+// admission.go sheds load, learn.go keeps statistics, suspect.go detects failures, cold.go does slow start.
 package mixer
 
 import "math/rand"
@@ -89,11 +87,8 @@
 	reviewScratch                                      // buffers reused by reviews
 }
 
-// zone is the state of one zone.
-type zone struct {
-	lastAnswer int64
-	lost       int64 // forwards sent since the last answer and lost
-}
+// zone is the state of one zone: the time of its last answer, and the forwards sent since then and lost.
+type zone struct{ lastAnswer, lost int64 }
 
 func (z *zone) silent() bool { return z.lost >= silentZoneLosses }
 
--- a/mixer/pick.go
+++ b/mixer/pick.go
@@ -2,9 +2,8 @@
 
 import "slices"
 
-// pickForward selects the next forward by water-filling: of all unanswered parts and their holders, the one
-// with the fewest calls in flight, a count that rises with each pick. Parts not yet sent come before retries;
-// ties are broken by predicted latency, effort, and then at random. mean and late are those of the tariff.
+// pickForward selects the next forward by water-filling: the unanswered part and holder with the fewest
+// calls in flight. Parts not yet sent precede retries; ties go by predicted latency, effort, then at random.
 func (l *Lookup) pickForward(now int64, hedge bool, mean float64, late int64) (best *part, to *searcher) {
 	m, left, step, home, at := l.mixer, float64(l.deadline-now), l.parts[l.stepStart:],
 		l.mixer.zones[l.mixer.config.Zone], 0
--- a/mixer/review.go
+++ b/mixer/review.go
@@ -39,8 +39,7 @@
 			}
 		}
 	}
-	// Once too few parts can succeed, the client may still be served elsewhere.
-	if now >= l.deadline || possible < l.neededWeight-epsilon {
+	if now >= l.deadline || possible < l.neededWeight-epsilon { // the client may still be served elsewhere
 		l.giveUp(now, in)
 		return
 	}
@@ -68,8 +67,7 @@
 	for _, f := range picked {
 		m.env.Forward(f.part.ID, f.searcher.id, l.deadline-now)
 		next = min(next, now+late)
-		// A last resort is no probe: counting it would use up the allowance for probes.
-		probe := f.searcher.suspect && !m.avoided(now, f.searcher)
+		probe := f.searcher.suspect && !m.avoided(now, f.searcher) // a last resort must not use up probes
 		if probe || f.searcher.zone.silent() {
 			m.sentProbes.Add(now, 1, loadHalfLife)
 		}
@@ -147,8 +145,7 @@
 	}
 }
 
-// giveUp ends a lookup that cannot be completed: with a partial answer if it has the least share, with a
-// failure if a part that must not be repeated may have run, else with a rejection that the client may retry.
+// giveUp ends a lookup with a partial answer, a failure if an unrepeatable part may have run, or a rejection.
 func (l *Lookup) giveUp(now int64, in float64) {
 	l.ended = true
 	l.cancelInFlight()
--- a/mixer/suspect.go
+++ b/mixer/suspect.go
@@ -2,9 +2,8 @@
 
 import "cmp"
 
-// checkSilence is the failure detector: it suspects the searchers of a part's forwards once the forwards sent
-// there since the last answer have waited, in sum, for several mean latencies. A single one may be slow or
-// heavy and has to wait longer.
+// checkSilence is the failure detector: it suspects a searcher once the forwards sent there since its last
+// answer have waited several means in sum. A single one may be slow or heavy and has to wait longer.
 func (m *Mixer) checkSilence(now int64, p *part, mean float64) {
 	for _, f := range p.forwards {
 		if s := f.searcher; !s.suspect && s.lastAnswer <= f.sentAt {
@@ -68,9 +67,8 @@
 		max(minProbes, probeShare*m.sentForwards.Read(now, loadHalfLife))
 }
 
-// chooseConnection closes the idle connections to s if idle ones lose more forwards than new ones do, and
-// returns the loss statistics of the kind now used. Connections may be dropped silently, which says nothing
-// about the searcher; where connecting itself fails, new ones lose more.
+// chooseConnection closes idle connections to s if they lose more than new ones; it returns the loss of those
+// now used. Silent drops say nothing about s itself; where connecting fails, new connections lose more.
 func (m *Mixer) chooseConnection(now int64, s *searcher) *DecayingRatio {
 	loss, share := &m.idleConnLoss, m.newConnLoss.Read(now, connLossHalfLife, 0, fleetPriorCalls)
 	if loss.numerator.Read(now, connLossHalfLife)-
