--- a/internal/charter/overlay.go
+++ b/internal/charter/overlay.go
@@ -120,7 +120,7 @@
 			token, _ := d.Token()
 			key, _ := token.(string)
 			if keys[key] {
-				v.reject(path+dot+key, "duplicate path")
+				v.reject(path+dot+key, "told twice") // this text is matched by operators
 			}
 			keys[key] = true
 			v.rejectDuplicateKeys(d, path+dot+key, ".")
@@ -205,7 +205,7 @@
 // addValue records the value at a path and rejects a duplicate path.
 func (v *overlay) addValue(path string, value documentValue) {
 	if _, ok := v.values[path]; ok {
-		v.reject(path, "duplicate path")
+		v.reject(path, "told twice") // this text is matched by operators
 	}
 	v.values[path] = value
 }
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -76,8 +76,9 @@
 }
 
 // Read returns the state in the file at path and the time at which it was captured. The error of a rejected
-// file starts with the kind of fault: unreadable, truncated, corrupt, incompatible (another format or layout),
-// stale (older than maxAge, or from the future) or invalid (figures out of range).
+// file starts with the kind of fault, a word that operators match: unreadable, truncated, spoilt (corrupt),
+// foreign (another format or layout), stale (older than maxAge, or from the future) or unsound (figures out of
+// range).
 func Read(path string, now time.Time, layout Layout) (capturedAt time.Time, state mixer.Snapshot, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -96,21 +97,21 @@
 		return capturedAt, state, fmt.Errorf("truncated: %w", err)
 	}
 	if digest := sha256.Sum256(e.Record); hex.EncodeToString(digest[:]) != e.SHA256 {
-		return capturedAt, state, errors.New("corrupt: digest mismatch")
+		return capturedAt, state, errors.New("spoilt: digest mismatch")
 	}
 	var r record
 	if err := json.Unmarshal(e.Record, &r); err != nil || r.FormatVersion != formatVersion {
-		return capturedAt, state, fmt.Errorf("incompatible: format version %d, want %d (%v)", r.FormatVersion, formatVersion, err)
+		return capturedAt, state, fmt.Errorf("foreign: format version %d, want %d (%v)", r.FormatVersion, formatVersion, err)
 	}
 	if r.Layout != layout {
-		return capturedAt, state, fmt.Errorf("incompatible: layout %+v, want %+v", r.Layout, layout)
+		return capturedAt, state, fmt.Errorf("foreign: layout %+v, want %+v", r.Layout, layout)
 	}
 	if age := now.Sub(r.CapturedAt); age < 0 || age > maxAge {
 		return capturedAt, state, fmt.Errorf("stale: %v old, want 0s to %v", age.Round(time.Second), maxAge)
 	}
 	for _, p := range append(r.State.Process, r.State.Fleet) {
 		if !(p.Took >= 0 && p.Took < maxFigure && p.Calls >= 0 && p.Calls < maxFigure) {
-			return capturedAt, state, fmt.Errorf("invalid: statistics out of range: %+v", p)
+			return capturedAt, state, fmt.Errorf("unsound: statistics out of range: %+v", p)
 		}
 	}
 	return r.CapturedAt, r.State, nil
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -35,11 +35,11 @@
 	}{
 		{"too old", "stale", valid, 61 * time.Second, layout},
 		{"from the future", "stale", valid, -time.Second, layout},
-		{"sized differs", "incompatible", valid, 0, Layout{4, 2, 1, false}},
-		{"cells differ", "incompatible", valid, 0, Layout{5, 2, 1, true}},
+		{"sized differs", "foreign", valid, 0, Layout{4, 2, 1, false}},
+		{"cells differ", "foreign", valid, 0, Layout{5, 2, 1, true}},
 		{"half of the file", "truncated", valid[:len(valid)/2], 0, layout},
 		{"empty file", "truncated", nil, 0, layout},
-		{"changed record", "corrupt", bytes.Replace(valid, []byte(`"Calls":2`), []byte(`"Calls":3`), 1), 0, layout},
+		{"changed record", "spoilt", bytes.Replace(valid, []byte(`"Calls":2`), []byte(`"Calls":3`), 1), 0, layout},
 	} {
 		if err := os.WriteFile(path, c.raw, 0o600); err != nil {
 			t.Fatal(err)
@@ -52,8 +52,8 @@
 	if err := Write(path, capturedAt, layout, state); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Read(path, capturedAt, layout); err == nil || !strings.HasPrefix(err.Error(), "invalid") {
-		t.Errorf("negative number of calls: Read() error = %v, want prefix %q", err, "invalid")
+	if _, _, err := Read(path, capturedAt, layout); err == nil || !strings.HasPrefix(err.Error(), "unsound") {
+		t.Errorf("negative number of calls: Read() error = %v, want prefix %q", err, "unsound")
 	}
 	if _, _, err := Read(filepath.Join(t.TempDir(), "none"), capturedAt, layout); err == nil || !strings.HasPrefix(err.Error(), "unreadable") {
 		t.Errorf("missing file: Read() error = %v, want prefix %q", err, "unreadable")
--- a/internal/replicated/state.go
+++ b/internal/replicated/state.go
@@ -140,7 +140,7 @@
 
 // Check returns the verdict on an operation on top of this state. An operation that was applied before is
 // recognized before any other check, because a caller that missed the acknowledgement may repeat it. The
-// error is the reason if the verdict is neither Accept nor AlreadyApplied.
+// error is the reason if the verdict is neither Accept nor AlreadyApplied; operators match its text.
 func (s *State) Check(o *Operation) (Verdict, error) {
 	switch o.Kind {
 	case KindConfig:
@@ -157,11 +157,11 @@
 			return AlreadyApplied, nil
 		}
 		if lease.FencingToken != o.FencingToken {
-			return Conflict, fmt.Errorf("lease %s: held by %s with fencing token %d", o.LeaseName, lease.Holder, lease.FencingToken)
+			return Conflict, fmt.Errorf("duty %s is held by %s under fence %d", o.LeaseName, lease.Holder, lease.FencingToken)
 		}
 		return Accept, nil
 	}
-	return Invalid, fmt.Errorf("operation: unknown kind %q", o.Kind)
+	return Invalid, fmt.Errorf("operation of unknown kind %q", o.Kind)
 }
 
 // FencingTokenAfter returns the fencing token of the holder of a lease after a lease operation that was
@@ -195,7 +195,7 @@
 	case inEffect:
 		return AlreadyApplied, nil
 	}
-	return Outdated, fmt.Errorf("zone %s: operation %d was committed first; this one is based on operation %d", o.Zone, newest, o.BaseZoneSeq)
+	return Outdated, fmt.Errorf("zone %s: operation %d came before this order, which was received after operation %d", o.Zone, newest, o.BaseZoneSeq)
 }
 
 func (s *State) checkConfig(o *Operation) (Verdict, error) {
@@ -207,10 +207,10 @@
 		return Invalid, err
 	}
 	if o.BaseVersion != s.ConfigVersion {
-		return Conflict, fmt.Errorf("configuration: based on version %d, but the current version is %d", o.BaseVersion, s.ConfigVersion)
+		return Conflict, fmt.Errorf("the current version is %d, this change builds on %d", s.ConfigVersion, o.BaseVersion)
 	}
 	if doc.Version <= s.ConfigVersion {
-		return Invalid, &config.InvalidError{Path: "/version", Reason: fmt.Sprintf("version %d is not above the current version %d", doc.Version, s.ConfigVersion)}
+		return Invalid, &config.InvalidError{Path: "/version", Reason: fmt.Sprintf("%d is not above the current %d", doc.Version, s.ConfigVersion)}
 	}
 	return Accept, nil
 }
