--- a/cmd/nettlefold/versions.go
+++ b/cmd/nettlefold/versions.go
@@ -21,7 +21,7 @@
 	return &versions{start: c, router: router, sites: sites, force: c}
 }
 
-// apply puts a document in force for what is taken from now on. Where it is rejected, by a *charter.Fault, nothing changes.
+// apply puts a document in force for what is taken from now on. Where it is rejected, by a *charter.SettingError, nothing changes.
 func (v *versions) apply(document []byte) error {
 	c, err := v.start.Revise(document)
 	if err != nil {
--- a/internal/lab/capacity/size.go
+++ b/internal/lab/capacity/size.go
@@ -45,14 +45,14 @@
 
 // Bounds of the program, held to it by a test.
 const (
-	boundLine     = 8 << 20 // B of one message of the list, charter.Limits.Line
-	boundLearnt   = 4 << 20 // B of the file of what is learnt, learnt.maxFile
+	boundLine     = 8 << 20 // B of one message of the list, charter.Limits.MaxListMessageBytes
+	boundLearnt   = 4 << 20 // B of the file of what is learnt, learnt.maxFileBytes
 	boundSettings = 1 << 20 // B of our own settings, settings.maxFile
 	boundMembers  = 9999.0  // of the fleet, by the form of fleet/members
-	endMargin     = 0.008   // s before its end that an answer is sent, mixer.endMargin
-	room          = 0.33    // of the time left that a query may be predicted to take, mixer.room
+	endMargin     = 0.008   // s before its end that an answer is sent, mixer.deadlineMargin
+	room          = 0.33    // of the time left that a query may be predicted to take, mixer.admissionShare
 	coldMargin    = 0.8     // mixer.coldMargin
-	coldSpread    = 2.0     // mixer.coldSpread
+	coldSpread    = 2.0     // mixer.coldDeviations
 )
 
 // Machines are all that are counted where machines fail or restart: those of the front and for control are few beside these.
@@ -76,7 +76,7 @@
 // NoneOut is the share of time in which a mixer has no part out at a searcher, parts coming by chance.
 func NoneOut() float64 { return math.Exp(-Outstanding()) }
 
-// idle is how long a connection may lie idle before a mixer closes it, charter.Limits.Idle.
+// idle is how long a connection may lie idle before a mixer closes it, charter.Limits.IdleTimeout.
 func idle(keepAlive float64) float64 { return keepAlive - keepAlive/8 }
 
 // Connections is how many connections a mixer has to searchers, in the mean, where it uses all.
--- a/internal/lab/record/mixer.go
+++ b/internal/lab/record/mixer.go
@@ -183,7 +183,7 @@
 // written is the floor of a module that is written down.
 type written struct{ m *Mixer }
 
-// What follows is mixer.Floor.
+// What follows is mixer.Environment.
 
 func (w written) Forward(part, searcher string, within int64) {
 	w.m.t.did("forward", part, searcher, within)
--- a/internal/routing/listing.go
+++ b/internal/routing/listing.go
@@ -11,7 +11,7 @@
 const batch = 64
 
 // Filter chooses which rows of the list reach the module. It is given those that differ from what the list told before, the most
-// urgent first (listing.Book.Take), with the module's time, and gives the rows that the module is told, in its own order; it may give rows
+// urgent first (listing.Tracker.Apply), with the module's time, and gives the rows that the module is told, in its own order; it may give rows
 // that it kept back before. It is called for each message, one at a time, also where nothing differs, without the router's lock.
 type Filter interface {
 	Changed(now int64, rows []Entry) []Entry
