--- a/internal/proxy/events_test.go
+++ b/internal/proxy/events_test.go
@@ -6,31 +6,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-const stream = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nversions: 3\nid: 3\ndata: c\n\n"
+// sampleEvents is a stream whose last event has another field before its ID.
+const sampleEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nversions: 3\nid: 3\ndata: c\n\n"
 
-// TestEventsAtEverySplit passes a stream on in two pieces, cut at each byte.
-func TestEventsAtEverySplit(t *testing.T) {
-	for at := range len(stream) {
-		e := &eventReader{}
-		out := string(e.take([]byte(stream[:at]))) + string(e.take([]byte(stream[at:])))
-		require.Equal(t, stream, out, "cut at %d", at)
-		require.Equal(t, "3", e.last)
+// TestEventFilterSplitInput feeds a stream in two pieces, split at each byte.
+func TestEventFilterSplitInput(t *testing.T) {
+	for at := range len(sampleEvents) {
+		e := &eventFilter{}
+		out := string(e.filter([]byte(sampleEvents[:at]))) + string(e.filter([]byte(sampleEvents[at:])))
+		require.Equal(t, sampleEvents, out, "forwarded events, input split at byte %d", at)
+		require.Equal(t, "3", e.lastID)
 	}
 }
 
-// TestAStreamIsTakenUpAtEveryCut cuts a stream at each byte and goes on behind the last event, at a backend that may repeat it.
-func TestAStreamIsTakenUpAtEveryCut(t *testing.T) {
-	for at := range len(stream) {
+// TestEventFilterResume breaks a stream off at each byte and resumes it after the last complete event,
+// at a backend that may repeat earlier events.
+func TestEventFilterResume(t *testing.T) {
+	for at := range len(sampleEvents) {
 		for _, repeats := range []bool{false, true} {
-			e := &eventReader{}
-			out := string(e.take([]byte(stream[:at])))
-			e.cut()
-			rest := stream[len(out):]
+			e := &eventFilter{}
+			out := string(e.filter([]byte(sampleEvents[:at])))
+			e.discardPartial()
+			rest := sampleEvents[len(out):]
 			if repeats {
-				rest = stream
+				rest = sampleEvents
 			}
-			out += string(e.take([]byte(rest)))
-			require.Equal(t, stream, out, "cut at %d", at)
+			out += string(e.filter([]byte(rest)))
+			require.Equal(t, sampleEvents, out, "forwarded events, stream broken off at byte %d, repeated events: %v", at, repeats)
 		}
 	}
 }
