--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -52,12 +52,12 @@
 	startedAt   time.Time
 	commands    chan func()
 	done        chan struct{}
-	feedChanged chan struct{} // closed and replaced by the command loop when the proxy may be missing an update
+	feedChanged chan struct{} // closed and replaced when the proxy may be missing an update
 
 	// The fields below are owned by the command loop.
 	snapshot          *distribute.Snapshot
 	versionHistories  map[string]superseded.History // by model: the time bounds of its wanted versions
-	lastQuorumContact time.Duration                 // start of the last call that a controller with a quorum answered
+	lastQuorumContact time.Duration                 // start of the last call answered with a quorum
 	controllers       []string
 	epoch             uint64 // of the chain view that the controllers are from
 	members           *distribute.MemberSet
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -20,7 +20,7 @@
 	eventsPollInterval   = 700 * time.Millisecond // between two event pages of one backend
 	eventsLongPollTime   = 400 * time.Millisecond // how long a backend holds a request while it has no events
 	eventsRequestTimeout = 1500 * time.Millisecond
-	kvListInterval       = 6 * time.Second // between two full listings of one backend: a listing blocks the backend's work
+	kvListInterval       = 6 * time.Second // between two listings of a backend, which block its work
 	// readerCheckInterval is how often the event readers are checked even if neither the backends
 	// nor the members seem to have changed.
 	readerCheckInterval = time.Second
--- a/internal/agent/gossip.go
+++ b/internal/agent/gossip.go
@@ -40,14 +40,15 @@
 // hub to the agents of its zone, in a large zone through some of them as relays. So an agent sends
 // and receives one message per interval, whatever the number of agents, and an update crosses to
 // each other zone once.
+//
 // Hubs are ordinary agents, picked by rendezvous hashing. A hub that is gone is replaced with the
 // next membership update. Receivers detect what was lost meanwhile: loads expire and are sent in
 // full each second, a lost batch leaves a gap, and agents that miss the list request it.
 type gossiper struct {
 	agent         *Agent
-	send          func(to []string, n *feed.GossipMessage) (bytes int)
+	send          func(to []string, message *feed.GossipMessage) (bytes int)
 	flushedAt     time.Time // time of the last flush
-	zoneBytes     int       // as this zone's hub: bytes sent to its agents in the last flush, without bulk messages
+	zoneBytes     int       // as a hub: bytes of the last flush to this zone, without bulk
 	bulkAt        time.Time // as a hub: time of the last bulk messages
 	bulkBytes     int       // bytes of the last bulk messages to this zone
 	loadsRevision uint64    // number of the last change of the other agents' loads
@@ -242,8 +243,8 @@
 	g.toOtherHubs.batches, g.toZone.batches = nil, nil
 }
 
-// bulkDue reports whether at now the link share of the last bulk messages is used up, so that the
-// next may be sent.
+// bulkDue reports whether at now the link has had time to carry the last bulk messages at
+// bulkLinkShare, so that the next may be sent.
 func (g *gossiper) bulkDue(now time.Time) bool {
 	return now.Sub(g.bulkAt) >= min(g.linkTime(g.bulkBytes, bulkLinkShare), maxBulkInterval)
 }
--- a/internal/agent/listread.go
+++ b/internal/agent/listread.go
@@ -38,7 +38,9 @@
 // due reports whether to read the list now. random is a uniform random number in [0, 1).
 func (in listReadInputs) due(random float64) bool {
 	if in.memberCount == 0 || in.sinceLastRead < minListReadInterval {
-		return false // without members the platform's rate can't be shared, and there is no configuration to serve either
+		// Without members the platform's rate can't be shared, and there is no configuration to
+		// serve either.
+		return false
 	}
 	switch {
 	case in.rank == 0:
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -22,8 +22,8 @@
 	// loadingDivisor is the divisor of a model's serving backends that gives how many may load new
 	// weights at a time.
 	loadingDivisor = 6
-	// outOfServiceFactor is how many times as many backends may be out of service at once: some
-	// finish their requests while others load.
+	// outOfServiceFactor is how many times the loading limit may be out of service at once: some
+	// backends finish their requests while others load.
 	outOfServiceFactor = 2
 	// minEmptyingTime and maxEmptyingTime bound how long a backend gets no new requests before its
 	// load order, so that none is queued there that has not begun.
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -90,7 +90,7 @@
 
 // backoffFor returns the backoff if the call to addr that is about to start fails.
 func (f *controllerFailures) backoffFor(addr string, now time.Time) time.Duration {
-	if now.After(f.avoidUntil[addr]) { // a controller that isn't avoided was left
+	if now.After(f.avoidUntil[addr]) { // at least one controller isn't avoided
 		f.backoff = minSessionBackoff
 		return f.backoff
 	}
@@ -110,7 +110,7 @@
 	f.backoff = minSessionBackoff
 }
 
-// jittered returns a random duration between half and one and a half times pause, so that agents
+// jittered returns a random duration between half and one and a half times backoff, so that agents
 // that failed together don't retry together.
 func jittered(backoff time.Duration) time.Duration {
 	return backoff/2 + rand.N(backoff)
--- a/internal/lab/fleetcost/page_test.go
+++ b/internal/lab/fleetcost/page_test.go
@@ -66,8 +66,8 @@
 func TestFiguresAreThePrograms(t *testing.T) {
 	for file, patterns := range map[string][]string{
 		"../../controller/sessions.go": {`watchHold = 350 \* time.Millisecond`},
-		"../../agent/news.go":          {`flushEvery\s+= 60 \* time.Millisecond`, `hubMessages\s+= 400\n`},
-		"../../agent/events.go":        {`eventsEvery = 700 \* time.Millisecond`},
+		"../../agent/gossip.go":        {`flushInterval\s+= 60 \* time.Millisecond`, `hubMessagesPerSecond\s+= 400\n`},
+		"../../agent/events.go":        {`eventsPollInterval\s+= 700 \* time.Millisecond`},
 		"../../chain/types.go":         {`Heartbeat: 150 \* time.Millisecond`, `SnapshotBytes: 2 << 20`},
 		"../../durable/store.go":       {`compactRatio = 4`},
 	} {
--- a/internal/lab/fleetcost/size.go
+++ b/internal/lab/fleetcost/size.go
@@ -38,10 +38,10 @@
 	partsOfPrompt  = 3.0     // parts in a prompt
 	requestsOut    = 1.0     // s that a request lasts in the mean
 	watchHeld      = 0.35    // s that a call of a session is held, controller.watchHold
-	newsLeast      = 0.06    // s between news of a hub, agent.flushEvery, while its zone is small
-	hubMessages    = 400     // a second that a hub sends to its zone at the most, agent.hubMessages
+	newsLeast      = 0.06    // s between news of a hub, agent.flushInterval, while its zone is small
+	hubMessages    = 400     // a second that a hub sends to its zone at the most, agent.hubMessagesPerSecond
 	coreInterval   = 0.15    // s between heartbeats of the core, chain.Timing
-	batchInterval  = 0.7     // s between two pages of a backend's events, agent.eventsEvery
+	batchInterval  = 0.7     // s between two pages of a backend's events, agent.eventsPollInterval
 	membersPerLife = 2.0     // changes of the members for one restart
 	listPerLife    = 3.0     // changes of the list for one restart of a backend
 	listFraction   = 0.8     // of machines that restart, backends
