--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -13,69 +13,71 @@
 	"nettlefold/internal/dispatch"
 )
 
-// relayBuffer is how much of an answer is read at a time.
-const relayBuffer = 16 << 10
+// relayBufferBytes is the size of one read of a response body.
+const relayBufferBytes = 16 << 10
 
-// firstBuffer is how much of it is read before anything is passed on.
-const firstBuffer = 4 << 10
+// firstReadBytes is the size of the read that has to succeed before anything is relayed.
+const firstReadBytes = 4 << 10
 
-// writeMargin is how long after a request's limit the writing of its answer is ended, so that its time is known to be up then.
-const writeMargin = 50 * time.Millisecond
+// writeDeadlineMargin is the time from the deadline of a request to the write deadline of its client
+// connection. When a write fails, the deadline of the request is then known to have passed.
+const writeDeadlineMargin = 50 * time.Millisecond
 
-// errClientGone is a client that takes no more bytes.
-var errClientGone = errors.New("the client is gone")
+// errClientDisconnected means that a write to the client failed.
+var errClientDisconnected = errors.New("client disconnected")
 
-// relay passes an answer on to the client. One that is cut off is taken up at another backend where its route allows that, inside the
-// same answer; one that cannot be finished ends with its connection, so that it does not look whole.
+// relay relays a response to the client. A resumable stream that breaks off is resumed at another
+// backend within the same response. For a response that cannot be completed the client connection is
+// closed, so that the response does not look complete.
 func (p *Proxy) relay(ctx context.Context, q *request, a *attempt) {
 	client := http.NewResponseController(q.writer)
-	client.SetWriteDeadline(q.limit.Add(writeMargin))
-	q.writeHead(a, p.stopping.Load() != nil)
-	var events *eventReader
+	client.SetWriteDeadline(q.effectiveDeadline.Add(writeDeadlineMargin))
+	q.writeHeader(a, p.shutdownPlan.Load() != nil)
+	var events *eventFilter
 	if q.route.Kind == config.Streaming && q.route.Resumable && a.response.StatusCode == http.StatusOK {
-		events = &eventReader{last: q.Header.Get(headerLastEvent)}
+		events = &eventFilter{lastID: q.Header.Get(headerLastEvent)}
 	}
 	for {
-		move := newTakeover(ctx, p, a, events)
-		err := p.copy(q, a, events, move)
-		next := move.finish(err == nil)
+		takeover := newStreamTakeover(ctx, p, a, events)
+		err := p.copyResponse(q, a, events, takeover)
+		next := takeover.finish(err == nil)
 		if err == nil {
-			p.finish(a, dispatch.Completed)
+			p.finishAttempt(a, dispatch.Completed)
 			client.SetWriteDeadline(time.Time{})
 			return
 		}
 		outcome := dispatch.Failed
-		if ctx.Err() != nil || errors.Is(err, errClientGone) || errors.Is(err, context.DeadlineExceeded) {
+		if ctx.Err() != nil || errors.Is(err, errClientDisconnected) || errors.Is(err, context.DeadlineExceeded) {
 			outcome = dispatch.Cancelled
 		}
-		why := endingOf(ctx, q, a, err)
-		p.finish(a, outcome)
+		reason := endReasonOf(ctx, q, a, err)
+		p.finishAttempt(a, outcome)
 		if next == nil && events != nil && outcome != dispatch.Cancelled {
-			next = p.resume(ctx, q, a, events.last)
+			next = p.resumeStream(ctx, q, a, events.lastID)
 		}
 		if next == nil {
-			p.cutOff(q, a, move, why)
+			p.recordAborted(q, a, takeover, reason)
 			panic(http.ErrAbortHandler)
 		}
-		events.cut()
+		events.discardPartial()
 		p.counters.resumed.Add(1)
 		a = next
 	}
 }
 
-// writeHead passes the head of an answer on.
-func (q *request) writeHead(a *attempt, stopping bool) {
+// writeHeader relays the status and headers of a response.
+func (q *request) writeHeader(a *attempt, stopping bool) {
 	out := q.writer.Header()
 	for name, values := range a.response.Header {
 		out[name] = values
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		if name != "Content-Length" {
 			out.Del(name)
 		}
 	}
 	if a.response.Header["Content-Type"] == nil {
-		out["Content-Type"] = nil // none is to be guessed
+		out["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	if a.response.ContentLength < 0 {
 		out.Del("Content-Length")
@@ -89,22 +91,22 @@
 	}
 }
 
-// copy passes the bytes of an answer on as they come; of one that may be taken up elsewhere only whole events. It ends without error
-// if the answer came whole.
-func (p *Proxy) copy(q *request, a *attempt, events *eventReader, move *takeover) error {
-	flush := http.NewResponseController(q.writer)
-	buffer := make([]byte, relayBuffer)
+// copyResponse relays the bytes of a response as they arrive, but only complete events of a
+// resumable stream. It returns nil if the response was complete.
+func (p *Proxy) copyResponse(q *request, a *attempt, events *eventFilter, takeover *streamTakeover) error {
+	flusher := http.NewResponseController(q.writer)
+	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := a.read(buffer)
 		if n > 0 {
-			p.began(q, a)
-			if err := move.passOn(buffer[:n], q.writer, flush); err != nil {
+			p.recordProgress(q, a)
+			if err := takeover.forwardBytes(buffer[:n], q.writer, flusher); err != nil {
 				return err
 			}
 		}
 		if err == io.EOF {
-			p.began(q, a)
-			return p.endEvents(q, a, events)
+			p.recordProgress(q, a)
+			return p.flushLastEvent(q, a, events)
 		}
 		if err != nil {
 			return err
@@ -112,9 +114,9 @@
 	}
 }
 
-// endEvents passes on what follows the last event of an answer that came whole. Where only the connection's end tells that it did, an event
-// that is not whole means that it did not.
-func (p *Proxy) endEvents(q *request, a *attempt, events *eventReader) error {
+// flushLastEvent relays the bytes after the last complete event of a response that ended. If only
+// the close of the connection delimits the response, an incomplete event means that it was cut off.
+func (p *Proxy) flushLastEvent(q *request, a *attempt, events *eventFilter) error {
 	if events == nil || len(events.partial) == 0 {
 		return nil
 	}
@@ -122,58 +124,60 @@
 		return io.ErrUnexpectedEOF
 	}
 	_, err := q.writer.Write(events.partial)
-	return writeError(err)
+	return classifyWriteError(err)
 }
 
-// writeError tells a client that is gone from one that took no bytes until its time was up.
-func writeError(err error) error {
+// classifyWriteError distinguishes a client that read nothing until the deadline from one that has
+// disconnected.
+func classifyWriteError(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return context.DeadlineExceeded
 	}
-	return errClientGone
+	return errClientDisconnected
 }
 
-// resume takes a stream up at another backend behind the last event that was passed on; nil if it may not or cannot be. former is the attempt
-// that it goes on from.
-func (p *Proxy) resume(ctx context.Context, q *request, former *attempt, lastEvent string) *attempt {
-	tried, sent := former.tried, former.sent
-	for sent < max(1, q.route.MaxAttempts) && len(tried) <= maxTried && ctx.Err() == nil {
-		choice := p.pick(q, tried)
-		if choice == nil || choice.RetryAfterMS > 0 || !p.mayRepeat(q, sent) {
+// resumeStream resumes the stream of the attempt former at another backend, after the last forwarded
+// event. It returns nil if the attempts, the retry budget or the backends don't allow that, and then
+// adds the failed attempts to former.
+func (p *Proxy) resumeStream(ctx context.Context, q *request, former *attempt, lastEvent string) *attempt {
+	tried, sendCount := former.triedBackends, former.sendCount
+	for sendCount < max(1, q.route.MaxAttempts) && len(tried) <= maxTriedBackends && ctx.Err() == nil {
+		choice := p.pickBackend(q, tried)
+		if choice == nil || choice.RetryAfterMS > 0 || !p.takeRetry(q, sendCount) {
 			if choice != nil && choice.RetryAfterMS == 0 {
-				p.do(func() { p.table.End(p.now(), choice, dispatch.Cancelled) })
+				p.execute(func() { p.dispatchTable.End(p.now(), choice, dispatch.Cancelled) })
 			}
 			return nil
 		}
 		tried = append(slices.Clone(tried), choice.ID)
-		a := p.send(ctx, q, choice, tried, sent+1, lastEvent)
-		if a.err == nil && a.response.StatusCode == http.StatusOK && !a.notRun() {
+		a := p.sendAttempt(ctx, q, choice, tried, sendCount+1, lastEvent)
+		if a.err == nil && a.response.StatusCode == http.StatusOK && !a.notExecuted() {
 			return a
 		}
-		if !a.notRun() {
-			sent++
+		if !a.notExecuted() {
+			sendCount++
 		}
-		p.book(a, ctx)
+		p.recordFailedAttempt(a, ctx)
 		if a.err == nil {
 			a.response.Body.Close()
 		}
-		a.end()
-		former.tried, former.sent = tried, sent
+		a.release()
+		former.triedBackends, former.sendCount = tried, sendCount
 	}
 	return nil
 }
 
-// began books the beginning of an answer, once its first bytes are there.
-func (p *Proxy) began(q *request, a *attempt) {
-	a.heard.Store(int64(p.now()))
-	if a.begun {
-		p.do(func() { p.table.RecordProgress(p.now(), a.choice) })
+// recordProgress reports to the dispatch table that bytes of a response have arrived.
+func (p *Proxy) recordProgress(q *request, a *attempt) {
+	a.lastProgress.Store(int64(p.now()))
+	if a.started {
+		p.execute(func() { p.dispatchTable.RecordProgress(p.now(), a.choice) })
 		return
 	}
-	a.begun = true
-	a.limit.stop()
-	p.do(func() { p.table.RecordFirstByte(p.now(), a.choice, q.service) })
+	a.started = true
+	a.firstByteTimer.stop()
+	p.execute(func() { p.dispatchTable.RecordFirstByte(p.now(), a.choice, q.service) })
 }
