--- a/cmd/nettlefold/control.go
+++ b/cmd/nettlefold/control.go
@@ -21,7 +21,7 @@
 	name.Write([]byte(c.Name)) // mixers of one seed are spread all the same
 	return &relay.Client{
 		Seats:  s.Relays,
-		Self:   control.Self{Name: c.Name, Region: s.Region, Zone: c.Charter.Zone},
+		Self:   control.Self{Name: c.Name, Region: s.Region, Zone: c.Mixer.Zone},
 		Window: s.Window,
 		Seed:   uint64(c.Seed) ^ name.Sum64(),
 		Log:    log,
--- a/cmd/nettlefold/fleet.go
+++ b/cmd/nettlefold/fleet.go
@@ -44,7 +44,7 @@
 }
 
 // ownSite is the site this mixer stands in: where the settings do not say, the zone of the platform's configuration.
-func ownSite(c protocol.Config, f *settings.Fleet) string { return cmp.Or(f.Site, c.Charter.Zone) }
+func ownSite(c protocol.Config, f *settings.Fleet) string { return cmp.Or(f.Site, c.Mixer.Zone) }
 
 const mostKeys = 4 // in a file
 
--- a/cmd/nettlefold/fleet_test.go
+++ b/cmd/nettlefold/fleet_test.go
@@ -147,7 +147,7 @@
 	if err := os.WriteFile(open, []byte(strings.Repeat("a", 32)), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	c := protocol.Config{Name: "n0", Charter: mixer.Config{Zone: "z"}}
+	c := protocol.Config{Name: "n0", Mixer: mixer.Config{Zone: "z"}}
 	before := runtime.NumGoroutine()
 	if r, err := gather(c, nil, nil, slog.Default()); r != nil || err != nil || runtime.NumGoroutine() != before {
 		t.Errorf("without a fleet: %v, %v, %d goroutines, were %d", r, err, runtime.NumGoroutine(), before)
@@ -162,7 +162,7 @@
 	for i := range 65 {
 		many = append(many, fmt.Sprint("z", i))
 	}
-	c.Charter.Tariffs = []mixer.Tariff{{Expected: 1}}
+	c.Mixer.Tariffs = []mixer.Tariff{{Expected: 1}}
 	c.Limits.HeartbeatInterval = 1
 	_, err = newSites(c, &settings.Fleet{Sites: many, Site: "z1"}, slog.Default())
 	if err == nil || !strings.Contains(err.Error(), "fleet: sites: 65, 1 to 64 can be") {
--- a/cmd/nettlefold/main.go
+++ b/cmd/nettlefold/main.go
@@ -114,7 +114,7 @@
 		Name, Listen, Discovery string
 		Charter, Limits, Own    any
 		Tariffs, Customers      map[string]int
-	}{c.Name, c.Listen, c.Discovery, c.Charter, c.Limits, own, c.Rows, c.Customers}
+	}{c.Name, c.Listen, c.Discovery, c.Mixer, c.Limits, own, c.TariffRows, c.TenantRows}
 }
 
 type versionCommand struct{}
--- a/cmd/nettlefold/serve.go
+++ b/cmd/nettlefold/serve.go
@@ -43,7 +43,7 @@
 		log.Error("configuration is kept as it was", "error", err)
 		return
 	}
-	if names := c.Differs(anew); len(names) > 0 {
+	if names := c.ChangedKeys(anew); len(names) > 0 {
 		log.Warn("configuration has changes that need a restart", "fields", names)
 	}
 	watch.Move(anew.Discovery)
@@ -76,7 +76,7 @@
 		}
 	}
 	client := store.New(o)
-	k := store.NewKeeper(router, client, c.Name, c.Charter.Zone, c.Seed, log)
+	k := store.NewKeeper(router, client, c.Name, c.Mixer.Zone, c.Seed, log)
 	k.Switch(s.Enabled)
 	return k, client, nil
 }
@@ -105,7 +105,7 @@
 	if path == "" {
 		return
 	}
-	at, kept, err := learnt.Read(path, time.Now(), learnt.LayoutOf(c.Charter))
+	at, kept, err := learnt.Read(path, time.Now(), learnt.LayoutOf(c.Mixer))
 	if err != nil {
 		log.Warn("learnt figures are refused, the start is cold", "file", path, "reason", err)
 		return
@@ -120,7 +120,7 @@
 		return
 	}
 	at, kept := router.Keep()
-	if err := learnt.Write(path, at, learnt.LayoutOf(c.Charter), kept); err != nil {
+	if err := learnt.Write(path, at, learnt.LayoutOf(c.Mixer), kept); err != nil {
 		log.Error("learnt figures are not kept", "error", err)
 		return
 	}
@@ -130,7 +130,7 @@
 // follow runs a watch and gives what is closed once its first news have been handed on.
 func follow(ctx context.Context, wg *sync.WaitGroup, watch *transport.Watch) <-chan struct{} {
 	heard, first, listed := make(chan struct{}), sync.Once{}, watch.Listed
-	watch.Listed = func(l protocol.List) {
+	watch.Listed = func(l protocol.MemberList) {
 		listed(l)
 		first.Do(func() { close(heard) })
 	}
@@ -159,7 +159,7 @@
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.CPUCores))))
 	debug.SetMemoryLimit(c.Limits.MemoryBytes / 4 * 3)
 	part, terms := newSubset(c, own.Subset)
-	router, err := routing.New(terms, c.Rows, c.Limits.MaxOpenRequests, c.Seed, log)
+	router, err := routing.New(terms, c.TariffRows, c.Limits.MaxOpenRequests, c.Seed, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -172,7 +172,7 @@
 	}
 	searchers := transport.NewSearchersWithin(own.Connections, c.Limits, log)
 	defer searchers.Close()
-	server := &transport.Server{Router: router, Searchers: searchers, Tariffs: c.Rows, Customers: c.Customers, Limits: c.Limits, Log: log}
+	server := &transport.Server{Router: router, Searchers: searchers, Tariffs: c.TariffRows, Customers: c.TenantRows, Limits: c.Limits, Log: log}
 	sites, err := newSites(c, own.Fleet, log)
 	if err != nil {
 		listener.Close()
@@ -180,10 +180,10 @@
 	}
 	sites.see(router)
 	part.choose(router, terms, log)
-	listed := func(l protocol.List) {
+	listed := func(l protocol.MemberList) {
 		end := searchers.Listed(l)
 		sites.listed(l)
-		router.Listed(l.Entries(), l.Whole)
+		router.Listed(l.Entries(), l.Snapshot)
 		end()
 		for _, m := range l.Members {
 			if m.Status == mixer.Live {
@@ -191,11 +191,11 @@
 			}
 		}
 	}
-	for _, s := range c.Known.Skipped {
-		log.Warn("known list: a searcher is left out", "searcher", s.Searcher, "fault", s.Fault)
+	for _, s := range c.KnownMembers.Skipped {
+		log.Warn("known list: a searcher is left out", "searcher", s.Searcher, "fault", s.Reason)
 	}
-	c.Known.Whole = true
-	listed(c.Known)
+	c.KnownMembers.Snapshot = true
+	listed(c.KnownMembers)
 	taken := newVersions(c, router, sites)
 	session := controlled(c, own.Control, taken, log)
 	byStore, byRelays := ways(own, router)
@@ -217,7 +217,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	watch := &transport.Watch{Discovery: c.Discovery, Known: c.Known, Fresh: true, Limits: c.Limits, Log: log, Listed: listed,
+	watch := &transport.Watch{Discovery: c.Discovery, Known: c.KnownMembers, Fresh: true, Limits: c.Limits, Log: log, Listed: listed,
 		Alive: sites.alive()}
 	asked := follow(work, &wg, watch)
 	wg.Go(func() { router.Run(work) })
@@ -238,10 +238,10 @@
 			listener.Close()
 			return fmt.Errorf("%s: listeners/admin: %w", at.settings, err)
 		}
-		answers := &admin.Server{Router: router, Explain: func() any { return explained(taken.config(), own) },
+		answers := &admin.Server{Router: router, Settings: func() any { return explained(taken.config(), own) },
 			Connections: searchers.Connections}
 		if shares != nil {
-			answers.Keeper = shares
+			answers.Sharing = shares
 		}
 		if fleet != nil {
 			answers.Fleet = &admin.Fleet{Roster: fleet, Tables: sites.tables()}
@@ -261,7 +261,7 @@
 	// What the agent has counts as told from this process's first moment, and the known list may be old. Who comes meanwhile
 	// waits in the listener's queue. A silent agent is not waited for for long: the known list is better than none.
 	if !answers(ctx, asked, c.Limits.FirstListTimeout) {
-		log.Warn("discovery does not answer, the known list is served on", "version", c.Known.Version)
+		log.Warn("discovery does not answer, the known list is served on", "version", c.KnownMembers.Version)
 	}
 	resume(own.Learnt, c, router, log)
 	server.Open(listener)
@@ -277,7 +277,7 @@
 			}
 		})
 	}
-	log.Info("serving", "name", c.Name, "listen", c.Listen, "known", len(c.Known.Members), "version", c.Known.Version)
+	log.Info("serving", "name", c.Name, "listen", c.Listen, "known", len(c.KnownMembers.Members), "version", c.KnownMembers.Version)
 	late := time.After(time.Until(start.Add(c.Limits.ReadyTimeout)))
 	for ctx.Err() == nil {
 		select {
--- a/cmd/nettlefold/sites.go
+++ b/cmd/nettlefold/sites.go
@@ -56,9 +56,9 @@
 
 // siteTerms are what the settings say: a mixer pings another each second beat of the roster, and reports as often.
 func siteTerms(c protocol.Config) siteloss.Terms {
-	t := siteloss.Terms{Every: int64(2 * roster.Beat), Warming: max(c.Charter.ColdFor, int64(time.Second)),
+	t := siteloss.Terms{Every: int64(2 * roster.Beat), Warming: max(c.Mixer.ColdFor, int64(time.Second)),
 		Beat: int64(c.Limits.HeartbeatInterval)}
-	for _, tariff := range c.Charter.Tariffs {
+	for _, tariff := range c.Mixer.Tariffs {
 		t.Expected = max(t.Expected, tariff.Expected)
 	}
 	return t
@@ -71,7 +71,7 @@
 	}
 }
 
-func (s *siteWatch) listed(l protocol.List) {
+func (s *siteWatch) listed(l protocol.MemberList) {
 	if s != nil {
 		s.table.Eyes.Listed(l)
 	}
--- a/cmd/nettlefold/subset.go
+++ b/cmd/nettlefold/subset.go
@@ -29,13 +29,13 @@
 // newSubset makes what chooses, and the charter of a module that hears of the chosen alone.
 func newSubset(c protocol.Config, s *settings.Subset) (*chosen, mixer.Config) {
 	if s == nil {
-		return nil, c.Charter
+		return nil, c.Mixer
 	}
-	o := subset.Options{Name: c.Name, Zone: c.Charter.Zone, OwnFirst: c.Charter.CrossPrice > 0, Cells: c.Charter.Cells, Least: s.Least, Most: s.Most,
-		Mixers: c.Charter.Mixers, Users: s.Users, Meetings: float64(s.Meetings), Memory: mixer.PaceHalfLife,
-		Linger: int64(c.Limits.MaxDeadline + subsetAfter), Hold: int64(subsetHold), ColdFor: c.Charter.ColdFor}
-	holders := make([]int, max(1, c.Charter.Cells))
-	for _, m := range c.Known.Members {
+	o := subset.Options{Name: c.Name, Zone: c.Mixer.Zone, OwnFirst: c.Mixer.CrossPrice > 0, Cells: c.Mixer.Cells, Least: s.Least, Most: s.Most,
+		Mixers: c.Mixer.Mixers, Users: s.Users, Meetings: float64(s.Meetings), Memory: mixer.PaceHalfLife,
+		Linger: int64(c.Limits.MaxDeadline + subsetAfter), Hold: int64(subsetHold), ColdFor: c.Mixer.ColdFor}
+	holders := make([]int, max(1, c.Mixer.Cells))
+	for _, m := range c.KnownMembers.Members {
 		if m.Status != mixer.Dead && m.Cell >= 0 && m.Cell < len(holders) {
 			holders[m.Cell]++
 		}
@@ -44,7 +44,7 @@
 	for _, n := range holders {
 		smallest, largest = min(smallest, n), max(largest, n)
 	}
-	b, charter := subset.Bound(o, smallest, largest), c.Charter
+	b, charter := subset.Bound(o, smallest, largest), c.Mixer
 	o.ColdShare, charter.Users, charter.UsersMean = b.ColdShare, b.Users, b.UsersMean
 	return &chosen{c: subset.New(o)}, charter
 }
--- a/cmd/nettlefold/subset_test.go
+++ b/cmd/nettlefold/subset_test.go
@@ -119,7 +119,7 @@
 // Unset, nothing is there: no filter, no step, no question. With cells of few holders or few mixers, nothing is done.
 func TestUnsetSubsetIsNone(t *testing.T) {
 	c := protocol.Config{Name: "m"}
-	c.Charter.Cells, c.Charter.Mixers = 2, 6300
+	c.Mixer.Cells, c.Mixer.Mixers = 2, 6300
 	part, terms := newSubset(c, nil)
 	part.choose(nil, terms, nil)
 	part.run(t.Context(), nil)
@@ -129,17 +129,17 @@
 	for i := range 1000 {
 		m := protocol.Member{}
 		m.Searcher, m.Cell = fmt.Sprint(i), i%2
-		c.Known.Members = append(c.Known.Members, m)
+		c.KnownMembers.Members = append(c.KnownMembers.Members, m)
 	}
 	set := &settings.Subset{Least: 32, Most: 64, Meetings: 64, Users: 225}
-	if _, terms = newSubset(c, set); terms.Users == 0 || terms.Users >= 6300 || c.Charter.Users != 0 {
+	if _, terms = newSubset(c, set); terms.Users == 0 || terms.Users >= 6300 || c.Mixer.Users != 0 {
 		t.Errorf("%d users of 6300 where cells are large", terms.Users)
 	}
-	c.Charter.Mixers = 300
+	c.Mixer.Mixers = 300
 	if part, terms = newSubset(c, set); terms.Users != 0 || part.step(1) != nil {
 		t.Errorf("%d users of 300", terms.Users)
 	}
-	c.Charter.Mixers, c.Known.Members = 6300, c.Known.Members[:128]
+	c.Mixer.Mixers, c.KnownMembers.Members = 6300, c.KnownMembers.Members[:128]
 	if _, terms = newSubset(c, set); terms.Users != 0 {
 		t.Errorf("%d users where all holders may be used", terms.Users)
 	}
--- a/cmd/nettlefold/versions.go
+++ b/cmd/nettlefold/versions.go
@@ -23,13 +23,13 @@
 
 // apply puts a document in force for what is taken from now on. Where it is rejected, by a *charter.Fault, nothing changes.
 func (v *versions) apply(document []byte) error {
-	c, err := v.start.Revise(document)
+	c, err := v.start.Overlay(document)
 	if err != nil {
 		return err
 	}
 	v.mu.Lock() // also while it is put in force: two versions never cross
 	defer v.mu.Unlock()
-	v.router.Adopt(c.Charter, c.Limits.MaxOpenRequests)
+	v.router.Adopt(c.Mixer, c.Limits.MaxOpenRequests)
 	v.sites.adopt(c)
 	v.force = c
 	return nil
--- a/cmd/nettlefold/versions_test.go
+++ b/cmd/nettlefold/versions_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	router, err := routing.New(c.Charter, c.Rows, c.Limits.MaxOpenRequests, c.Seed, slog.New(slog.DiscardHandler))
+	router, err := routing.New(c.Mixer, c.TariffRows, c.Limits.MaxOpenRequests, c.Seed, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	router.Listed(c.Known.Entries(), true)
+	router.Listed(c.KnownMembers.Entries(), true)
 	v, in := newVersions(c, router, sites), 0
 	full := func() bool { // of lookups that take two places, and are never answered
 		_, err := router.Take(routing.Lookup{ID: fmt.Sprint(in), Tariff: "all-parts", Expires: time.Now().Add(time.Minute),
@@ -49,7 +49,7 @@
 	if err := v.apply([]byte(`{"PolicyLimits":{"MaxOpen":1},"Profiles":{"0":{"AimMs":300}}}`)); err != nil || !full() {
 		t.Errorf("one place is allowed, and one more lookup is let in: %v", err)
 	}
-	if c := v.config(); c.Limits.MaxOpenRequests != 1 || c.Charter.Tariffs[0].Expected != 300e6 || siteTerms(c).Expected != 500e6 {
+	if c := v.config(); c.Limits.MaxOpenRequests != 1 || c.Mixer.Tariffs[0].Expected != 300e6 || siteTerms(c).Expected != 500e6 {
 		t.Errorf("in force: %+v", c)
 	}
 	var all sync.WaitGroup
--- a/example/toy/toy.go
+++ b/example/toy/toy.go
@@ -42,7 +42,7 @@
 
 // Answer answers a part.
 func (p Part) Answer(end, value string) {
-	p.Conn.Frame(protocol.Answer, fmt.Sprintf("%s %s 1 -\n%s", p.ID, end, value))
+	p.Conn.Frame(protocol.AnswerFrame, fmt.Sprintf("%s %s 1 -\n%s", p.ID, end, value))
 }
 
 // Value gives what a searcher finds for a part: always the same for the same text and slice.
@@ -140,13 +140,13 @@
 			return
 		}
 		s.mu.Lock()
-		s.frames = append(s.frames, string(f.Letter)+string(f.Rest))
+		s.frames = append(s.frames, string(f.Type)+string(f.Payload))
 		s.mu.Unlock()
-		switch f.Letter {
-		case protocol.Query:
-			parts, err := read(f.Rest)
+		switch f.Type {
+		case protocol.QueryFrame:
+			parts, err := read(f.Payload)
 			if err != nil {
-				c.Frame(protocol.Fault, err.Error())
+				c.Frame(protocol.ErrorFrame, err.Error())
 				return
 			}
 			for _, p := range parts {
@@ -157,13 +157,13 @@
 					time.AfterFunc(s.Took, func() { p.Answer("ok", p.Value()) })
 				}
 			}
-		case protocol.Withdraw:
+		case protocol.CancelFrame:
 			if s.Withdrawn != nil {
-				s.Withdrawn(c, string(f.Rest))
+				s.Withdrawn(c, string(f.Payload))
 			}
-		case protocol.Probe:
-			if len(f.Rest) == 0 {
-				c.Frame(protocol.Probe, "ok")
+		case protocol.ProbeFrame:
+			if len(f.Payload) == 0 {
+				c.Frame(protocol.ProbeFrame, "ok")
 			}
 		}
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,19 +21,19 @@
 )
 
 // Asked is what is asked of the mixer.
-type Asked interface {
+type Router interface {
 	Standing(searcher string) (routing.Standing, bool)
 }
 
 // Server answers. Keeper is nil where there is no shared store, Fleet where the mixer takes part in none, Control where no relays
 // tell it of versions.
 type Server struct {
-	Router  Asked
-	Keeper  interface{ State() store.State }
-	Fleet   *Fleet
-	Control func() any          // how the mixer stands with the control tier
-	Explain func() any          // the settings of the start
-	Subset  func() subset.State // nil: all searchers are used
+	Router   Router
+	Sharing  interface{ State() store.State }
+	Fleet    *Fleet
+	Control  func() any          // how the mixer stands with the control tier
+	Settings func() any          // the settings of the start
+	Subset   func() subset.State // nil: all searchers are used
 
 	Connections func() conns.Stats // to searchers, nil: nothing is told of them
 }
@@ -51,7 +51,7 @@
 
 // Handler gives the answers by path.
 func (s *Server) Handler() http.Handler {
-	set := s.figures()
+	set := s.newMetricSet()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
@@ -59,28 +59,28 @@
 		metrics.WriteProcessMetrics(w)
 	})
 	mux.HandleFunc("GET /sharing", func(w http.ResponseWriter, r *http.Request) {
-		if s.Keeper == nil {
+		if s.Sharing == nil {
 			http.Error(w, "no shared store is set", http.StatusNotFound)
 			return
 		}
-		reply(w, s.Keeper.State())
+		writeJSON(w, s.Sharing.State())
 	})
-	mux.HandleFunc("GET /fleet", s.fleet)
+	mux.HandleFunc("GET /fleet", s.serveFleet)
 	mux.HandleFunc("GET /control", func(w http.ResponseWriter, r *http.Request) {
 		if s.Control == nil {
 			http.Error(w, "no control is set", http.StatusNotFound)
 			return
 		}
-		reply(w, s.Control())
+		writeJSON(w, s.Control())
 	})
 	mux.HandleFunc("GET /subset", func(w http.ResponseWriter, r *http.Request) {
 		if s.Subset == nil {
 			http.Error(w, "no subset is set", http.StatusNotFound)
 			return
 		}
-		reply(w, s.Subset())
+		writeJSON(w, s.Subset())
 	})
-	mux.HandleFunc("GET /settings", func(w http.ResponseWriter, r *http.Request) { reply(w, s.Explain()) })
+	mux.HandleFunc("GET /settings", func(w http.ResponseWriter, r *http.Request) { writeJSON(w, s.Settings()) })
 	mux.HandleFunc("GET /why", func(w http.ResponseWriter, r *http.Request) {
 		name := r.FormValue("searcher")
 		st, ok := s.Router.Standing(name)
@@ -92,7 +92,7 @@
 			http.Error(w, text, http.StatusNotFound)
 			return
 		}
-		reply(w, struct {
+		writeJSON(w, struct {
 			Reasons  []string
 			Standing routing.Standing
 		}{Reasons(st), st})
@@ -100,7 +100,7 @@
 	return mux
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
@@ -144,7 +144,7 @@
 }
 
 // chosen adds the gauges of the subset, where there is one.
-func (s *Server) chosen(set *metrics.Set) {
+func (s *Server) addSubsetMetrics(set *metrics.Set) {
 	if s.Subset == nil {
 		return
 	}
@@ -160,17 +160,17 @@
 }
 
 // figures are the metrics of connections, the subset and sharing, read when they are asked for.
-func (s *Server) figures() *metrics.Set {
+func (s *Server) newMetricSet() *metrics.Set {
 	set := metrics.NewSet()
 	if s.Connections != nil {
-		set.RegisterMetricsWriter(func(w io.Writer) { writeConnections(w, s.Connections()) })
+		set.RegisterMetricsWriter(func(w io.Writer) { writeConnectionMetrics(w, s.Connections()) })
 	}
-	s.chosen(set)
-	if s.Keeper == nil {
+	s.addSubsetMetrics(set)
+	if s.Sharing == nil {
 		return set
 	}
 	gauge := func(name string, read func(store.State) float64) {
-		set.NewGauge("nettlefold_sharing_"+name, func() float64 { return read(s.Keeper.State()) })
+		set.NewGauge("nettlefold_sharing_"+name, func() float64 { return read(s.Sharing.State()) })
 	}
 	flag := func(b bool) float64 {
 		if b {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -16,7 +16,7 @@
 	"nettlefold/mixer"
 )
 
-func TestReasonsNameWhatKeepsASearcherBack(t *testing.T) {
+func TestReasons(t *testing.T) {
 	second := int64(time.Second)
 	base := routing.Standing{Unit: 1, Fleet: 1}
 	for want, change := range map[string]func(*routing.Standing){
@@ -42,39 +42,41 @@
 	}
 }
 
-type asked struct{}
+type stubRouter struct{}
 
-func (asked) Standing(name string) (routing.Standing, bool) { return routing.Standing{}, name == "s" }
+func (stubRouter) Standing(name string) (routing.Standing, bool) {
+	return routing.Standing{}, name == "s"
+}
 
-type kept struct{}
+type stubSharing struct{}
 
-func (kept) State() store.State {
+func (stubSharing) State() store.State {
 	return store.State{Counts: sharing.Counts{Lent: 7, Others: 3}, On: true, Open: true, Newest: 1500 * time.Millisecond}
 }
 
-type listed struct{}
+type stubRoster struct{}
 
-func (listed) Self() roster.Life { return roster.Life{Name: "me", Life: 0xa} }
-func (listed) Now() int64        { return int64(5 * time.Second) }
-func (listed) Members() []roster.Member {
+func (stubRoster) Self() roster.Life { return roster.Life{Name: "me", Life: 0xa} }
+func (stubRoster) Now() int64        { return int64(5 * time.Second) }
+func (stubRoster) Members() []roster.Member {
 	return []roster.Member{{Life: roster.Life{Name: "me", Life: 0xa}},
 		{Life: roster.Life{Name: "you", Life: 0xb0, Site: "x"}, State: roster.CutOff,
 			Heard: int64(3 * time.Second), At: int64(4 * time.Second)},
 		{Life: roster.Life{Name: "old"}, State: roster.Gone, Why: roster.Goodbye}}
 }
 
-func TestAnswers(t *testing.T) {
+func TestHandler(t *testing.T) {
 	get := func(s *Server, path string) (int, string) {
 		w := httptest.NewRecorder()
 		s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		raw, _ := io.ReadAll(w.Result().Body)
 		return w.Code, string(raw)
 	}
-	alone := &Server{Router: asked{}, Explain: func() any { return "in force" }}
-	shares := &Server{Router: asked{}, Keeper: kept{}, Explain: alone.Explain}
+	alone := &Server{Router: stubRouter{}, Settings: func() any { return "in force" }}
+	shares := &Server{Router: stubRouter{}, Sharing: stubSharing{}, Settings: alone.Settings}
 	shares.Control = func() any { return map[string]string{"relay": "r-1"} }
 	shares.Subset = func() subset.State { return subset.State{Used: 8, Silent: []string{"a", "b"}} }
-	shares.Fleet = &Fleet{Roster: listed{}, Tables: []Table{{"rights", func() any { return 7 }}}}
+	shares.Fleet = &Fleet{Roster: stubRoster{}, Tables: []Table{{"rights", func() any { return 7 }}}}
 	for _, c := range []struct {
 		s    *Server
 		path string
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -10,7 +10,7 @@
 )
 
 // writeConnections writes the metrics of the connections to searchers, all of one moment.
-func writeConnections(w io.Writer, st conns.Stats) {
+func writeConnectionMetrics(w io.Writer, st conns.Stats) {
 	const prefix = "nettlefold_connections_"
 	metrics.WriteGaugeUint64(w, prefix+"open", uint64(st.Open))
 	metrics.WriteGaugeUint64(w, prefix+"idle", uint64(st.Idle))
--- a/internal/admin/connections_test.go
+++ b/internal/admin/connections_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestConnectionsAreTold reads the metrics of the connections to searchers, and has none of them where nothing is told.
-func TestConnectionsAreTold(t *testing.T) {
+func TestConnectionMetrics(t *testing.T) {
 	st := conns.Stats{Open: 5, Idle: 3, Opened: 12, TooMany: 2, TooFast: 4, Steps: 99}
 	st.Closed[conns.ForAge], st.Closed[conns.ForPlace] = 6, 1
 	get := func(s *Server) string {
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -24,7 +24,7 @@
 	Read func() any
 }
 
-type memberAnswer struct {
+type memberStatus struct {
 	Name  string `json:"name"`
 	Life  string `json:"life"` // hex
 	Site  string `json:"site"`
@@ -36,23 +36,23 @@
 	Since int64  `json:"state_ms"` // how long it has been in its state
 }
 
-type tableAnswer struct {
+type tableStatus struct {
 	Name  string `json:"name"`
 	State any    `json:"state"`
 }
 
-type fleetAnswer struct {
-	Self    memberAnswer   `json:"self"`
-	Members []memberAnswer `json:"members"` // this one too
-	Tables  []tableAnswer  `json:"tables"`
+type fleetStatus struct {
+	Self    memberStatus   `json:"self"`
+	Members []memberStatus `json:"members"` // this one too
+	Tables  []tableStatus  `json:"tables"`
 }
 
-func (f *Fleet) answer() fleetAnswer {
-	a := fleetAnswer{Tables: []tableAnswer{}}
+func (f *Fleet) status() fleetStatus {
+	a := fleetStatus{Tables: []tableStatus{}}
 	now, self := f.Roster.Now(), f.Roster.Self()
 	ago := func(at int64) int64 { return max(0, time.Duration(now-at).Milliseconds()) }
 	for _, m := range f.Roster.Members() {
-		one := memberAnswer{Name: m.Name, Life: fmt.Sprintf("%016x", m.Life.Life), Site: m.Site, Build: m.Build,
+		one := memberStatus{Name: m.Name, Life: fmt.Sprintf("%016x", m.Life.Life), Site: m.Site, Build: m.Build,
 			State: m.State.String(), Why: m.Why.String(), Term: m.Term, Heard: -1, Since: ago(m.At)}
 		if m.Heard > 0 {
 			one.Heard = ago(m.Heard)
@@ -64,16 +64,16 @@
 		a.Members = append(a.Members, one)
 	}
 	for _, t := range f.Tables {
-		a.Tables = append(a.Tables, tableAnswer{t.Name, t.Read()})
+		a.Tables = append(a.Tables, tableStatus{t.Name, t.Read()})
 	}
 	return a
 }
 
 // fleet answers GET /fleet.
-func (s *Server) fleet(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	if s.Fleet == nil {
 		http.Error(w, "no fleet is set", http.StatusNotFound)
 		return
 	}
-	reply(w, s.Fleet.answer())
+	writeJSON(w, s.Fleet.status())
 }
--- a/internal/fleet/sites/eyes.go
+++ b/internal/fleet/sites/eyes.go
@@ -149,12 +149,12 @@
 
 // Listed takes news of the list, one at a time. A searcher beyond the bound belongs to no site. What follows from them is made without
 // the lock, for which the router may wait under its own, and put in place at once.
-func (e *Eyes) Listed(l protocol.List) {
+func (e *Eyes) Listed(l protocol.MemberList) {
 	e.mu.Lock()
 	was := e.searchers // it is never written again, but replaced here
 	e.mu.Unlock()
 	all := map[string]searcher{}
-	if !l.Whole {
+	if !l.Snapshot {
 		all = maps.Clone(was)
 	}
 	next := make([]place, len(e.names)) // what the list says of them
--- a/internal/fleet/sites/eyes_test.go
+++ b/internal/fleet/sites/eyes_test.go
@@ -18,14 +18,14 @@
 	now := int64(time.Hour)
 	e := newEyes(func() int64 { return now }, siteloss.Terms{Expected: ms}, []string{"a", "b"})
 	const n = 1000
-	list := func(zone string, whole bool) (l protocol.List) {
-		l.Whole = whole
+	list := func(zone string, whole bool) (l protocol.MemberList) {
+		l.Snapshot = whole
 		for i := range n {
 			l.Members = append(l.Members, protocol.Member{Entry: routing.Entry{Searcher: fmt.Sprint("s", i), Zone: zone}, Address: fmt.Sprint(i)})
 		}
 		return l
 	}
-	lists := []protocol.List{list("a", true), list("b", false), list("a", false), list("b", true)}
+	lists := []protocol.MemberList{list("a", true), list("b", false), list("a", false), list("b", true)}
 	e.Listed(lists[0])
 	var all sync.WaitGroup
 	done := make(chan struct{})
--- a/internal/fleet/sites/sites_test.go
+++ b/internal/fleet/sites/sites_test.go
@@ -57,7 +57,7 @@
 		if err := table.Join(fleets[i]); err != nil {
 			t.Fatal(err)
 		}
-		list := protocol.List{Whole: true}
+		list := protocol.MemberList{Snapshot: true}
 		for _, site := range []string{"a", "b", "c", "elsewhere"} {
 			list.Members = append(list.Members, protocol.Member{Entry: routing.Entry{Searcher: "s" + site, Zone: site}, Address: site})
 		}
@@ -168,7 +168,7 @@
 	if all[site] != want || clients != 1 {
 		t.Errorf("%+v, %d lookups, want %+v", all[site], clients, want)
 	}
-	e.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "sc", Status: mixer.Dead}}}})
+	e.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "sc", Status: mixer.Dead}}}})
 	now += 300 * ms
 	all, _ = e.evidence(now)
 	if want := (siteloss.Evidence{Listed: 1, ListAge: 2290 * ms}); all[site] != want {
--- a/internal/lab/capacity/config.go
+++ b/internal/lab/capacity/config.go
@@ -48,8 +48,8 @@
 	var c protocol.Config
 	var err error
 	a, b, t := best(3, func() { c, err = protocol.ReadConfig(raw) })
-	if err == nil && len(c.Known.Members) != size {
-		err = fmt.Errorf("%d members known of %d", len(c.Known.Members), size)
+	if err == nil && len(c.KnownMembers.Members) != size {
+		err = fmt.Errorf("%d members known of %d", len(c.KnownMembers.Members), size)
 	}
 	return []float64{float64(len(raw)), a, b, t.Seconds()}, err
 }
--- a/internal/lab/capacity/conns.go
+++ b/internal/lab/capacity/conns.go
@@ -77,13 +77,13 @@
 	defer p.close()
 	c := Terms(size)
 	c.Tariffs[0].Expected, c.Tariffs[0].Patience = int64(time.Minute), int64(time.Minute)
-	var list protocol.List
+	var list protocol.MemberList
 	for i := range size {
 		m := protocol.Member{Address: p.l.Addr().String()}
 		m.Searcher, m.Cell, m.Zone = "searcher-"+strconv.Itoa(i), i, "zone-0"
 		list.Members = append(list.Members, m)
 	}
-	list.Whole = true
+	list.Snapshot = true
 	r, err := router(c, list.Entries())
 	if err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 		for _, call := range step.Calls {
 			f := call.Forwards[0]
 			searchers.Send(call.Searcher, false, []*transport.Parcel{{Forward: f, Part: protocol.Part{ID: f.ID,
-				Slice: f.Part, Text: text}}})
+				Shard: f.Part, Query: text}}})
 		}
 		for range 200 {
 			if len(p.came) == size {
@@ -173,7 +173,7 @@
 		}
 		call := step.Calls[0]
 		f := call.Forwards[0]
-		parcel := &transport.Parcel{Forward: f, Part: protocol.Part{ID: f.ID, Slice: k}}
+		parcel := &transport.Parcel{Forward: f, Part: protocol.Part{ID: f.ID, Shard: k}}
 		began := time.Now()
 		searchers.Send(call.Searcher, false, []*transport.Parcel{parcel})
 		if k >= there {
--- a/internal/lab/capacity/list.go
+++ b/internal/lab/capacity/list.go
@@ -67,8 +67,8 @@
 }
 
 // read reads one message of the list as the watch does, through its bound of a message.
-func read(raw []byte) (protocol.List, error) {
-	return protocol.NewNews(bytes.NewReader(raw), lineMost).Next()
+func read(raw []byte) (protocol.MemberList, error) {
+	return protocol.NewMemberListReader(bytes.NewReader(raw), lineMost).Next()
 }
 
 // lineMost is the most that a message of the list may have, in bytes.
@@ -120,7 +120,7 @@
 // playList reads a whole list and one change of it.
 func playList(size int) ([]float64, error) {
 	raw, one := whole(size, cellsOf(size)), change(size/2, cellsOf(size), "DRAINING")
-	var list protocol.List
+	var list protocol.MemberList
 	var err error
 	allocations, bytes, took := best(3, func() { list, err = read(raw) })
 	if err != nil || len(list.Members) != size || len(list.Skipped) > 0 {
--- a/internal/lab/capacity/shared_test.go
+++ b/internal/lab/capacity/shared_test.go
@@ -138,7 +138,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := protocol.List{Whole: true}
+		list := protocol.MemberList{Snapshot: true}
 		for i := range 5000 {
 			e := routing.Entry{Searcher: fmt.Sprintf("searcher-%05d", i), Zone: "zone-01"}
 			list.Members = append(list.Members, protocol.Member{Entry: e, Address: "127.0.0.1:9"})
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -25,7 +25,7 @@
 }
 
 // heldByTable gives what the table of connections holds of a list without any connection, and its end.
-func heldByTable(list protocol.List) (end func(), bytes float64) {
+func heldByTable(list protocol.MemberList) (end func(), bytes float64) {
 	s, bytes := Held(func() *transport.Searchers {
 		s := transport.NewSearchers(limits(), slog.New(slog.DiscardHandler))
 		s.Listed(list)
@@ -47,7 +47,7 @@
 	w, bytes := Held(func() *transport.Watch {
 		told := make(chan int, 1)
 		w := &transport.Watch{Discovery: l.Addr().String(), Fresh: true, Limits: limits(), Log: slog.New(slog.DiscardHandler)}
-		w.Listed = func(list protocol.List) { told <- len(list.Members) }
+		w.Listed = func(list protocol.MemberList) { told <- len(list.Members) }
 		go func() {
 			w.Run(ctx)
 			close(ended)
--- a/internal/lab/capacity/wire.go
+++ b/internal/lab/capacity/wire.go
@@ -83,22 +83,22 @@
 		f := routing.Final{Verdict: routing.Answered, Whole: true}
 		for i, p := range l.Parts {
 			id := l.ID + "." + strconv.Itoa(p.Slice)
-			frame := protocol.AppendCall(nil, []protocol.Part{{ID: id, Slice: p.Slice, Within: 49 * time.Millisecond, Text: l.Text}})
+			frame := protocol.AppendQuery(nil, []protocol.Part{{ID: id, Shard: p.Slice, Timeout: 49 * time.Millisecond, Query: l.Query}})
 			out += float64(len(frame))
-			raw := protocol.AppendFrame(nil, protocol.Answer, append([]byte(id+" ok 1 -\n"), value...))
+			raw := protocol.AppendFrame(nil, protocol.AnswerFrame, append([]byte(id+" ok 1 -\n"), value...))
 			in += float64(len(raw))
 			var got protocol.Frame
 			if got, err = protocol.ReadFrame(bytes.NewReader(raw), lim.MaxFrameBytes); err != nil {
 				return
 			}
 			var r protocol.Reply
-			if r, err = protocol.ReadReply(got.Rest); err != nil || r.Outcome != mixer.Succeeded {
+			if r, err = protocol.ReadReply(got.Payload); err != nil || r.Outcome != mixer.Succeeded {
 				return
 			}
 			f.Hits = append(f.Hits, routing.Hit{Part: i, Value: r.Value})
 		}
 		var raw []byte
-		raw, err = protocol.WriteAnswer(l, f)
+		raw, err = protocol.EncodeAnswer(l, f)
 		answer = float64(len(raw))
 	}
 	const times = 20
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -15,13 +15,13 @@
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    int64
-	Charter                 mixer.Config
-	Rows, Customers         map[string]int // tariffs; customers, from 1 on
+	Mixer                   mixer.Config
+	TariffRows, TenantRows  map[string]int // tariffs; customers, from 1 on
 	Limits                  charter.Limits
-	Known                   List
+	KnownMembers            MemberList
 
-	terms map[string]string // everything but discovery and known, as written
-	start charter.Settings  // the settings as written, which a version is laid over
+	values   map[string]string // everything but discovery and known, as written
+	settings charter.Settings  // the settings as written, which a version is laid over
 }
 
 type config struct {
@@ -52,12 +52,12 @@
 		if _, port, err := net.SplitHostPort(f.value); err != nil {
 			return c, fmt.Errorf("configuration: %s: %w", f.name, err)
 		} else if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-			return c, fmt.Errorf("configuration: %s: port: %q", f.name, clip(port))
+			return c, fmt.Errorf("configuration: %s: port: %q", f.name, truncate(port))
 		}
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
-		return c, fmt.Errorf("configuration: seed: not hex of 64 bits: %q", clip(in.Seed))
+		return c, fmt.Errorf("configuration: seed: not hex of 64 bits: %q", truncate(in.Seed))
 	}
 	c.Seed = int64(seed)
 	if !(in.Limits.Cores > 0 && in.Limits.Cores < 1e4) {
@@ -73,21 +73,21 @@
 	if err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	if c.Charter, c.Rows, err = terms.MixerConfig(); err != nil {
+	if c.Mixer, c.TariffRows, err = terms.MixerConfig(); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	c.Customers, c.start = terms.TenantRows(c.Charter), terms
-	if c.Limits, err = terms.Limits(c.Charter); err != nil {
+	c.TenantRows, c.settings = terms.TenantRows(c.Mixer), terms
+	if c.Limits, err = terms.Limits(c.Mixer); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
 	c.Limits.CPUCores, c.Limits.FileDescriptors = in.Limits.Cores, in.Limits.Sockets
 	c.Limits.MemoryBytes = int64(in.Limits.Memory * (1 << 20))
-	c.terms = map[string]string{"name": c.Name, "listen": c.Listen, "seed": in.Seed, "limits": fmt.Sprint(in.Limits)}
+	c.values = map[string]string{"name": c.Name, "listen": c.Listen, "seed": in.Seed, "limits": fmt.Sprint(in.Limits)}
 	for key, v := range terms {
-		c.terms["settings."+key] = v
+		c.values["settings."+key] = v
 	}
 	if len(in.Known) > 0 {
-		if c.Known, err = ReadList(in.Known); err != nil {
+		if c.KnownMembers, err = ReadMemberList(in.Known); err != nil {
 			return c, fmt.Errorf("configuration: known: %w", err)
 		}
 	}
@@ -95,14 +95,14 @@
 }
 
 // Differs names what of another configuration this one has otherwise, but for discovery and the list as last known.
-func (c Config) Differs(other Config) (names []string) {
-	for name, v := range c.terms {
-		if w, ok := other.terms[name]; !ok || v != w {
+func (c Config) ChangedKeys(other Config) (names []string) {
+	for name, v := range c.values {
+		if w, ok := other.values[name]; !ok || v != w {
 			names = append(names, name)
 		}
 	}
-	for name := range other.terms {
-		if _, ok := c.terms[name]; !ok {
+	for name := range other.values {
+		if _, ok := c.values[name]; !ok {
 			names = append(names, name)
 		}
 	}
@@ -114,8 +114,8 @@
 // each is whole by itself. How a document is written, and what it may change, is said at charter.Terms.Lay. Of the limits only
 // Open follows: the longest deadline, and with it the time after SIGTERM, stay the start's, which no version may exceed. What
 // is wrong is a *charter.Fault with path and value; then the configuration is as before.
-func (c Config) Revise(document []byte) (Config, error) {
-	terms, err := c.start.Overlay(document)
+func (c Config) Overlay(document []byte) (Config, error) {
+	terms, err := c.settings.Overlay(document)
 	if err != nil {
 		return c, err
 	}
@@ -127,6 +127,6 @@
 	if err != nil {
 		return c, err
 	}
-	c.Charter, c.Limits.MaxOpenRequests = anew, limits.MaxOpenRequests
+	c.Mixer, c.Limits.MaxOpenRequests = anew, limits.MaxOpenRequests
 	return c, nil
 }
--- a/internal/protocol/lookup.go
+++ b/internal/protocol/lookup.go
@@ -26,17 +26,17 @@
 	PathLookup = "/api"
 	PathHealth = "/_health"
 
-	headID        = "X-Txn"
-	headTariff    = "X-Lane"
-	headRemaining = "X-Remaining-Ms"
-	headAgain     = "X-Resent"
-	headCustomer  = "X-Org" // by the names on the sockets; the page itself has none for it
+	headerID        = "X-Txn"
+	headerTariff    = "X-Lane"
+	headerRemaining = "X-Remaining-Ms"
+	headerResent    = "X-Resent"
+	headerTenant    = "X-Org" // by the names on the sockets; the page itself has none for it
 )
 
 // Lookup is a client's request: what the module is told of it, and the text that each part carries.
 type Lookup struct {
 	routing.Lookup
-	Text string
+	Query string
 }
 
 // ReadLookup reads a client's request, the first of which was seen at a time. It takes nothing that PROTOCOL does not have:
@@ -48,7 +48,7 @@
 	for _, h := range []struct {
 		name string
 		to   *string
-	}{{headID, &l.ID}, {headTariff, &l.Tariff}, {headRemaining, &remaining}, {headAgain, &again}, {headCustomer, &customer}} {
+	}{{headerID, &l.ID}, {headerTariff, &l.Tariff}, {headerRemaining, &remaining}, {headerResent, &again}, {headerTenant, &customer}} {
 		switch all := head.Values(h.name); len(all) {
 		case 0:
 		case 1:
@@ -57,22 +57,22 @@
 			return l, fmt.Errorf("%s: told %d times", h.name, len(all))
 		}
 	}
-	if err := checkID(l.ID, lim.MaxIDBytes); err != nil {
+	if err := validateID(l.ID, lim.MaxIDBytes); err != nil {
 		return l, err
 	}
 	if _, ok := tariffs[l.Tariff]; !ok {
-		return l, fmt.Errorf("%s: unknown %q", headTariff, clip(l.Tariff))
+		return l, fmt.Errorf("%s: unknown %q", headerTariff, truncate(l.Tariff))
 	}
 	if again != "" && again != "1" {
-		return l, fmt.Errorf("%s: %q", headAgain, clip(again))
+		return l, fmt.Errorf("%s: %q", headerResent, truncate(again))
 	}
 	l.Again = again == "1"
 	if l.Customer = customers[customer]; len(customers) > 0 && customer != "" && l.Customer == 0 {
-		return l, fmt.Errorf("%s: unknown %q", headCustomer, clip(customer))
+		return l, fmt.Errorf("%s: unknown %q", headerTenant, truncate(customer))
 	}
 	left, err := strconv.ParseUint(remaining, 10, 32)
 	if err != nil {
-		return l, fmt.Errorf("%s: not whole milliseconds: %q", headRemaining, clip(remaining))
+		return l, fmt.Errorf("%s: not whole milliseconds: %q", headerRemaining, truncate(remaining))
 	}
 	l.Expires = seen.Add(time.Duration(left) * time.Millisecond)
 	if err := l.readBody(raw, lim); err != nil {
@@ -89,13 +89,13 @@
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	told := false
-	err := object(d, func(key string) error {
+	err := readObject(d, func(key string) error {
 		switch key {
 		case "q":
 			told = true
-			return text(d, &l.Text)
+			return readString(d, &l.Query)
 		case "shards":
-			return array(d, func() error {
+			return readArray(d, func() error {
 				at := fmt.Sprintf("shards[%d]: ", len(l.Parts))
 				p, err := readPart(d, lim)
 				if err == nil && slices.ContainsFunc(l.Parts, func(o routing.Part) bool { return o.Slice == p.Slice }) {
@@ -116,7 +116,7 @@
 	if _, err := d.Token(); err != io.EOF {
 		return errors.New("more than one JSON value")
 	}
-	if lost := strings.Count(l.Text, "\ufffd"); lost > 0 && lost > bytes.Count(raw, []byte("\ufffd"))+
+	if lost := strings.Count(l.Query, "\ufffd"); lost > 0 && lost > bytes.Count(raw, []byte("\ufffd"))+
 		bytes.Count(bytes.ToLower(raw), []byte(`\ufffd`)) {
 		return errors.New("q: half a character")
 	}
@@ -130,7 +130,7 @@
 	for _, p := range l.Parts {
 		sum += p.Weight
 	}
-	if math.Abs(sum-1) > rounding*float64(len(l.Parts)) {
+	if math.Abs(sum-1) > weightTolerance*float64(len(l.Parts)) {
 		return fmt.Errorf("shards: weights add up to %v", sum)
 	}
 	for i := range l.Parts {
@@ -140,46 +140,46 @@
 }
 
 // rounding is how far each weight may be from what it stands for: they are written with a few digits.
-const rounding = 1e-3
+const weightTolerance = 1e-3
 
 // readPart reads one part.
 func readPart(d *json.Decoder, lim charter.Limits) (p routing.Part, err error) {
 	shard, weight := -1, -1.0
-	err = object(d, func(key string) error {
+	err = readObject(d, func(key string) error {
 		switch key {
 		case "shard":
-			n, err := number(d, key)
+			n, err := readNumber(d, key)
 			if err != nil {
 				return err
 			}
 			if shard, err = strconv.Atoi(n); err != nil || shard < 0 || shard >= lim.Shards {
-				return fmt.Errorf("shard: %s is not within 0 to %d", clip(n), lim.Shards-1)
+				return fmt.Errorf("shard: %s is not within 0 to %d", truncate(n), lim.Shards-1)
 			}
 		case "weight":
-			n, err := number(d, key)
+			n, err := readNumber(d, key)
 			if err != nil {
 				return err
 			}
 			if weight, err = strconv.ParseFloat(n, 64); err != nil || !(weight > 0 && weight <= 1) {
-				return fmt.Errorf("weight: %s is not above 0 and up to 1", clip(n))
+				return fmt.Errorf("weight: %s is not above 0 and up to 1", truncate(n))
 			}
 		case "cost":
-			n, err := number(d, key)
+			n, err := readNumber(d, key)
 			if err != nil {
 				return err
 			}
 			micros, err := strconv.ParseFloat(n, 64)
 			if err != nil || !(micros >= 0 && micros <= 1e12) {
-				return fmt.Errorf("cost: %s", clip(n))
+				return fmt.Errorf("cost: %s", truncate(n))
 			}
 			p.Effort = time.Duration(math.Round(micros * 1000))
 		case "key":
 			var v string
-			if err := text(d, &v); err != nil {
+			if err := readString(d, &v); err != nil {
 				return fmt.Errorf("key: %w", err)
 			}
 			if _, err := strconv.ParseUint(v, 16, 64); err != nil || len(v) != 16 {
-				return fmt.Errorf("key: not 16 hex digits: %q", clip(v))
+				return fmt.Errorf("key: not 16 hex digits: %q", truncate(v))
 			}
 		default:
 			return d.Decode(&json.RawMessage{})
@@ -198,9 +198,9 @@
 }
 
 // object reads an object, each key of which may stand once, in just these letters.
-func object(d *json.Decoder, member func(key string) error) error {
+func readObject(d *json.Decoder, member func(key string) error) error {
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		return fmt.Errorf("not an object: %w", cmp.Or(err, errForm))
+		return fmt.Errorf("not an object: %w", cmp.Or(err, errWrongType))
 	}
 	var keys []string
 	for d.More() {
@@ -210,9 +210,9 @@
 		}
 		key := t.(string) // the decoder lets nothing else stand here
 		if slices.Contains(keys, key) {
-			return fmt.Errorf("%s: told twice", clip(key))
+			return fmt.Errorf("%s: told twice", truncate(key))
 		}
-		if keys = append(keys, key); len(keys) > mostKeys {
+		if keys = append(keys, key); len(keys) > maxObjectKeys {
 			return errors.New("too many keys")
 		}
 		if err := member(key); err != nil {
@@ -224,14 +224,14 @@
 }
 
 // mostKeys is how many keys an object may have: those there are and some newer ones.
-const mostKeys = 32
+const maxObjectKeys = 32
 
-var errForm = errors.New("another sort of value")
+var errWrongType = errors.New("another sort of value")
 
 // array reads an array.
-func array(d *json.Decoder, item func() error) error {
+func readArray(d *json.Decoder, item func() error) error {
 	if t, err := d.Token(); err != nil || t != json.Delim('[') {
-		return fmt.Errorf("not an array: %w", cmp.Or(err, errForm))
+		return fmt.Errorf("not an array: %w", cmp.Or(err, errWrongType))
 	}
 	for d.More() {
 		if err := item(); err != nil {
@@ -242,48 +242,48 @@
 	return err
 }
 
-func text(d *json.Decoder, to *string) error {
+func readString(d *json.Decoder, to *string) error {
 	t, err := d.Token()
 	if err != nil {
 		return err
 	}
 	s, ok := t.(string)
 	if !ok {
-		return fmt.Errorf("not a text: %w", errForm)
+		return fmt.Errorf("not a text: %w", errWrongType)
 	}
 	*to = s
 	return nil
 }
 
-func number(d *json.Decoder, key string) (string, error) {
+func readNumber(d *json.Decoder, key string) (string, error) {
 	t, err := d.Token()
 	if err != nil {
 		return "", err
 	}
 	n, ok := t.(json.Number)
 	if !ok {
-		return "", fmt.Errorf("%s: not a number: %w", key, errForm)
+		return "", fmt.Errorf("%s: not a number: %w", key, errWrongType)
 	}
 	return string(n), nil
 }
 
 // checkID sees to it that an id can stand in a line of a frame.
-func checkID(id string, most int) error {
+func validateID(id string, most int) error {
 	if id == "" {
-		return fmt.Errorf("%s: missing", headID)
+		return fmt.Errorf("%s: missing", headerID)
 	}
 	if len(id) > most {
-		return fmt.Errorf("%s: %d bytes, at most %d", headID, len(id), most)
+		return fmt.Errorf("%s: %d bytes, at most %d", headerID, len(id), most)
 	}
 	for _, c := range []byte(id) {
 		if c <= ' ' || c > '~' {
-			return fmt.Errorf("%s: byte %#x in %q", headID, c, id)
+			return fmt.Errorf("%s: byte %#x in %q", headerID, c, id)
 		}
 	}
 	return nil
 }
 
-func clip(s string) string { return s[:min(len(s), 80)] }
+func truncate(s string) string { return s[:min(len(s), 80)] }
 
 type hit struct {
 	Shard int    `json:"shard"`
@@ -296,7 +296,7 @@
 }
 
 // WriteAnswer gives the body of an answered lookup.
-func WriteAnswer(l Lookup, f routing.Final) ([]byte, error) {
+func EncodeAnswer(l Lookup, f routing.Final) ([]byte, error) {
 	a := answer{Complete: f.Whole, Hits: make([]hit, len(f.Hits))}
 	for i, h := range f.Hits {
 		a.Hits[i] = hit{l.Parts[h.Part].Slice, string(h.Value)}
@@ -309,6 +309,6 @@
 }
 
 // WriteWait gives a wait as the Retry-After header has it.
-func WriteWait(wait time.Duration) string {
+func FormatRetryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)
 }
--- a/internal/protocol/members.go
+++ b/internal/protocol/members.go
@@ -17,7 +17,7 @@
 )
 
 // member is one of the list as it is written. It has no name of its own, so that faults are told as those of a list read whole.
-type member = struct {
+type jsonMember = struct {
 	Name    string          `json:"name"`
 	Address string          `json:"address"`
 	Zone    string          `json:"zone"`
@@ -29,157 +29,157 @@
 
 // list is a message as it is written. Its members are not kept: each is made a Member as it is read.
 type list struct {
-	Index    *int64   `json:"index"`
-	Snapshot bool     `json:"snapshot"`
-	Members  []member `json:"endpoints"`
+	Index    *int64       `json:"index"`
+	Snapshot bool         `json:"snapshot"`
+	Members  []jsonMember `json:"endpoints"`
 }
 
 // misfit is the error of a message that is sound JSON, and no list.
-type misfit struct{ error }
+type schemaError struct{ error }
 
-func (e *misfit) Unwrap() error { return e.error }
+func (e *schemaError) Unwrap() error { return e.error }
 
 // passed is a value that is not looked at.
-type passed struct{}
+type ignoredValue struct{}
 
-func (*passed) UnmarshalJSON([]byte) error { return nil }
+func (*ignoredValue) UnmarshalJSON([]byte) error { return nil }
 
 // message is a message of the list on its way in.
-type message struct {
-	in    *json.Decoder
-	list  list
-	fault *json.UnmarshalTypeError // the first, told once the message is whole
+type listDecoder struct {
+	decoder   *json.Decoder
+	list      list
+	typeError *json.UnmarshalTypeError // the first, told once the message is whole
 
-	met     bool // its members, once
-	out     List
-	full    [][]Member // read, in pieces of piece
-	members []Member   // the last piece
-	bad     []rejected
+	sawEndpoints bool // its members, once
+	out          MemberList
+	fullChunks   [][]Member // read, in pieces of piece
+	chunk        []Member   // the last piece
+	rejected     []rejectedMember
 
-	merged bool     // its members came again: list.Members has what they add up to
-	was    []Member // by place, as read the first time
+	merged    bool     // its members came again: list.Members has what they add up to
+	firstRead []Member // by place, as read the first time
 }
 
 // rejected is a member that is left out, and its place.
-type rejected struct {
-	at int
-	member
+type rejectedMember struct {
+	index int
+	jsonMember
 }
 
 // piece is how many members are gathered at once: a slice that grew over all of them would throw away five times what it keeps.
-const piece = 512
+const chunkMembers = 512
 
 // readList reads one message of the list from a stream, member by member; it holds one member's text, and no more of the message. A misfit
 // ends it once the message has come whole, anything else at once; io.EOF is the end between two messages.
 //
 // It takes and refuses what json.Unmarshal into a list does: keys in any case and order, the last of several, null for nothing.
 // Members that come twice are laid over each other by place, as there. It alone takes a value nested 10,000 deep less two.
-func readList(in *json.Decoder) (List, error) {
+func readList(in *json.Decoder) (MemberList, error) {
 	in.UseNumber()
-	m := message{in: in}
+	m := listDecoder{decoder: in}
 	first, err := in.Token()
 	if err != nil {
-		return List{}, err
+		return MemberList{}, err
 	}
-	if err := m.read(first); err == io.EOF {
-		return List{}, io.ErrUnexpectedEOF
+	if err := m.decodeMessage(first); err == io.EOF {
+		return MemberList{}, io.ErrUnexpectedEOF
 	} else if err != nil {
-		return List{}, err
+		return MemberList{}, err
 	}
-	if m.fault != nil {
-		return List{}, &misfit{m.fault}
+	if m.typeError != nil {
+		return MemberList{}, &schemaError{m.typeError}
 	}
 	if m.list.Index == nil {
-		return List{}, &misfit{errors.New("index: missing")}
+		return MemberList{}, &schemaError{errors.New("index: missing")}
 	}
-	m.out.Version, m.out.Whole = *m.list.Index, m.list.Snapshot
-	m.out.Members = m.members
-	if len(m.full) > 0 {
-		m.out.Members = slices.Concat(append(m.full, m.members)...)
+	m.out.Version, m.out.Snapshot = *m.list.Index, m.list.Snapshot
+	m.out.Members = m.chunk
+	if len(m.fullChunks) > 0 {
+		m.out.Members = slices.Concat(append(m.fullChunks, m.chunk)...)
 	}
 	return m.out, nil
 }
 
 // read reads a message from its first token on.
-func (m *message) read(first json.Token) error {
+func (m *listDecoder) decodeMessage(first json.Token) error {
 	if first != json.Delim('{') {
 		if first == nil {
 			return nil // null is a list without anything
 		}
-		return m.other(first, reflect.TypeFor[list](), "", "")
+		return m.skipWrongType(first, reflect.TypeFor[list](), "", "")
 	}
-	for m.in.More() {
-		key, err := m.in.Token()
+	for m.decoder.More() {
+		key, err := m.decoder.Token()
 		if err != nil {
 			return err
 		}
 		name, _ := key.(string)
 		switch {
 		case strings.EqualFold(name, "index"):
-			err = m.value(&m.list.Index, "index")
+			err = m.decodeField(&m.list.Index, "index")
 		case strings.EqualFold(name, "snapshot"):
-			err = m.value(&m.list.Snapshot, "snapshot")
+			err = m.decodeField(&m.list.Snapshot, "snapshot")
 		case !strings.EqualFold(name, "endpoints"):
-			err = m.in.Decode(new(passed))
-		case !m.met:
-			m.met = true
-			err = m.first()
+			err = m.decoder.Decode(new(ignoredValue))
+		case !m.sawEndpoints:
+			m.sawEndpoints = true
+			err = m.decodeMembers()
 		default:
-			err = m.again()
+			err = m.mergeMembers()
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if _, err := m.in.Token(); err != nil || !m.merged {
+	if _, err := m.decoder.Token(); err != nil || !m.merged {
 		return err
 	}
-	m.finish()
+	m.finishMerge()
 	return nil
 }
 
 // value reads one value of the message. One of another type is noted and passed over, as json.Unmarshal does.
-func (m *message) value(to any, field string) error {
-	err := m.in.Decode(to)
+func (m *listDecoder) decodeField(to any, field string) error {
+	err := m.decoder.Decode(to)
 	if e := (*json.UnmarshalTypeError)(nil); errors.As(err, &e) {
 		if e.Field == "" {
 			e.Struct, e.Field = "list", field
 		} else {
 			e.Field = field + "." + e.Field
 		}
-		m.note(e)
+		m.recordTypeError(e)
 		return nil
 	}
 	return err
 }
 
-func (m *message) note(e *json.UnmarshalTypeError) {
-	if m.fault == nil {
-		m.fault = e
+func (m *listDecoder) recordTypeError(e *json.UnmarshalTypeError) {
+	if m.typeError == nil {
+		m.typeError = e
 	}
 }
 
 // other passes over a value that should be of another type and has begun with a token.
-func (m *message) other(first json.Token, want reflect.Type, of, field string) error {
+func (m *listDecoder) skipWrongType(first json.Token, want reflect.Type, of, field string) error {
 	e := &json.UnmarshalTypeError{Type: want, Struct: of, Field: field}
-	m.note(e)
+	m.recordTypeError(e)
 	switch first := first.(type) {
 	case json.Delim:
 		e.Value = "array"
 		if first == '{' {
 			e.Value = "object"
 		}
-		for m.in.More() {
+		for m.decoder.More() {
 			if first == '{' {
-				if _, err := m.in.Token(); err != nil {
+				if _, err := m.decoder.Token(); err != nil {
 					return err
 				}
 			}
-			if err := m.in.Decode(new(passed)); err != nil {
+			if err := m.decoder.Decode(new(ignoredValue)); err != nil {
 				return err
 			}
 		}
-		_, err := m.in.Token()
+		_, err := m.decoder.Token()
 		return err
 	case string:
 		e.Value = "string"
@@ -192,106 +192,106 @@
 }
 
 // first reads the members as they come.
-func (m *message) first() error {
-	switch begin, err := m.in.Token(); {
+func (m *listDecoder) decodeMembers() error {
+	switch begin, err := m.decoder.Token(); {
 	case err != nil:
 		return err
 	case begin == nil:
 		return nil
 	case begin != json.Delim('['):
-		return m.other(begin, reflect.TypeFor[[]member](), "list", "endpoints")
+		return m.skipWrongType(begin, reflect.TypeFor[[]jsonMember](), "list", "endpoints")
 	}
-	var one member
-	for at := 0; m.in.More(); at++ {
-		one = member{Size: one.Size[:0]}
-		if err := m.value(&one, "endpoints"); err != nil {
+	var one jsonMember
+	for at := 0; m.decoder.More(); at++ {
+		one = jsonMember{Size: one.Size[:0]}
+		if err := m.decodeField(&one, "endpoints"); err != nil {
 			return err
 		}
-		if !m.take(at, one) {
+		if !m.addMember(at, one) {
 			out := one
 			out.Size = slices.Clone(one.Size) // the next member's comes in its place
-			m.bad = append(m.bad, rejected{at, out})
+			m.rejected = append(m.rejected, rejectedMember{at, out})
 		}
 	}
-	_, err := m.in.Token()
+	_, err := m.decoder.Token()
 	return err
 }
 
 // take keeps what a member is, or why it is left out.
-func (m *message) take(at int, one member) (taken bool) {
-	e, fault := memberOf(one)
+func (m *listDecoder) addMember(at int, one jsonMember) (taken bool) {
+	e, fault := convertMember(one)
 	if fault != "" {
-		m.out.Skipped = append(m.out.Skipped, Skipped{one.Name, fmt.Sprintf("endpoints[%d]: %s", at, fault)})
+		m.out.Skipped = append(m.out.Skipped, SkippedMember{one.Name, fmt.Sprintf("endpoints[%d]: %s", at, fault)})
 		return false
 	}
-	m.add(e)
+	m.appendMember(e)
 	return true
 }
 
-func (m *message) add(e Member) {
-	if len(m.members) == piece {
-		m.full, m.members = append(m.full, m.members), make([]Member, 0, piece)
+func (m *listDecoder) appendMember(e Member) {
+	if len(m.chunk) == chunkMembers {
+		m.fullChunks, m.chunk = append(m.fullChunks, m.chunk), make([]Member, 0, chunkMembers)
 	}
-	m.members = append(m.members, e)
+	m.chunk = append(m.chunk, e)
 }
 
 // asRead stands in a member that is merged with another for the size that was read before; the time it began is no number then.
-const asRead = "-"
+const unchangedWeight = "-"
 
 // again reads members that come after others, over those: by place, what is not told stays. What was read of the first is
 // written as it was, but for what is no longer known to the last digit.
-func (m *message) again() error {
+func (m *listDecoder) mergeMembers() error {
 	if !m.merged {
 		m.merged = true
-		all := slices.Concat(append(m.full, m.members)...)
-		for at := 0; len(all) > 0 || len(m.bad) > 0; at++ {
-			if len(m.bad) > 0 && m.bad[0].at == at {
-				m.list.Members, m.was = append(m.list.Members, m.bad[0].member), append(m.was, Member{})
-				m.bad = m.bad[1:]
+		all := slices.Concat(append(m.fullChunks, m.chunk)...)
+		for at := 0; len(all) > 0 || len(m.rejected) > 0; at++ {
+			if len(m.rejected) > 0 && m.rejected[0].index == at {
+				m.list.Members, m.firstRead = append(m.list.Members, m.rejected[0].jsonMember), append(m.firstRead, Member{})
+				m.rejected = m.rejected[1:]
 				continue
 			}
 			e := all[0]
-			all, m.was = all[1:], append(m.was, e)
-			m.list.Members = append(m.list.Members, member{Name: e.Searcher, Address: e.Address, Zone: e.Zone, Cell: &e.Cell,
-				Status: written[e.Status], Since: math.NaN(), Size: json.RawMessage(asRead)})
+			all, m.firstRead = all[1:], append(m.firstRead, e)
+			m.list.Members = append(m.list.Members, jsonMember{Name: e.Searcher, Address: e.Address, Zone: e.Zone, Cell: &e.Cell,
+				Status: statusNames[e.Status], Since: math.NaN(), Size: json.RawMessage(unchangedWeight)})
 		}
 	}
-	return m.value(&m.list.Members, "endpoints")
+	return m.decodeField(&m.list.Members, "endpoints")
 }
 
 // finish takes what merged members add up to, in place of those read first.
-func (m *message) finish() {
-	m.full, m.members, m.out.Skipped = nil, nil, nil
+func (m *listDecoder) finishMerge() {
+	m.fullChunks, m.chunk, m.out.Skipped = nil, nil, nil
 	for at, one := range m.list.Members {
 		old := Member{}
-		if at < len(m.was) {
-			old = m.was[at]
+		if at < len(m.firstRead) {
+			old = m.firstRead[at]
 		}
 		kept := math.IsNaN(one.Since)
 		if kept {
 			one.Since = 0
 		}
-		if !m.take(at, one) {
+		if !m.addMember(at, one) {
 			continue
 		}
-		e := &m.members[len(m.members)-1]
+		e := &m.chunk[len(m.chunk)-1]
 		if kept {
-			e.Started, e.Since = old.Started, old.Since
+			e.Started, e.StartTime = old.Started, old.StartTime
 		}
-		if string(one.Size) == asRead {
+		if string(one.Size) == unchangedWeight {
 			e.Size = old.Size
 		}
 	}
 }
 
 // memberOf gives a member of the list, or why nothing can be made of it.
-func memberOf(m member) (e Member, fault string) {
-	state, ok := states[m.Status]
+func convertMember(m jsonMember) (e Member, fault string) {
+	state, ok := statusByName[m.Status]
 	switch {
 	case m.Name == "":
 		fault = "name: missing"
 	case !ok:
-		fault = fmt.Sprintf("status: unknown %q", clip(m.Status))
+		fault = fmt.Sprintf("status: unknown %q", truncate(m.Status))
 	case m.Cell == nil:
 		fault = "group: missing"
 	case m.Address == "" && state != mixer.Dead:
@@ -308,7 +308,7 @@
 	}
 	e.Searcher, e.Zone, e.Cell, e.Status, e.Started = m.Name, m.Zone, *m.Cell, state, charter.MillisToNanos(m.Since)
 	if m.Since > 0 {
-		e.Since = time.Unix(0, e.Started)
+		e.StartTime = time.Unix(0, e.Started)
 	}
 	return e, ""
 }
--- a/internal/protocol/members_test.go
+++ b/internal/protocol/members_test.go
@@ -21,23 +21,23 @@
 )
 
 // readAtOnce is ReadList as it was before lists were read by a stream: the whole message by json.Unmarshal. It is what readers are held to.
-func readAtOnce(raw []byte) (List, error) {
+func unmarshalList(raw []byte) (MemberList, error) {
 	var in list
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return List{}, fmt.Errorf("list: %w", err)
+		return MemberList{}, fmt.Errorf("list: %w", err)
 	}
 	if in.Index == nil {
-		return List{}, errors.New("list: index: missing")
+		return MemberList{}, errors.New("list: index: missing")
 	}
-	out := List{Version: *in.Index, Whole: in.Snapshot}
+	out := MemberList{Version: *in.Index, Snapshot: in.Snapshot}
 	for i, m := range in.Members {
-		state, ok := states[m.Status]
+		state, ok := statusByName[m.Status]
 		fault := ""
 		switch {
 		case m.Name == "":
 			fault = "name: missing"
 		case !ok:
-			fault = fmt.Sprintf("status: unknown %q", clip(m.Status))
+			fault = fmt.Sprintf("status: unknown %q", truncate(m.Status))
 		case m.Cell == nil:
 			fault = "group: missing"
 		case m.Address == "" && state != mixer.Dead:
@@ -46,7 +46,7 @@
 			fault = fmt.Sprintf("since_ms: %v", m.Since)
 		}
 		if fault != "" {
-			out.Skipped = append(out.Skipped, Skipped{m.Name, fmt.Sprintf("endpoints[%d]: %s", i, fault)})
+			out.Skipped = append(out.Skipped, SkippedMember{m.Name, fmt.Sprintf("endpoints[%d]: %s", i, fault)})
 			continue
 		}
 		e := Member{Address: m.Address}
@@ -55,7 +55,7 @@
 		}
 		e.Searcher, e.Zone, e.Cell, e.Status, e.Started = m.Name, m.Zone, *m.Cell, state, charter.MillisToNanos(m.Since)
 		if m.Since > 0 {
-			e.Since = time.Unix(0, e.Started)
+			e.StartTime = time.Unix(0, e.Started)
 		}
 		out.Members = append(out.Members, e)
 	}
@@ -63,14 +63,14 @@
 }
 
 // newsAtOnce reads a stream's messages as News did before, by messages kept whole, up to its first error.
-func newsAtOnce(raw []byte) (all []List, err error) {
+func unmarshalStream(raw []byte) (all []MemberList, err error) {
 	in := json.NewDecoder(bytes.NewReader(raw))
 	for {
 		var one json.RawMessage
 		if err := in.Decode(&one); err != nil {
 			return all, err
 		}
-		l, err := readAtOnce(one)
+		l, err := unmarshalList(one)
 		if err != nil {
 			return all, err
 		}
@@ -78,8 +78,8 @@
 	}
 }
 
-func newsOf(in io.Reader) (all []List, err error) {
-	n := NewNews(in, 1<<20)
+func readStream(in io.Reader) (all []MemberList, err error) {
+	n := NewMemberListReader(in, 1<<20)
 	for {
 		l, err := n.Next()
 		if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // sort of an error: what the watch does about it hangs on that, and on the text where the JSON is sound.
-func sort(err error) string {
+func errorClass(err error) string {
 	syntax := (*json.SyntaxError)(nil)
 	switch {
 	case err == nil:
@@ -104,27 +104,27 @@
 }
 
 // same holds both readers to those from before.
-func same(t interface {
+func compareWithUnmarshal(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, raw []byte) {
 	t.Helper()
-	got, err := ReadList(raw)
-	want, was := readAtOnce(raw)
+	got, err := ReadMemberList(raw)
+	want, was := unmarshalList(raw)
 	if !reflect.DeepEqual(got, want) || fmt.Sprint(err) != fmt.Sprint(was) {
 		t.Fatalf("%q:\n%+v, %v\nbefore\n%+v, %v", raw, got, err, want, was)
 	}
-	told, was := newsAtOnce(raw)
+	told, was := unmarshalStream(raw)
 	for _, in := range []io.Reader{bytes.NewReader(raw), iotest.OneByteReader(bytes.NewReader(raw))} {
-		heard, err := newsOf(in)
-		if !reflect.DeepEqual(heard, told) || sort(err) != sort(was) {
+		heard, err := readStream(in)
+		if !reflect.DeepEqual(heard, told) || errorClass(err) != errorClass(was) {
 			t.Fatalf("%q as news:\n%+v, %v\nbefore\n%+v, %v", raw, heard, err, told, was)
 		}
 	}
 }
 
 // messages are some of each sort that there is: sound ones, those of which a part is left out, and those that are refused.
-var messages = func() (all []string) {
+var listMessages = func() (all []string) {
 	a := `{"name":"a","address":"1:1","zone":"z","type":"m","group":3,"status":"DRAINING","weight":1.5,"since_ms":1790000000123.25}`
 	b := `{"name":"b","address":"1:2","zone":"z","group":0,"status":"SERVING","weight":"big","since_ms":0}`
 	bad := `{"name":"c","address":"1:2","zone":"z","group":0,"status":"WELL","weight":3,"since_ms":7.5}`
@@ -160,53 +160,53 @@
 		`{"index":1,"x":"`+strings.Repeat("long ", 2000)+`","endpoints":[`+a+`]}`, "\xef\xbb\xbf{}", "{\"index\":1,\"a\x00\":2}", `{"index":1}`+"\v")
 }()
 
-func TestListsAreReadAsBefore(t *testing.T) {
+func TestReadMemberListMatchesUnmarshal(t *testing.T) {
 	refused := 0
-	for _, raw := range messages {
-		same(t, []byte(raw))
-		if _, err := ReadList([]byte(raw)); err != nil {
+	for _, raw := range listMessages {
+		compareWithUnmarshal(t, []byte(raw))
+		if _, err := ReadMemberList([]byte(raw)); err != nil {
 			refused++
 		}
 	}
-	if refused < 50 || refused > len(messages)-50 {
-		t.Errorf("%d of %d are refused", refused, len(messages))
+	if refused < 50 || refused > len(listMessages)-50 {
+		t.Errorf("%d of %d are refused", refused, len(listMessages))
 	}
 }
 
 // Pieces of messages, put together anyhow, are read as before too.
-func TestListsPutTogetherAreReadAsBefore(t *testing.T) {
+func TestReadMemberListMatchesUnmarshalOnRandomInput(t *testing.T) {
 	words := []string{`{`, `}`, `[`, `]`, `,`, `:`, `"index"`, `"endpoints"`, `"snapshot"`, `"name"`, `"Status"`, `"group"`, `"since_ms"`,
 		`"weight"`, `"address"`,
 		`"SERVING"`, `"DELETED"`, `"a"`, `null`, `true`, `1`, `-2.5`, `1e400`, ` `, `{"index":3,"endpoints":[`, `"endpoints":[{`, `]}`,
 		`{"name":"a","address":"b","group":1,"status":"SERVING"}`, `,"index":1`}
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOfN(rapid.SampledFrom(words), 1, 20).Draw(t, "words")
-		same(t, []byte(strings.Join(parts, "")))
-		whole := rapid.SampledFrom(messages).Draw(t, "message")
+		compareWithUnmarshal(t, []byte(strings.Join(parts, "")))
+		whole := rapid.SampledFrom(listMessages).Draw(t, "message")
 		if len(whole) > 0 && len(whole) < 4000 {
 			at := rapid.IntRange(0, len(whole)-1).Draw(t, "at")
-			same(t, []byte(whole[:at]+parts[0]+whole[at:]))
-			same(t, []byte(whole[:at]))
+			compareWithUnmarshal(t, []byte(whole[:at]+parts[0]+whole[at:]))
+			compareWithUnmarshal(t, []byte(whole[:at]))
 		}
 	})
 }
 
 func FuzzListsAreReadAsBefore(f *testing.F) {
-	for _, raw := range messages {
+	for _, raw := range listMessages {
 		f.Add([]byte(raw))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if len(raw) < 8000 { // deeper nesting than json's own bound is told at another depth
-			same(t, raw)
+			compareWithUnmarshal(t, raw)
 		}
 	})
 }
 
 // A message that doesn't come whole is no end of the stream, wherever it breaks off: what it had to tell is not known.
-func TestCutShortIsNoEnd(t *testing.T) {
+func TestTruncatedMessage(t *testing.T) {
 	raw := `{"index":4,"snapshot":true,"endpoints":[{"name":"a","address":"1:1","group":3,"status":"SERVING"}],"x":[1,{}]}`
 	for at := range raw {
-		_, err := NewNews(strings.NewReader("\n"+raw[:at]), 1<<10).Next()
+		_, err := NewMemberListReader(strings.NewReader("\n"+raw[:at]), 1<<10).Next()
 		if want := io.ErrUnexpectedEOF; at == 0 && err != io.EOF || at > 0 && err != want {
 			t.Errorf("%q: %v", raw[:at], err)
 		}
@@ -214,33 +214,33 @@
 }
 
 // endless is a message without end, which counts what is taken of it.
-type endless struct{ given int }
+type endlessMessage struct{ bytesRead int }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessMessage) Read(p []byte) (int, error) {
 	const one = `{"name":"a","address":"1:1","group":3,"status":"SERVING"},`
 	n := 0
-	for e.given == 0 && n == 0 {
+	for e.bytesRead == 0 && n == 0 {
 		n = copy(p, `{"endpoints":[`)
 	}
 	for ; n < len(p); n++ {
-		p[n] = one[(e.given+n-len(`{"endpoints":[`)+len(one))%len(one)]
+		p[n] = one[(e.bytesRead+n-len(`{"endpoints":[`)+len(one))%len(one)]
 	}
-	e.given += n
+	e.bytesRead += n
 	return n, nil
 }
 
 // The bound of a message holds while its members are read, and no more than a little beyond it is taken.
-func TestMessageTooLongWhileItsMembersAreRead(t *testing.T) {
-	in := &endless{}
-	_, err := NewNews(in, 100_000).Next()
-	if err == nil || err.Error() != "list: message too long" || in.given > 110_000 {
-		t.Errorf("%v after %d bytes", err, in.given)
+func TestMessageTooLong(t *testing.T) {
+	in := &endlessMessage{}
+	_, err := NewMemberListReader(in, 100_000).Next()
+	if err == nil || err.Error() != "list: message too long" || in.bytesRead > 110_000 {
+		t.Errorf("%v after %d bytes", err, in.bytesRead)
 	}
 }
 
 // What reading takes beyond its result is bounded: it allocates under three times the bytes of the members, strings and all, however long the
 // list is; it was over ten times while messages were read whole.
-func TestReadingAllocates(t *testing.T) {
+func TestMemberListReaderAllocations(t *testing.T) {
 	var b bytes.Buffer
 	const n = 10_000
 	b.WriteString(`{"index":1,"snapshot":true,"endpoints":[`)
@@ -254,7 +254,7 @@
 	b.WriteString("]}")
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	list, err := NewNews(bytes.NewReader(b.Bytes()), 1<<24).Next()
+	list, err := NewMemberListReader(bytes.NewReader(b.Bytes()), 1<<24).Next()
 	runtime.ReadMemStats(&after)
 	bytes, times := after.TotalAlloc-before.TotalAlloc, after.Mallocs-before.Mallocs
 	result := uint64(n * (reflect.TypeFor[Member]().Size() + 16 + 24 + 8)) // with a name, an address and a zone, in the sizes that are handed out
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -21,7 +21,7 @@
 
 var limits = charter.Limits{Shards: 10, MaxIDBytes: 16}
 
-func head(id, lane, left string) http.Header {
+func lookupHeader(id, lane, left string) http.Header {
 	return http.Header{"X-Txn": {id}, "X-Lane": {lane}, "X-Remaining-Ms": {left}, "X-Resent": {"1"}}
 }
 
@@ -32,7 +32,7 @@
 	f.Add("", "", "NaN", `{"shards":null}`)
 	seen := time.Unix(1e9, 0)
 	f.Fuzz(func(t *testing.T, id, lane, left, body string) {
-		l, err := ReadLookup(head(id, lane, left), []byte(body), seen, map[string]int{"t": 0}, nil, limits)
+		l, err := ReadLookup(lookupHeader(id, lane, left), []byte(body), seen, map[string]int{"t": 0}, nil, limits)
 		if err != nil {
 			return
 		}
@@ -44,8 +44,8 @@
 			used[p.Slice] = true
 			sum += p.Weight
 		}
-		if math.Abs(sum-1) > 1e-9 || !utf8.ValidString(l.Text) {
-			t.Errorf("weights add up to %v, text %q", sum, l.Text)
+		if math.Abs(sum-1) > 1e-9 || !utf8.ValidString(l.Query) {
+			t.Errorf("weights add up to %v, text %q", sum, l.Query)
 		}
 		if len(l.Parts) == 0 || l.ID == "" || strings.ContainsAny(l.ID, " \n\t\r") || l.Expires.Before(seen) {
 			t.Errorf("lookup %+v was let in", l)
@@ -57,25 +57,25 @@
 	raw := `{"shards":[{"shard":3,"weight":0.5,"cost":9000.5,"key":"5be2a07c19f04d63"},{"shard":9,"weight":0.25},` +
 		`{"shard":0,"weight":0.25}],"q":"c\n<é","new":1}`
 	seen := time.Unix(1e9, 0)
-	l, err := ReadLookup(head("9b1f", "t", "480"), []byte(raw), seen, map[string]int{"t": 0}, nil, limits)
+	l, err := ReadLookup(lookupHeader("9b1f", "t", "480"), []byte(raw), seen, map[string]int{"t": 0}, nil, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.ID != "9b1f" || l.Tariff != "t" || !l.Again || l.Text != "c\n<é" || !l.Expires.Equal(seen.Add(480*time.Millisecond)) {
+	if l.ID != "9b1f" || l.Tariff != "t" || !l.Again || l.Query != "c\n<é" || !l.Expires.Equal(seen.Add(480*time.Millisecond)) {
 		t.Errorf("%+v", l)
 	}
 	if p := l.Parts[0]; len(l.Parts) != 3 || p != (routing.Part{Slice: 3, Weight: 0.5, Effort: 9000500}) {
 		t.Errorf("parts %+v", l.Parts)
 	}
-	got, err := WriteAnswer(l, routing.Final{Whole: true, Hits: []routing.Hit{{Part: 0, Value: []byte("5b<e")}, {Part: 2, Value: []byte("a\"")}}})
+	got, err := EncodeAnswer(l, routing.Final{Whole: true, Hits: []routing.Hit{{Part: 0, Value: []byte("5b<e")}, {Part: 2, Value: []byte("a\"")}}})
 	want := `{"complete":true,"hits":[{"shard":3,"doc":"5b<e"},{"shard":0,"doc":"a\""}]}`
 	if err != nil || strings.TrimSpace(string(got)) != want {
 		t.Errorf("answer %s, %v, want %s", got, err, want)
 	}
-	if got, _ := WriteAnswer(l, routing.Final{}); strings.TrimSpace(string(got)) != `{"complete":false,"hits":[]}` {
+	if got, _ := EncodeAnswer(l, routing.Final{}); strings.TrimSpace(string(got)) != `{"complete":false,"hits":[]}` {
 		t.Errorf("an answer without parts is %s", got)
 	}
-	if got := WriteWait(250 * time.Millisecond); got != "0.250" {
+	if got := FormatRetryAfter(250 * time.Millisecond); got != "0.250" {
 		t.Errorf("a wait is written %q", got)
 	}
 }
@@ -97,30 +97,30 @@
 		post + "X: " + strings.Repeat("Content-Length: 5\r", 99) + "\r\nContent-Length: 1\r\n\r\na": "",
 	} {
 		f.Add([]byte(raw), 40)
-		s := Stream{}
-		if s.Feed([]byte(raw)); !strings.Contains(s.Fault, want) || (want == "") != (s.Whole && s.Fault == "") {
-			f.Errorf("%.90q: whole %v, fault %q, want %q", raw, s.Whole, s.Fault, want)
+		s := RequestStream{}
+		if s.Feed([]byte(raw)); !strings.Contains(s.Fault, want) || (want == "") != (s.Complete && s.Fault == "") {
+			f.Errorf("%.90q: whole %v, fault %q, want %q", raw, s.Complete, s.Fault, want)
 		}
-		if s.Next(); want == "" && (s.Begun() || s.Whole) {
+		if s.Next(); want == "" && (s.Started() || s.Complete) {
 			f.Errorf("%.90q: the next request is not waited for", raw)
 		}
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, cut int) {
 		at := min(max(cut, 0), len(raw))
-		one, two := Stream{}, Stream{}
+		one, two := RequestStream{}, RequestStream{}
 		one.Feed(raw)
 		two.Feed(raw[:at])
 		two.Feed(raw[at:])
-		if one.Fault != two.Fault || one.Whole != two.Whole || len(two.line) > lineKept {
+		if one.Fault != two.Fault || one.Complete != two.Complete || len(two.line) > maxLineBytes {
 			t.Errorf("%q: %+v, cut at %d %+v", raw, one, at, two)
 		}
 	})
 }
 
 func FuzzFrames(f *testing.F) {
-	f.Add(AppendFrame(nil, Answer, []byte("a.3 ok 1840277719 -\n5be2")))
-	f.Add(AppendFrame(nil, Answer, []byte("a.3 ok 1\n")))
-	f.Add(AppendCall(nil, []Part{{"a.3", 3, 240 * time.Millisecond, "c41e77d0"}}))
+	f.Add(AppendFrame(nil, AnswerFrame, []byte("a.3 ok 1840277719 -\n5be2")))
+	f.Add(AppendFrame(nil, AnswerFrame, []byte("a.3 ok 1\n")))
+	f.Add(AppendQuery(nil, []Part{{"a.3", 3, 240 * time.Millisecond, "c41e77d0"}}))
 	f.Add([]byte{255, 255, 255, 255, 'A'})
 	f.Add([]byte{0, 0, 0, 0})
 	f.Add([]byte{9, 0, 0, 0, 'A', 'x'})
@@ -129,25 +129,25 @@
 		for {
 			frame, err := ReadFrame(in, 1000)
 			if err != nil {
-				bad := new(BadFrame)
+				bad := new(FrameError)
 				if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.As(err, &bad) {
 					t.Errorf("error %v", err)
 				}
 				return
 			}
-			if len(frame.Rest) >= 1000 {
-				t.Errorf("a rest of %d bytes", len(frame.Rest))
+			if len(frame.Payload) >= 1000 {
+				t.Errorf("a rest of %d bytes", len(frame.Payload))
 			}
-			r, err := ReadReply(frame.Rest)
+			r, err := ReadReply(frame.Payload)
 			if err == nil && (r.ID == "" || r.Outcome != mixer.Succeeded && r.Outcome != mixer.Failed && r.Outcome != mixer.Rejected) {
-				t.Errorf("reply %+v of %q", r, frame.Rest)
+				t.Errorf("reply %+v of %q", r, frame.Payload)
 			}
 		}
 	})
 }
 
-func TestFramesAsWritten(t *testing.T) {
-	got := AppendCall(nil, []Part{{"9b.3", 3, 240500 * time.Microsecond, "c41e77d0"}, {"9b.4", 4, -time.Second, "a\nb"}})
+func TestFrameEncoding(t *testing.T) {
+	got := AppendQuery(nil, []Part{{"9b.3", 3, 240500 * time.Microsecond, "c41e77d0"}, {"9b.4", 4, -time.Second, "a\nb"}})
 	rest := "9b.3 3 d=240 8\nc41e77d09b.4 4 d=0 3\na\nb"
 	if binary.LittleEndian.Uint32(got) != uint32(len(rest)+1) || string(got[4:]) != "Q"+rest {
 		t.Errorf("call %q", got)
@@ -168,25 +168,25 @@
 	f.Add(`{"index":1e30}`)
 	f.Add(`{"index":4,"endpoints":[{"name":"","group":1},{"name":"x","status":"LOST"},{"name":"y","status":"DELETED","since_ms":-1}]}`)
 	f.Fuzz(func(t *testing.T, raw string) {
-		l, err := ReadList([]byte(raw))
+		l, err := ReadMemberList([]byte(raw))
 		if err != nil {
 			return
 		}
 		for _, m := range l.Members {
-			if m.Searcher == "" || m.Status != mixer.Dead && m.Address == "" || m.Started < 0 || (m.Started == 0) != m.Since.IsZero() {
+			if m.Searcher == "" || m.Status != mixer.Dead && m.Address == "" || m.Started < 0 || (m.Started == 0) != m.StartTime.IsZero() {
 				t.Errorf("member %+v was let in", m)
 			}
 		}
 	})
 }
 
-func TestListAsRead(t *testing.T) {
-	l, err := ReadList([]byte(`{"index":43,"snapshot":false,"endpoints":[
+func TestReadMemberList(t *testing.T) {
+	l, err := ReadMemberList([]byte(`{"index":43,"snapshot":false,"endpoints":[
 		{"name":"a","address":"1:1","zone":"z","type":"m","group":3,"status":"DRAINING","weight":1.5,"since_ms":1790000000123},
 		{"name":"b","address":"1:2","zone":"z","group":0,"status":"SERVING","weight":"big","since_ms":0},
 		{"name":"c","address":"1:2","zone":"z","group":0,"status":"WELL","since_ms":0},
 		{"name":"d","address":"1:2","zone":"z","status":"SERVING","since_ms":0}]}`))
-	if err != nil || l.Version != 43 || l.Whole || len(l.Skipped) != 2 {
+	if err != nil || l.Version != 43 || l.Snapshot || len(l.Skipped) != 2 {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	want := []routing.Entry{
@@ -198,7 +198,7 @@
 }
 
 // example gives the example's configuration with one value changed.
-func example(t testing.TB, old, new string) []byte {
+func exampleConfig(t testing.TB, old, new string) []byte {
 	raw, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -210,20 +210,20 @@
 }
 
 func FuzzReadConfig(f *testing.F) {
-	f.Add(example(f, "", ""))
+	f.Add(exampleConfig(f, "", ""))
 	f.Add([]byte(`{"listen":"a","discovery":"b","seed":"0","limits":{"cores":1,"memory_mb":1,"sockets":9},"settings":{"Profiles":[3]}}`))
 	f.Add([]byte(`{"listen":"a","discovery":"b","seed":"0","limits":{"cores":1,"memory_mb":1,"sockets":9},"settings":[]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := ReadConfig(raw)
-		if err == nil && (len(c.Charter.Tariffs) == 0 || c.Limits.MaxOpenRequests < 1 || c.Limits.MemoryBytes < 1 || c.Limits.KillAfterTerm <= 0) {
+		if err == nil && (len(c.Mixer.Tariffs) == 0 || c.Limits.MaxOpenRequests < 1 || c.Limits.MemoryBytes < 1 || c.Limits.KillAfterTerm <= 0) {
 			t.Errorf("configuration %+v was let in", c)
 		}
 	})
 }
 
-func TestConfigFaultsAreNamed(t *testing.T) {
-	c, err := ReadConfig(example(t, "", ""))
-	if err != nil || c.Seed != -0x73e0cf2d85a4169c || len(c.Known.Members) != 4 || c.Charter.Cells != 2 || c.Limits.Shards != 8 {
+func TestReadConfigErrors(t *testing.T) {
+	c, err := ReadConfig(exampleConfig(t, "", ""))
+	if err != nil || c.Seed != -0x73e0cf2d85a4169c || len(c.KnownMembers.Members) != 4 || c.Mixer.Cells != 2 || c.Limits.Shards != 8 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	for _, f := range []struct{ old, new, want string }{
@@ -242,13 +242,13 @@
 		{`"settings":{`, `"settings":[],"was":{`, "settings"},
 		{`"NInstances":1`, `"NInstances":1,"Weights":"heavy"`, `setting Weights: "heavy"`},
 		{`"NInstances":1`, `"NInstances":1,"OverShareWorth":1.5`, `setting OverShareWorth: "1.5"`},
-		{`"NInstances":1`, `"NInstances":1,` + customers("-0.1", "b", "5"), `setting Tenants.1.Share: "-0.1"`},
-		{`"NInstances":1`, `"NInstances":1,` + customers("0.5", "b", "5"), `setting Tenants.1.Share: "0.5"`},
-		{`"NInstances":1`, `"NInstances":1,` + customers("0.4", "a", "5"), `setting Tenants.1.Name: "a"`},
-		{`"NInstances":1`, `"NInstances":1,` + customers("0.4", "", "5"), `setting Tenants.1.Name: ""`},
-		{`"NInstances":1`, `"NInstances":1,` + customers("0.4", "b", "-1"), `setting Tenants.1.AllowancePerS: "-1"`},
+		{`"NInstances":1`, `"NInstances":1,` + tenantSettings("-0.1", "b", "5"), `setting Tenants.1.Share: "-0.1"`},
+		{`"NInstances":1`, `"NInstances":1,` + tenantSettings("0.5", "b", "5"), `setting Tenants.1.Share: "0.5"`},
+		{`"NInstances":1`, `"NInstances":1,` + tenantSettings("0.4", "a", "5"), `setting Tenants.1.Name: "a"`},
+		{`"NInstances":1`, `"NInstances":1,` + tenantSettings("0.4", "", "5"), `setting Tenants.1.Name: ""`},
+		{`"NInstances":1`, `"NInstances":1,` + tenantSettings("0.4", "b", "-1"), `setting Tenants.1.AllowancePerS: "-1"`},
 	} {
-		_, err := ReadConfig(example(t, f.old, f.new))
+		_, err := ReadConfig(exampleConfig(t, f.old, f.new))
 		if err == nil || !strings.Contains(err.Error(), f.want) {
 			t.Errorf("with %s: %v, want %q", f.new, err, f.want)
 		}
@@ -256,24 +256,24 @@
 }
 
 // customers gives settings with two customers, the second as told.
-func customers(share, name, allowance string) string {
+func tenantSettings(share, name, allowance string) string {
 	return `"Tenants":[{"Name":"a","Share":0.6,"AllowancePerS":7.5},{"Name":"` + name + `","Share":` + share +
 		`,"AllowancePerS":` + allowance + `}]`
 }
 
 // Settings that know customers and sizes reach the charter; a lookup names its customer or none, never an unknown one.
-func TestCustomersAreKnown(t *testing.T) {
-	c, err := ReadConfig(example(t, `"NInstances":1`, `"NInstances":1,"Weights":"nominal","OverShareWorth":0.1,`+customers("0.4", "b", "5")))
-	if err != nil || !c.Charter.Sized || c.Charter.OverWorth != 0.1 || len(c.Charter.Allowances) != 2 || c.Charter.Allowances[1] != 5 {
-		t.Fatalf("%+v, %v", c.Charter, err)
+func TestTenants(t *testing.T) {
+	c, err := ReadConfig(exampleConfig(t, `"NInstances":1`, `"NInstances":1,"Weights":"nominal","OverShareWorth":0.1,`+tenantSettings("0.4", "b", "5")))
+	if err != nil || !c.Mixer.Sized || c.Mixer.OverWorth != 0.1 || len(c.Mixer.Allowances) != 2 || c.Mixer.Allowances[1] != 5 {
+		t.Fatalf("%+v, %v", c.Mixer, err)
 	}
-	odd, err := ReadConfig(example(t, `"NInstances":1`, `"NInstances":1,"Tenants":{"0":{"Name":"a"}}`))
-	if err != nil || len(odd.Customers) != len(odd.Charter.Allowances) {
-		t.Errorf("customers %v with allowances %v, %v", odd.Customers, odd.Charter.Allowances, err)
+	odd, err := ReadConfig(exampleConfig(t, `"NInstances":1`, `"NInstances":1,"Tenants":{"0":{"Name":"a"}}`))
+	if err != nil || len(odd.TenantRows) != len(odd.Mixer.Allowances) {
+		t.Errorf("customers %v with allowances %v, %v", odd.TenantRows, odd.Mixer.Allowances, err)
 	}
-	plain, err := ReadConfig(example(t, "", ""))
-	if err != nil || plain.Charter.Sized || plain.Charter.OverWorth != 1 || len(plain.Charter.Allowances)+len(plain.Customers) > 0 {
-		t.Fatalf("%+v, %v", plain.Charter, err)
+	plain, err := ReadConfig(exampleConfig(t, "", ""))
+	if err != nil || plain.Mixer.Sized || plain.Mixer.OverWorth != 1 || len(plain.Mixer.Allowances)+len(plain.TenantRows) > 0 {
+		t.Fatalf("%+v, %v", plain.Mixer, err)
 	}
 	for _, f := range []struct {
 		customer string
@@ -281,9 +281,9 @@
 		want     int
 		fault    string
 	}{
-		{"b", c.Customers, 2, ""}, {"", c.Customers, 0, ""}, {"who", c.Customers, 0, `X-Org: unknown "who"`}, {"who", plain.Customers, 0, ""},
+		{"b", c.TenantRows, 2, ""}, {"", c.TenantRows, 0, ""}, {"who", c.TenantRows, 0, `X-Org: unknown "who"`}, {"who", plain.TenantRows, 0, ""},
 	} {
-		h := head("a", "t", "480")
+		h := lookupHeader("a", "t", "480")
 		if f.customer != "" {
 			h.Set("X-Org", f.customer)
 		}
@@ -299,9 +299,9 @@
 }
 
 // TestSettingsReadAlike holds the configuration's settings against the same as the bench's wire writes them.
-func TestSettingsReadAlike(t *testing.T) {
+func TestFlattenedSettings(t *testing.T) {
 	var all struct{ Settings json.RawMessage }
-	if err := json.Unmarshal(example(t, "", ""), &all); err != nil {
+	if err := json.Unmarshal(exampleConfig(t, "", ""), &all); err != nil {
 		t.Fatal(err)
 	}
 	nested, err := charter.ParseJSON(all.Settings)
--- a/internal/protocol/stream.go
+++ b/internal/protocol/stream.go
@@ -7,89 +7,89 @@
 
 // Stream follows the bytes of a client's connection from request to request. It sees what net/http hides: a request
 // whose length is told in two ways, one of which may hide another request, and bytes that come before the answer.
-type Stream struct {
-	Fault string // what is wrong, for good
-	Whole bool   // the request at hand has come in whole
+type RequestStream struct {
+	Fault    string // what is wrong, for good
+	Complete bool   // the request at hand has come in whole
 
-	stage   stage
-	begun   bool   // some of the request at hand has come
-	first   bool   // the head's first line is still to come
-	line    []byte // of the line at hand, at most lineKept bytes
-	length  int64  // told by the head, -1 if it was not
-	chunked bool
-	left    int64 // of the body or chunk
+	stage               stage
+	started             bool   // some of the request at hand has come
+	awaitingRequestLine bool   // the head's first line is still to come
+	line                []byte // of the line at hand, at most lineKept bytes
+	contentLength       int64  // told by the head, -1 if it was not
+	chunked             bool
+	remaining           int64 // of the body or chunk
 }
 
 type stage int
 
 const (
-	inHead stage = iota
+	inHeader stage = iota
 	inBody
-	inSize    // the line before a chunk
-	inChunk   // a chunk and the line end after it
-	inTrailer // after the last chunk
+	inChunkSize // the line before a chunk
+	inChunk     // a chunk and the line end after it
+	inTrailer   // after the last chunk
 )
 
 // lineKept is as much of a line as its name and a length need.
-const lineKept = 128
+const maxLineBytes = 128
 
 // Next begins the next request, once the one at hand is being answered.
-func (s *Stream) Next() {
-	if s.Whole && s.Fault == "" {
-		*s = Stream{}
+func (s *RequestStream) Next() {
+	if s.Complete && s.Fault == "" {
+		*s = RequestStream{}
 	}
 }
 
 // Begun tells whether some of a request has come.
-func (s *Stream) Begun() bool { return s.begun }
+func (s *RequestStream) Started() bool { return s.started }
 
 // Feed takes what has come next.
-func (s *Stream) Feed(b []byte) {
+func (s *RequestStream) Feed(b []byte) {
 	for len(b) > 0 && s.Fault == "" {
-		if s.Whole {
+		if s.Complete {
 			s.Fault = "more than one request at a time"
 			return
 		}
-		if !s.begun {
-			s.begun, s.first, s.length = true, true, -1
+		if !s.started {
+			s.started, s.awaitingRequestLine, s.contentLength = true, true, -1
 		}
 		if s.stage == inBody || s.stage == inChunk {
-			n := min(s.left, int64(len(b)))
-			b, s.left = b[n:], s.left-n
-			if s.left > 0 {
+			n := min(s.remaining, int64(len(b)))
+			b, s.remaining = b[n:], s.remaining-n
+			if s.remaining > 0 {
 				return
 			}
 			if s.stage == inBody {
-				s.Whole = true
+				s.Complete = true
 				continue
 			}
-			s.stage = inSize
+			s.stage = inChunkSize
 			continue
 		}
 		line, rest, ended := bytes.Cut(b, []byte{'\n'})
-		s.line = append(s.line, line[:min(len(line), lineKept-len(s.line))]...)
+		s.line = append(s.line, line[:min(len(line), maxLineBytes-len(s.line))]...)
 		if !ended {
 			return
 		}
 		b = rest
-		s.took(bytes.TrimSuffix(s.line, []byte{'\r'}))
+		s.endLine(bytes.TrimSuffix(s.line, []byte{'\r'}))
 		s.line = s.line[:0]
 	}
 }
 
 // took takes a line that has come in whole.
-func (s *Stream) took(line []byte) {
+func (s *RequestStream) endLine(line []byte) {
 	switch s.stage {
-	case inHead:
+	case inHeader:
 		switch {
-		case s.first:
-			s.first = len(line) == 0 // an empty line may come before the first
+		case s.awaitingRequestLine:
+			s.awaitingRequestLine = len(line) == 0 // an empty line may come before the first
 		case len(line) == 0:
-			s.headed()
+			s.endHeader()
 		default:
-			s.field(line)
+			s.headerField(line)
 		}
-	case inSize:
+	case inChunkSize:
 		size, _, _ := bytes.Cut(line, []byte{';'})
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 		switch {
@@ -98,39 +98,39 @@
 		case n == 0:
 			s.stage = inTrailer
 		default:
-			s.stage, s.left = inChunk, int64(n)+2
+			s.stage, s.remaining = inChunk, int64(n)+2
 		}
 	case inTrailer:
-		s.Whole = len(line) == 0
+		s.Complete = len(line) == 0
 	}
 }
 
 // field takes a line of the head.
-func (s *Stream) field(line []byte) {
+func (s *RequestStream) headerField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	switch {
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		s.chunked = true
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 62)
-		if err != nil || s.length >= 0 {
+		if err != nil || s.contentLength >= 0 {
 			s.Fault = "Content-Length: not one length"
 		}
-		s.length = int64(n)
+		s.contentLength = int64(n)
 	}
-	if s.chunked && s.length >= 0 {
+	if s.chunked && s.contentLength >= 0 {
 		s.Fault = "both Content-Length and Transfer-Encoding"
 	}
 }
 
 // headed is at the head's end.
-func (s *Stream) headed() {
+func (s *RequestStream) endHeader() {
 	switch {
 	case s.chunked:
-		s.stage = inSize
-	case s.length > 0:
-		s.stage, s.left = inBody, s.length
+		s.stage = inChunkSize
+	case s.contentLength > 0:
+		s.stage, s.remaining = inBody, s.contentLength
 	default:
-		s.Whole = true
+		s.Complete = true
 	}
 }
--- a/internal/transport/budget_test.go
+++ b/internal/transport/budget_test.go
@@ -281,7 +281,7 @@
 	}
 	c.until("both are idle", func() bool { return double.Forward.Over() && beside.Forward.Over() })
 	drains := c.answered(c.names[2])
-	c.s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: c.names[2], Status: mixer.Draining}}}})()
+	c.s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: c.names[2], Status: mixer.Draining}}}})()
 	c.s.mu.Lock()
 	c.s.follow(sweepBatch) // as a sweep does
 	c.s.mu.Unlock()
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -19,7 +19,7 @@
 	drain time.Duration // for what still comes once we have ended it
 
 	mu       sync.Mutex
-	stream   protocol.Stream
+	stream   protocol.RequestStream
 	seen     time.Time // the first bytes of the request at hand
 	asked    int       // sound requests that have come
 	gone     bool      // the client has closed, behind a request that is in whole
@@ -47,7 +47,7 @@
 		n, err := c.Conn.Read(b)
 		c.mu.Lock()
 		behind := c.note(b[:n])
-		over, whole := c.over, c.stream.Whole
+		over, whole := c.over, c.stream.Complete
 		if behind {
 			c.spare += n
 		}
@@ -81,10 +81,10 @@
 	if len(b) == 0 || c.over {
 		return false
 	}
-	if !c.stream.Begun() {
+	if !c.stream.Started() {
 		c.seen = time.Now()
 	}
-	behind = c.stream.Whole
+	behind = c.stream.Complete
 	c.stream.Feed(b)
 	return behind
 }
@@ -184,7 +184,7 @@
 // Write notes that a request which is in whole is being answered: what comes from now on is the next.
 func (c *client) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	c.answered = c.stream.Whole
+	c.answered = c.stream.Complete
 	c.stream.Next()
 	c.mu.Unlock()
 	return c.Conn.Write(b)
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(f.Stop)
-		searchers.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: f.Name}, Address: f.Address}}})
+		searchers.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: f.Name}, Address: f.Address}}})
 	}
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -169,7 +169,7 @@
 	if _, err := in.Peek(1); err != nil {
 		return protocol.Frame{}, err
 	}
-	if protocol.Waits(in, s.lim.MaxFrameBytes) {
+	if protocol.FrameBuffered(in, s.lim.MaxFrameBytes) {
 		return protocol.ReadFrame(in, s.lim.MaxFrameBytes)
 	}
 	s.mu.Lock()
@@ -182,7 +182,7 @@
 	nc.SetReadDeadline(time.Now().Add(s.lim.FrameReadTimeout))
 	f, err := protocol.ReadFrame(in, s.lim.MaxFrameBytes)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = &spoilt{protocol.Bad("frame: stopped for %v", s.lim.FrameReadTimeout), ""}
+		err = &spoilt{protocol.FrameErrorf("frame: stopped for %v", s.lim.FrameReadTimeout), ""}
 	}
 	nc.SetReadDeadline(time.Time{})
 	s.mu.Lock()
@@ -193,9 +193,9 @@
 
 // got takes one frame of a searcher.
 func (s *Searchers) got(l *conn, f protocol.Frame) error {
-	switch f.Letter {
-	case protocol.Answer:
-		r, err := protocol.ReadReply(f.Rest)
+	switch f.Type {
+	case protocol.AnswerFrame:
+		r, err := protocol.ReadReply(f.Payload)
 		if err != nil {
 			return &spoilt{err, r.ID}
 		}
@@ -227,23 +227,23 @@
 		case idle:
 			return errSpent
 		case !again: // in place of the answer to one of those that are out
-			return &spoilt{protocol.Bad("answer: %q is not out on this connection", r.ID), ""}
+			return &spoilt{protocol.FrameErrorf("answer: %q is not out on this connection", r.ID), ""}
 		}
-	case protocol.Probe, protocol.Load:
-		if len(f.Rest) > 0 {
-			return protocol.Bad("frame %c: an answer to a probe, but none was sent", f.Letter)
+	case protocol.ProbeFrame, protocol.LoadFrame:
+		if len(f.Payload) > 0 {
+			return protocol.FrameErrorf("frame %c: an answer to a probe, but none was sent", f.Type)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if len(l.raw) >= s.lim.MaxStreamsPerConn {
-			return protocol.Bad("frame %c: %d probes unanswered", f.Letter, len(l.raw))
+			return protocol.FrameErrorf("frame %c: %d probes unanswered", f.Type, len(l.raw))
 		}
-		l.raw = append(l.raw, protocol.AppendFrame(nil, f.Letter, protocol.ProbeAnswer(f.Letter)))
+		l.raw = append(l.raw, protocol.AppendFrame(nil, f.Type, protocol.ProbeResponse(f.Type)))
 		l.rouse()
-	case protocol.Fault:
-		return protocol.Bad("the searcher could not use a frame: %q", f.Rest[:min(len(f.Rest), 80)])
+	case protocol.ErrorFrame:
+		return protocol.FrameErrorf("the searcher could not use a frame: %q", f.Payload[:min(len(f.Payload), 80)])
 	default:
-		return protocol.Bad("frame: letter %q is not a searcher's", f.Letter)
+		return protocol.FrameErrorf("frame: letter %q is not a searcher's", f.Type)
 	}
 	return nil
 }
--- a/internal/transport/door.go
+++ b/internal/transport/door.go
@@ -32,7 +32,7 @@
 
 // taken is use under both locks.
 func (c *client) taken(s *Server) (use, time.Time) {
-	begun, since := c.stream.Begun(), c.since
+	begun, since := c.stream.Started(), c.since
 	if begun && c.asked > 0 {
 		since = c.seen
 	}
@@ -40,7 +40,7 @@
 	switch {
 	case c.over:
 		return closing, since
-	case begun && c.stream.Whole || !begun && c.state == http.StateActive:
+	case begun && c.stream.Complete || !begun && c.state == http.StateActive:
 		return busy, since
 	case begun && long <= s.Limits.SlowRequestAfter:
 		return incoming, since
--- a/internal/transport/drop.go
+++ b/internal/transport/drop.go
@@ -61,7 +61,7 @@
 				e.failed = append(e.failed, p)
 			}
 		}
-		if bad := (*protocol.BadFrame)(nil); errors.As(why, &bad) && len(e.failed) > 0 {
+		if bad := (*protocol.FrameError)(nil); errors.As(why, &bad) && len(e.failed) > 0 {
 			e.outcome = mixer.Failed
 			e.failed, e.withdrawn = blame(why, e.failed)
 		}
@@ -78,7 +78,7 @@
 			e.l.nc.Close()
 		}
 		level := slog.LevelDebug
-		if bad := (*protocol.BadFrame)(nil); errors.As(e.why, &bad) {
+		if bad := (*protocol.FrameError)(nil); errors.As(e.why, &bad) {
 			level = slog.LevelWarn
 		}
 		s.log.Log(s.ctx, level, "connection to a searcher ended", "searcher", e.l.to.name, "why", e.why,
--- a/internal/transport/drop_test.go
+++ b/internal/transport/drop_test.go
@@ -35,10 +35,10 @@
 	for name, end := range map[string]func(w *played){
 		"fresh": func(w *played) { w.send("fresh", true) },
 		"old": func(w *played) {
-			w.s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Since: time.Now()}}})()
+			w.s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, StartTime: time.Now()}}})()
 		},
 		"moved": func(w *played) {
-			w.s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: w.far.Address + "0"}}})()
+			w.s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: w.far.Address + "0"}}})()
 		},
 		"sweep": func(w *played) {
 			w.s.mu.Lock()
@@ -73,7 +73,7 @@
 			crossed := make(chan bool)
 			do := func() {
 				if name == "moved" { // to where nobody is: back again for the call
-					w.s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: w.far.Address}}})
+					w.s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: w.far.Address}}})
 				}
 				cross, ticket = w.send("cross", false)
 				w.until("the call has gone somewhere", func() bool { return cross.Forward.Over() || len(held) > 0 })
@@ -114,8 +114,8 @@
 			part := <-held
 			w.until("one part is out", func() bool { return w.is(out, written) })
 			late, _ := parcel(t, w.r, "late")
-			tell := w.s.Listed(protocol.List{Members: []protocol.Member{
-				{Entry: routing.Entry{Searcher: "s"}, Since: c.since, Address: w.far.Address + c.port}}})
+			tell := w.s.Listed(protocol.MemberList{Members: []protocol.Member{
+				{Entry: routing.Entry{Searcher: "s"}, StartTime: c.since, Address: w.far.Address + c.port}}})
 			w.s.mu.Lock() // as if it had been put there before the list came, and its turn came now
 			late.conn, out.conn.out[late.Part.ID] = out.conn, late
 			w.s.mu.Unlock()
@@ -153,7 +153,7 @@
 	l := &conn{to: to, began: time.Now(), out: map[string]*Parcel{"a.0": p}, cancel: func() {}}
 	to.conns, w.s.conns = append(to.conns, l), w.s.conns+1
 	w.s.mu.Unlock()
-	tell := w.s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: "127.0.0.1:1"}}})
+	tell := w.s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: "127.0.0.1:1"}}})
 	if !l.closed || p.Forward.Over() {
 		t.Errorf("closed %v, its part over %v before the list is with all", l.closed, p.Forward.Over())
 	}
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -229,7 +229,7 @@
 // reason gives why a connection is closed as the pool counts it.
 func reason(why error, up bool) conns.Reason {
 	var given idleFor
-	var bad *protocol.BadFrame
+	var bad *protocol.FrameError
 	switch {
 	case errors.As(why, &given):
 		return conns.Reason(given)
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -37,7 +37,7 @@
 	s := NewSearchersWithin(b, charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: 5 * time.Second, FrameReadTimeout: time.Second,
 		WriteTimeout: 5 * time.Second, MaxStreamsPerConn: 9, FileDescriptors: 2*room + 32, MaxFrameBytes: 999}, quiet)
 	t.Cleanup(s.Close)
-	var list protocol.List
+	var list protocol.MemberList
 	for i := range searchers {
 		c.names = append(c.names, fmt.Sprint("s", i))
 		list.Members = append(list.Members, protocol.Member{Entry: routing.Entry{Searcher: c.names[i]}, Address: far.Address})
@@ -176,7 +176,7 @@
 		}
 		t.Cleanup(far.Stop)
 		c.s, c.far, c.held = s, far, held
-		list := protocol.List{Whole: true}
+		list := protocol.MemberList{Snapshot: true}
 		for _, name := range c.names {
 			list.Members = append(list.Members, protocol.Member{Entry: routing.Entry{Searcher: name}, Address: far.Address})
 		}
--- a/internal/transport/listing.go
+++ b/internal/transport/listing.go
@@ -11,9 +11,9 @@
 // relist takes news of where searchers are. It gives the connections that it has claimed, since nothing is waited for on them, and those
 // to processes that are no more, on which nothing new goes out. Between two holds of the lock it rests. A searcher that the list still has
 // is at no moment taken for gone: sweep, which may come between, would close its idle connections.
-func (s *Searchers) relist(list protocol.List, rest func()) (unused []claimed, old []*conn) {
+func (s *Searchers) relist(list protocol.MemberList, rest func()) (unused []claimed, old []*conn) {
 	var named map[string]bool
-	if list.Whole {
+	if list.Snapshot {
 		named = make(map[string]bool, len(list.Members))
 		for i := range list.Members {
 			named[list.Members[i].Searcher] = true
@@ -33,7 +33,7 @@
 	for i := range list.Members {
 		spend(s.place(&list.Members[i], &unused, &old))
 	}
-	if list.Whole {
+	if list.Snapshot {
 		for name, to := range s.all { // what sweep deletes meanwhile doesn't come up; only this adds any
 			if !named[name] {
 				s.stands(to, mixer.Dead)
@@ -59,7 +59,7 @@
 	n := 1 + len(to.conns)
 	var done []*conn
 	for _, l := range to.conns {
-		l.old = l.old || l.began.Before(m.Since)
+		l.old = l.old || l.began.Before(m.StartTime)
 		if l.old || moved {
 			l.halted, l.spent = true, true
 			if l.nc == nil || !l.old && l.live() == 0 { // nothing has gone to where it leads, or nothing is awaited
--- a/internal/transport/listing_test.go
+++ b/internal/transport/listing_test.go
@@ -12,8 +12,8 @@
 	"nettlefold/mixer"
 )
 
-func listOf(from, to int, whole bool) (l protocol.List) {
-	l.Whole = whole
+func listOf(from, to int, whole bool) (l protocol.MemberList) {
+	l.Snapshot = whole
 	for i := from; i < to; i++ {
 		l.Members = append(l.Members, protocol.Member{Entry: routing.Entry{Searcher: fmt.Sprint("s", i)}, Address: fmt.Sprint("a:", i)})
 	}
--- a/internal/transport/probe.go
+++ b/internal/transport/probe.go
@@ -27,12 +27,12 @@
 func probed(nc net.Conn, within time.Duration, most int) bool {
 	end := time.Now().Add(within)
 	nc.SetDeadline(end)
-	if _, err := nc.Write(protocol.AppendFrame(nil, protocol.Probe, nil)); err != nil {
+	if _, err := nc.Write(protocol.AppendFrame(nil, protocol.ProbeFrame, nil)); err != nil {
 		return false
 	}
 	f, err := protocol.ReadFrame(bufio.NewReader(nc), most)
 	if err != nil || !time.Now().Before(end) { // a read may win over a deadline that has passed
 		return false
 	}
-	return f.Letter == protocol.Probe && len(f.Rest) > 0 // "err" too: it is there
+	return f.Type == protocol.ProbeFrame && len(f.Payload) > 0 // "err" too: it is there
 }
--- a/internal/transport/probe_test.go
+++ b/internal/transport/probe_test.go
@@ -87,14 +87,14 @@
 				began := time.Now()
 				all.Go(func() {
 					f, err := protocol.ReadFrame(far, 999)
-					if err != nil || f.Letter != protocol.Probe || len(f.Rest) > 0 {
+					if err != nil || f.Type != protocol.ProbeFrame || len(f.Payload) > 0 {
 						t.Errorf("asked %+v, %v", f, err)
 					}
 					if c.after < 0 {
 						return
 					}
 					time.Sleep(c.after)
-					far.Write(protocol.AppendFrame(nil, protocol.Probe, []byte(c.says)))
+					far.Write(protocol.AppendFrame(nil, protocol.ProbeFrame, []byte(c.says)))
 				})
 				nc := net.Conn(near)
 				if c.unnoticed {
--- a/internal/transport/searchers.go
+++ b/internal/transport/searchers.go
@@ -100,7 +100,7 @@
 // choose searchers have the news too, since they choose again for parts that are lost: it closes the connections to
 // processes that are no more. A process that has only moved keeps what it has; its connection goes with its last part.
 // One list comes at a time, as the watch hands them on. The lock is held for a bounded number of searchers and connections at a time.
-func (s *Searchers) Listed(list protocol.List) (end func()) {
+func (s *Searchers) Listed(list protocol.MemberList) (end func()) {
 	unused, old := s.relist(list, runtime.Gosched)
 	return func() {
 		s.finish(unused)
@@ -184,7 +184,7 @@
 
 // giveUp has the writer tell that a part is given up that the searcher has. The lock is held.
 func (l *conn) giveUp(p *Parcel) {
-	l.raw = append(l.raw, protocol.AppendFrame(nil, protocol.Withdraw, []byte(p.Part.ID)))
+	l.raw = append(l.raw, protocol.AppendFrame(nil, protocol.CancelFrame, []byte(p.Part.ID)))
 	l.rouse()
 }
 
--- a/internal/transport/searchers_test.go
+++ b/internal/transport/searchers_test.go
@@ -41,7 +41,7 @@
 	s := NewSearchers(charter.Limits{KeepAliveTimeout: 10 * time.Second, ConnectTimeout: time.Second, FrameReadTimeout: 100 * time.Millisecond,
 		WriteTimeout: 5 * time.Second, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, log)
 	t.Cleanup(s.Close)
-	s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: far.Address}}})
+	s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: far.Address}}})
 	return &played{t, r, s, far}
 }
 
@@ -196,7 +196,7 @@
 	}
 	out[0].Forward.Report(mixer.TimedOut, nil)
 	for id, want := range map[string]string{"": "b.0", "c.0": "c.0"} {
-		failed, others := blame(&spoilt{protocol.Bad("noise"), id}, out)
+		failed, others := blame(&spoilt{protocol.FrameErrorf("noise"), id}, out)
 		if len(failed) != 1 || len(others) != 2 || failed[0].Part.ID != want {
 			t.Errorf("a spoilt answer to %q is blamed on %d parts, %+v first, want %s", id, len(failed), failed[0].Part, want)
 		}
@@ -221,8 +221,8 @@
 // TestFrameCutOff breaks a connection after each byte of a frame. A once-only part may go to the other holder
 // until the last byte is out, and never after.
 func TestFrameCutOff(t *testing.T) {
-	part := protocol.Part{ID: "a.0", Text: "some text"}
-	frame := len(protocol.AppendCall(nil, []protocol.Part{{ID: part.ID, Text: part.Text, Within: 4990 * time.Millisecond}}))
+	part := protocol.Part{ID: "a.0", Query: "some text"}
+	frame := len(protocol.AppendQuery(nil, []protocol.Part{{ID: part.ID, Query: part.Query, Timeout: 4990 * time.Millisecond}}))
 	for _, first := range []bool{false, true} { // whether the reader sees it before the writer does
 		for cut := range frame + 1 {
 			ticket := take(t, router(t, mixer.AtMostOnce, "s", "other"), "a")
@@ -251,7 +251,7 @@
 // TestGivenUpWhileItIsWritten gives up a part that has leave to go. Before its frame is written nothing of it goes out.
 // Within that the frame comes whole, and the searcher is to be told after it, else it works beside the copy that goes elsewhere.
 func TestGivenUpWhileItIsWritten(t *testing.T) {
-	part := protocol.Part{ID: "a.0", Text: "some text"}
+	part := protocol.Part{ID: "a.0", Query: "some text"}
 	for _, within := range []bool{false, true} {
 		call := pick(t, take(t, router(t, mixer.Idempotent, "s"), "a")).Calls[0]
 		s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
@@ -270,7 +270,7 @@
 		}}, []*Parcel{parcel})
 		var want [][]byte
 		if within {
-			want = [][]byte{protocol.AppendFrame(nil, protocol.Withdraw, []byte(part.ID))}
+			want = [][]byte{protocol.AppendFrame(nil, protocol.CancelFrame, []byte(part.ID))}
 		}
 		if wrote != within || err != nil || !slices.EqualFunc(l.raw, want, bytes.Equal) {
 			t.Errorf("given up while it is written %v: written %v, %v, %q goes after it, want %q", within, wrote, err, l.raw, want)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -190,7 +190,7 @@
 		for _, c := range step.Calls {
 			call := make([]*Parcel, len(c.Forwards))
 			for i, f := range c.Forwards {
-				call[i] = &Parcel{Forward: f, Part: protocol.Part{ID: f.ID, Slice: l.Parts[f.Part].Slice, Text: l.Text}}
+				call[i] = &Parcel{Forward: f, Part: protocol.Part{ID: f.ID, Shard: l.Parts[f.Part].Slice, Query: l.Query}}
 				out[f] = call[i]
 			}
 			s.Searchers.Send(c.Searcher, c.Fresh, call)
@@ -228,7 +228,7 @@
 func (s *Server) answer(w http.ResponseWriter, l protocol.Lookup, f routing.Final) {
 	switch f.Verdict {
 	case routing.Answered:
-		body, err := protocol.WriteAnswer(l, f)
+		body, err := protocol.EncodeAnswer(l, f)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -238,7 +238,7 @@
 		w.Write(body)
 	case routing.Bounced:
 		if f.Wait > 0 {
-			w.Header().Set("Retry-After", protocol.WriteWait(f.Wait))
+			w.Header().Set("Retry-After", protocol.FormatRetryAfter(f.Wait))
 		}
 		http.Error(w, "turned away, asking again is harmless", http.StatusServiceUnavailable)
 	default:
--- a/internal/transport/states_test.go
+++ b/internal/transport/states_test.go
@@ -70,7 +70,7 @@
 		}
 		list := func(m protocol.Member) {
 			m.Searcher = "s"
-			w.s.Listed(protocol.List{Members: []protocol.Member{m}})()
+			w.s.Listed(protocol.MemberList{Members: []protocol.Member{m}})()
 		}
 		send := func(r *rapid.T) {
 			id := string(rune('a'+len(sent)/26)) + string(rune('a'+len(sent)%26))
@@ -119,7 +119,7 @@
 				list(protocol.Member{Address: "127.0.0.1:1"})
 				list(protocol.Member{Address: far.Address})
 			},
-			"restart": func(*rapid.T) { lose(""); list(protocol.Member{Since: time.Now()}) },
+			"restart": func(*rapid.T) { lose(""); list(protocol.Member{StartTime: time.Now()}) },
 			"break": func(*rapid.T) {
 				if p := next(); p.Conn != nil {
 					lose(p.ID)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -99,11 +99,11 @@
 	}))
 	defer agent.Close()
 	defer agent.CloseClientConnections() // else a watch that is never given up would keep it
-	heard := make(chan protocol.List, 10)
+	heard := make(chan protocol.MemberList, 10)
 	w := &Watch{
-		Discovery: agent.Listener.Addr().String(), Known: protocol.List{Version: 4},
+		Discovery: agent.Listener.Addr().String(), Known: protocol.MemberList{Version: 4},
 		Limits: charter.Limits{HeartbeatInterval: 500 * time.Millisecond, ReadTimeout: 2 * time.Second, MaxListMessageBytes: 1 << 10, MaxWatchBackoff: 20 * time.Millisecond},
-		Log:    quiet, Listed: func(l protocol.List) { heard <- l },
+		Log:    quiet, Listed: func(l protocol.MemberList) { heard <- l },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, want := range []int64{12, 15, 12} {
-		if l := <-heard; l.Version != want || !l.Whole {
+		if l := <-heard; l.Version != want || !l.Snapshot {
 			t.Errorf("heard %+v, want version %d", l, want)
 		}
 	}
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -19,13 +19,13 @@
 
 // Watch follows the list and hands on its news in order.
 type Watch struct {
-	Discovery string        // address to begin with
-	Known     protocol.List // the list to begin with
-	Fresh     bool          // the known list may be of another discovery, whose versions say nothing: all is asked for first
+	Discovery string              // address to begin with
+	Known     protocol.MemberList // the list to begin with
+	Fresh     bool                // the known list may be of another discovery, whose versions say nothing: all is asked for first
 	Limits    charter.Limits
 	Log       *slog.Logger
-	Listed    func(protocol.List) // called under the watch's lock: it never calls Move
-	Alive     func()              // nil, or called with each sign of life
+	Listed    func(protocol.MemberList) // called under the watch's lock: it never calls Move
+	Alive     func()                    // nil, or called with each sign of life
 
 	dial    func(ctx context.Context, network, address string) (net.Conn, error) // for tests
 	fails   int                                                                  // watches in a row that brought nothing
@@ -208,8 +208,8 @@
 		silent.Reset(min(w.Limits.MaxWatchSilence(), w.Limits.MaxWatchSilence()+w.Limits.HeartbeatInterval/4-time.Since(began)))
 	}
 	whole := func() {}
-	news := protocol.NewNews(body, w.Limits.MaxListMessageBytes)
-	news.Heard = func(begun bool) {
+	news := protocol.NewMemberListReader(body, w.Limits.MaxListMessageBytes)
+	news.OnActivity = func(begun bool) {
 		if whole(); begun {
 			silent.Stop()
 			message, done := context.WithCancel(ctx)
@@ -235,7 +235,7 @@
 			return err
 		}
 		if !c.watch {
-			list.Whole = true
+			list.Snapshot = true
 			w.heard()
 		}
 		if err := w.take(ctx, list, c.overtakes); err != nil || !c.watch {
@@ -268,23 +268,23 @@
 
 // take hands on one message, unless its call has ended: nothing more is heard of an address that has been left, nor of a
 // message that another has overtaken. Changes that go back mean that discovery has lost its count: all is asked for anew.
-func (w *Watch) take(ctx context.Context, list protocol.List, overtakes func()) error {
+func (w *Watch) take(ctx context.Context, list protocol.MemberList, overtakes func()) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	if !list.Whole && list.Version < w.version {
+	if !list.Snapshot && list.Version < w.version {
 		w.lost = true
 		return fmt.Errorf("changes of version %d after %d", list.Version, w.version)
 	}
 	for _, s := range list.Skipped {
-		w.Log.Warn("list: a searcher is kept as it was", "version", list.Version, "searcher", s.Searcher, "fault", s.Fault)
+		w.Log.Warn("list: a searcher is kept as it was", "version", list.Version, "searcher", s.Searcher, "fault", s.Reason)
 		if m, ok := w.members[s.Searcher]; ok {
 			list.Members = append(list.Members, m)
 		}
 	}
-	w.version, w.lost = list.Version, w.lost && !list.Whole
+	w.version, w.lost = list.Version, w.lost && !list.Snapshot
 	w.keep(list)
 	w.Listed(list)
 	if overtakes != nil {
@@ -294,8 +294,8 @@
 }
 
 // keep remembers the list for members that cannot be read later.
-func (w *Watch) keep(list protocol.List) {
-	if list.Whole {
+func (w *Watch) keep(list protocol.MemberList) {
+	if list.Snapshot {
 		clear(w.members)
 	}
 	for _, m := range list.Members {
--- a/internal/transport/watch_test.go
+++ b/internal/transport/watch_test.go
@@ -232,9 +232,9 @@
 				go server.Serve(at)
 				ctx, cancel := context.WithCancel(t.Context())
 				heard, requests := make(chan int, 99), 0 // those that had come when the wanted one was heard
-				w := &Watch{Discovery: "agent", Known: protocol.List{Version: 1}, Fresh: c.fresh, Log: quiet, dial: at.dial,
+				w := &Watch{Discovery: "agent", Known: protocol.MemberList{Version: 1}, Fresh: c.fresh, Log: quiet, dial: at.dial,
 					Limits: charter.Limits{HeartbeatInterval: 2 * time.Second, ReadTimeout: 2 * time.Second, MaxListMessageBytes: 1 << 10, MaxWatchBackoff: time.Second},
-					Listed: func(l protocol.List) {
+					Listed: func(l protocol.MemberList) {
 						if requests == 0 && int(l.Version) == c.want {
 							requests = int(n.Load())
 						}
@@ -288,7 +288,7 @@
 		var heard []int64
 		w := &Watch{Discovery: "old", Log: quiet, dial: at.dial,
 			Limits: charter.Limits{HeartbeatInterval: 2 * time.Second, ReadTimeout: 2 * time.Second, MaxListMessageBytes: 1 << 10, MaxWatchBackoff: time.Second}}
-		w.Listed = func(l protocol.List) { heard = append(heard, l.Version) }
+		w.Listed = func(l protocol.MemberList) { heard = append(heard, l.Version) }
 		var once sync.Once
 		w.Alive = func() {
 			if len(heard) == 1 {
--- a/internal/transport/watch_wrong_test.go
+++ b/internal/transport/watch_wrong_test.go
@@ -32,14 +32,14 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}})
-	w.Listed = func(protocol.List) {
+	w.Listed = func(protocol.MemberList) {
 		select {
 		case <-moved:
 			t.Error("a list of the old address is handed on after the move")
 		default:
 		}
 	}
-	if err := w.take(t.Context(), protocol.List{Whole: true, Skipped: make([]protocol.Skipped, 1)}, nil); err != nil {
+	if err := w.take(t.Context(), protocol.MemberList{Snapshot: true, Skipped: make([]protocol.SkippedMember, 1)}, nil); err != nil {
 		t.Error(err)
 	}
 	<-moved
@@ -145,9 +145,9 @@
 			})}
 			go server.Serve(at)
 			heard := make(chan time.Duration, 1)
-			w := &Watch{Discovery: "agent", Known: protocol.List{Version: 1}, Fresh: true, Log: quiet,
+			w := &Watch{Discovery: "agent", Known: protocol.MemberList{Version: 1}, Fresh: true, Log: quiet,
 				Limits: charter.Limits{HeartbeatInterval: 2 * time.Second, ReadTimeout: 2 * time.Second, MaxListMessageBytes: 1 << 10, MaxWatchBackoff: time.Second},
-				Listed: func(l protocol.List) {
+				Listed: func(l protocol.MemberList) {
 					if l.Version == 3 {
 						select {
 						case heard <- time.Since(began):
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -61,7 +61,7 @@
 	now := time.Now()
 	for _, p := range call {
 		if p.Forward.Leave() {
-			p.Part.Within = p.Forward.Until.Sub(now)
+			p.Part.Timeout = p.Forward.Until.Sub(now)
 			parts = append(parts, p.Part)
 			left = append(left, p)
 		}
@@ -83,7 +83,7 @@
 	l.busy = left
 	rested := l.used.After(l.began) && l.alone()
 	s.mu.Unlock()
-	frame := protocol.AppendCall(nil, parts)
+	frame := protocol.AppendQuery(nil, parts)
 	var n int
 	var err error
 	if rested && ended(nc) {
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -50,8 +50,8 @@
 				t.Fatal("still held up, ended with ", <-wrote)
 			}
 			go func() { wrote <- s.write(l, near, []*Parcel{behind}) }()
-			if f, err := protocol.ReadFrame(far, 999); err != nil || !strings.HasPrefix(string(f.Rest), "behind.0 ") {
-				t.Errorf("then %q comes, %v", f.Rest, err)
+			if f, err := protocol.ReadFrame(far, 999); err != nil || !strings.HasPrefix(string(f.Payload), "behind.0 ") {
+				t.Errorf("then %q comes, %v", f.Payload, err)
 			}
 			<-wrote
 			if how == "lookup ended" { // a once-only part goes on only where it has not run
@@ -81,7 +81,7 @@
 				s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: time.Second, FrameReadTimeout: time.Second,
 					WriteTimeout: time.Minute, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, quiet)
 				defer s.Close()
-				s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: l.Addr().String()}}})
+				s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: l.Addr().String()}}})
 				w := &played{t, router(t, mixer.AtMostOnce, "s", "other"), s, nil}
 				first, _ := w.send("first", false)
 				far, err := l.Accept()
@@ -95,11 +95,11 @@
 				first.conn.nc.(*net.TCPConn).SetWriteBuffer(1 << 17)
 				protocol.ReadFrame(far, 1<<20)
 				if !c.beside {
-					far.Write(protocol.AppendFrame(nil, protocol.Answer, []byte("first.0 ok 1 -\nvalue")))
+					far.Write(protocol.AppendFrame(nil, protocol.AnswerFrame, []byte("first.0 ok 1 -\nvalue")))
 					w.until("the first is answered", first.Forward.Over)
 				}
 				big, _ := parcel(t, w.r, "big")
-				big.Part.Text = strings.Repeat("x", 4<<20) // more than any buffers take
+				big.Part.Query = strings.Repeat("x", 4<<20) // more than any buffers take
 				if how == "timed out" {
 					big.Forward.Until = time.Now().Add(50 * time.Millisecond)
 				}
