--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin answers questions about a mixer on a listener of its own: figures for a collector, how sharing stands, and
-// why a searcher is passed over. It takes no orders, and none of it is on a lookup's path.
+// Package admin serves the read-only HTTP admin API of a mixer on a listener of its own: metrics, the state of
+// sharing, fleet, control tier and subset, the settings in force, and why a searcher receives no parts. No
+// lookup passes through it.
 package admin
 
 import (
@@ -20,36 +21,37 @@
 	"nettlefold/mixer"
 )
 
-// Asked is what is asked of the mixer.
+// Router reports the state of a searcher and whether it is listed.
 type Router interface {
 	Standing(searcher string) (routing.Standing, bool)
 }
 
-// Server answers. Keeper is nil where there is no shared store, Fleet where the mixer takes part in none, Control where no relays
-// tell it of versions.
+// Server serves the admin API. A nil field other than Router and Settings means that the mixer runs without
+// that part: its path answers 404, and its metrics are missing.
 type Server struct {
 	Router   Router
-	Sharing  interface{ State() store.State }
-	Fleet    *Fleet
-	Control  func() any          // how the mixer stands with the control tier
-	Settings func() any          // the settings of the start
-	Subset   func() subset.State // nil: all searchers are used
+	Sharing  interface{ State() store.State } // shared store
+	Fleet    *Fleet                           // other mixers
+	Control  func() any                       // state of the connection to the relays of the control tier
+	Settings func() any                       // settings in force
+	Subset   func() subset.State              // subset of the searchers that this mixer uses
 
-	Connections func() conns.Stats // to searchers, nil: nothing is told of them
+	Connections func() conns.Stats // to searchers; metrics only
 }
 
-// Serve answers on a listener until the context ends.
+// Serve serves the admin API on l until ctx is done, and returns nil then.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	h := &http.Server{Handler: s.Handler(), ReadTimeout: 2 * time.Second, WriteTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
-	stop := context.AfterFunc(ctx, func() { h.Close() })
+	server := &http.Server{Handler: s.Handler(), ReadTimeout: 2 * time.Second, WriteTimeout: 5 * time.Second,
+		MaxHeaderBytes: 8 << 10}
+	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := h.Serve(l); ctx.Err() == nil {
+	if err := server.Serve(l); ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-// Handler gives the answers by path.
+// Handler returns the handler of all paths.
 func (s *Server) Handler() http.Handler {
 	set := s.newMetricSet()
 	mux := http.NewServeMux()
@@ -100,50 +102,51 @@
 	return mux
 }
 
+// writeJSON writes v as the JSON body of a response.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
-// Reasons says in words why a searcher is passed over just now, nothing where it is not.
-func Reasons(st routing.Standing) (why []string) {
-	say := func(format string, args ...any) { why = append(why, fmt.Sprintf(format, args...)) }
-	second := func(ns int64) string { return time.Duration(ns).Round(time.Millisecond).String() }
+// Reasons describes why a searcher currently receives no or fewer parts. It returns nil if there is no reason.
+func Reasons(st routing.Standing) (reasons []string) {
+	add := func(format string, args ...any) { reasons = append(reasons, fmt.Sprintf(format, args...)) }
+	duration := func(ns int64) string { return time.Duration(ns).Round(time.Millisecond).String() }
 	switch st.Status {
 	case mixer.Draining:
-		say("the list says that it is draining")
+		add("the list says that it is draining")
 	case mixer.Dead:
-		say("the list says that it is gone")
+		add("the list says that it is gone")
 	}
 	if st.Suspect {
-		say("it has not answered this mixer; the next test is due in %s", second(st.TestIn))
+		add("it has not answered this mixer; the next test is due in %s", duration(st.TestIn))
 	}
 	if st.ZoneSilent {
-		say("nothing in its zone answers this mixer")
+		add("nothing in its zone answers this mixer")
 	}
 	if st.Doubted {
-		say("%d other mixers say that it does not answer, and it has not answered this one since", st.Word.Suspecting)
+		add("%d other mixers say that it does not answer, and it has not answered this one since", st.Word.Suspecting)
 	}
 	if st.ColdWait > 0 {
-		say("it is cold and this mixer's allowance has a part for it in %s", second(st.ColdWait))
+		add("it is cold and this mixer's allowance has a part for it in %s", duration(st.ColdWait))
 	}
 	if st.Word.AwayUntil > 0 {
-		say("this mixer's allowance for it is lent to others")
+		add("this mixer's allowance for it is lent to others")
 	}
 	if st.Fleet > 0 && st.Unit > 1.5*st.Fleet {
-		whose := "this mixer's own forwards"
+		causes := "this mixer's own forwards"
 		if st.Word.Slow > 1.5 {
-			whose += fmt.Sprintf(" and other mixers' (%.1f times the fleet's pace)", st.Word.Slow)
+			causes += fmt.Sprintf(" and other mixers' (%.1f times the fleet's pace)", st.Word.Slow)
 		}
-		say("it comes after its equals: a forward takes %.1f times the fleet's pace there, by %s", st.Unit/st.Fleet, whose)
+		add("it comes after its equals: a forward takes %.1f times the fleet's pace there, by %s", st.Unit/st.Fleet, causes)
 	}
 	if st.Calls > 0 {
-		say("%d calls of this mixer are out there, and the least counted comes first", st.Calls)
+		add("%d calls of this mixer are out there, and the least counted comes first", st.Calls)
 	}
-	return why
+	return reasons
 }
 
-// chosen adds the gauges of the subset, where there is one.
+// addSubsetMetrics adds the gauges of the subset, if there is one.
 func (s *Server) addSubsetMetrics(set *metrics.Set) {
 	if s.Subset == nil {
 		return
@@ -159,7 +162,7 @@
 	}
 }
 
-// figures are the metrics of connections, the subset and sharing, read when they are asked for.
+// newMetricSet returns the metrics of connections, subset and sharing, which are read on each scrape.
 func (s *Server) newMetricSet() *metrics.Set {
 	set := metrics.NewSet()
 	if s.Connections != nil {
@@ -172,14 +175,14 @@
 	gauge := func(name string, read func(store.State) float64) {
 		set.NewGauge("nettlefold_sharing_"+name, func() float64 { return read(s.Sharing.State()) })
 	}
-	flag := func(b bool) float64 {
+	boolGauge := func(b bool) float64 {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	gauge("on", func(t store.State) float64 { return flag(t.On) })
-	gauge("circuit_open", func(t store.State) float64 { return flag(t.Open) })
+	gauge("on", func(t store.State) float64 { return boolGauge(t.On) })
+	gauge("circuit_open", func(t store.State) float64 { return boolGauge(t.Open) })
 	gauge("circuit_trips_total", func(t store.State) float64 { return float64(t.Trips) })
 	gauge("rounds_total", func(t store.State) float64 { return float64(t.Rounds) })
 	gauge("rounds_failed_total", func(t store.State) float64 { return float64(t.Failed) })
@@ -189,12 +192,18 @@
 	gauge("rows_heard", func(t store.State) float64 { return float64(t.Counts.Rows) })
 	gauge("loans_in_force", func(t store.State) float64 { return float64(t.Loans) })
 	for name, read := range map[string]func(store.State) uint64{
-		"sheets_total": func(t store.State) uint64 { return t.Sheets }, "sheets_garbage_total": func(t store.State) uint64 { return t.Garbage },
-		"sheets_foreign_total": func(t store.State) uint64 { return t.Foreign }, "sheets_stale_total": func(t store.State) uint64 { return t.Stale },
-		"rows_told_total": func(t store.State) uint64 { return t.Told }, "words_believed_total": func(t store.State) uint64 { return t.Believed },
-		"words_overruled_total": func(t store.State) uint64 { return t.Overruled }, "words_outvoted_total": func(t store.State) uint64 { return t.Outvoted },
-		"loans_given_total": func(t store.State) uint64 { return t.Lent }, "loans_taken_total": func(t store.State) uint64 { return t.Borrowed },
-		"loans_late_total": func(t store.State) uint64 { return t.Late }, "loans_misaddressed_total": func(t store.State) uint64 { return t.Misaddressed },
+		"sheets_total":             func(t store.State) uint64 { return t.Sheets },
+		"sheets_garbage_total":     func(t store.State) uint64 { return t.Garbage },
+		"sheets_foreign_total":     func(t store.State) uint64 { return t.Foreign },
+		"sheets_stale_total":       func(t store.State) uint64 { return t.Stale },
+		"rows_told_total":          func(t store.State) uint64 { return t.Told },
+		"words_believed_total":     func(t store.State) uint64 { return t.Believed },
+		"words_overruled_total":    func(t store.State) uint64 { return t.Overruled },
+		"words_outvoted_total":     func(t store.State) uint64 { return t.Outvoted },
+		"loans_given_total":        func(t store.State) uint64 { return t.Lent },
+		"loans_taken_total":        func(t store.State) uint64 { return t.Borrowed },
+		"loans_late_total":         func(t store.State) uint64 { return t.Late },
+		"loans_misaddressed_total": func(t store.State) uint64 { return t.Misaddressed },
 	} {
 		gauge(name, func(t store.State) float64 { return float64(read(t)) })
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -34,11 +34,11 @@
 		st := base
 		change(&st)
 		if got := Reasons(st); len(got) != 1 || !strings.Contains(got[0], want) {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("got reasons %q, want one with %q", got, want)
 		}
 	}
 	if got := Reasons(base); len(got) != 0 {
-		t.Errorf("a sound searcher is passed over for %q", got)
+		t.Errorf("healthy searcher: got reasons %q, want none", got)
 	}
 }
 
@@ -72,38 +72,38 @@
 		raw, _ := io.ReadAll(w.Result().Body)
 		return w.Code, string(raw)
 	}
-	alone := &Server{Router: stubRouter{}, Settings: func() any { return "in force" }}
-	shares := &Server{Router: stubRouter{}, Sharing: stubSharing{}, Settings: alone.Settings}
-	shares.Control = func() any { return map[string]string{"relay": "r-1"} }
-	shares.Subset = func() subset.State { return subset.State{Used: 8, Silent: []string{"a", "b"}} }
-	shares.Fleet = &Fleet{Roster: stubRoster{}, Tables: []Table{{"rights", func() any { return 7 }}}}
+	minimal := &Server{Router: stubRouter{}, Settings: func() any { return "in force" }}
+	full := &Server{Router: stubRouter{}, Sharing: stubSharing{}, Settings: minimal.Settings}
+	full.Control = func() any { return map[string]string{"relay": "r-1"} }
+	full.Subset = func() subset.State { return subset.State{Used: 8, Silent: []string{"a", "b"}} }
+	full.Fleet = &Fleet{Roster: stubRoster{}, Tables: []Table{{"rights", func() any { return 7 }}}}
 	for _, c := range []struct {
 		s    *Server
 		path string
 		code int
 		want string
 	}{
-		{alone, "/sharing", 404, "no shared store"}, {alone, "/settings", 200, "in force"}, {alone, "/metrics", 200, "process_"},
-		{alone, "/why?searcher=s", 200, "Standing"}, {alone, "/why?searcher=x", 404, `"x" is not listed`}, {alone, "/other", 404, ""},
-		{alone, "/fleet", 404, "no fleet"}, {alone, "/control", 404, "no control is set"},
-		{alone, "/subset", 404, "no subset is set"}, {shares, "/subset", 200, `"Used":8,`}, {shares, "/why?searcher=x", 404, "or not in the subset"},
-		{shares, "/metrics", 200, "nettlefold_subset_used 8\n"}, {shares, "/metrics", 200, "nettlefold_subset_silent_zones 2\n"},
-		{shares, "/control", 200, `{"relay":"r-1"}`},
-		{shares, "/fleet", 200, `"self":{"name":"me","life":"000000000000000a"`},
-		{shares, "/fleet", 200, `b0","site":"x","build":"","state":"cut off","term":0,"heard_ms":2000,"state_ms":1000}`},
-		{shares, "/fleet", 200, `"state":"gone","why":"goodbye","term":0,"heard_ms":-1`},
-		{shares, "/fleet", 200, `"tables":[{"name":"rights","state":7}]`},
-		{shares, "/sharing", 200, `"Lent":7`}, {shares, "/metrics", 200, "nettlefold_sharing_loans_given_total 7\n"},
-		{shares, "/metrics", 200, "nettlefold_sharing_circuit_open 1\n"}, {shares, "/metrics", 200, "nettlefold_sharing_newest_word_seconds 1.5\n"},
-		{shares, "/metrics", 200, "nettlefold_sharing_mixers_heard 3\n"},
+		{minimal, "/sharing", 404, "no shared store"}, {minimal, "/settings", 200, "in force"}, {minimal, "/metrics", 200, "process_"},
+		{minimal, "/why?searcher=s", 200, "Standing"}, {minimal, "/why?searcher=x", 404, `"x" is not listed`}, {minimal, "/other", 404, ""},
+		{minimal, "/fleet", 404, "no fleet"}, {minimal, "/control", 404, "no control is set"},
+		{minimal, "/subset", 404, "no subset is set"}, {full, "/subset", 200, `"Used":8,`}, {full, "/why?searcher=x", 404, "or not in the subset"},
+		{full, "/metrics", 200, "nettlefold_subset_used 8\n"}, {full, "/metrics", 200, "nettlefold_subset_silent_zones 2\n"},
+		{full, "/control", 200, `{"relay":"r-1"}`},
+		{full, "/fleet", 200, `"self":{"name":"me","life":"000000000000000a"`},
+		{full, "/fleet", 200, `b0","site":"x","build":"","state":"cut off","term":0,"heard_ms":2000,"state_ms":1000}`},
+		{full, "/fleet", 200, `"state":"gone","why":"goodbye","term":0,"heard_ms":-1`},
+		{full, "/fleet", 200, `"tables":[{"name":"rights","state":7}]`},
+		{full, "/sharing", 200, `"Lent":7`}, {full, "/metrics", 200, "nettlefold_sharing_loans_given_total 7\n"},
+		{full, "/metrics", 200, "nettlefold_sharing_circuit_open 1\n"}, {full, "/metrics", 200, "nettlefold_sharing_newest_word_seconds 1.5\n"},
+		{full, "/metrics", 200, "nettlefold_sharing_mixers_heard 3\n"},
 	} {
 		if code, got := get(c.s, c.path); code != c.code || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %d %.200s, want %d with %s", c.path, code, got, c.code, c.want)
+			t.Errorf("GET %s: got status %d, body %.200s, want %d with %s", c.path, code, got, c.code, c.want)
 		}
 	}
 	w := httptest.NewRecorder()
-	shares.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/sharing", nil))
+	full.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/sharing", nil))
 	if w.Code != http.StatusMethodNotAllowed {
-		t.Errorf("an order is answered with %d", w.Code)
+		t.Errorf("POST /sharing: got status %d, want %d", w.Code, http.StatusMethodNotAllowed)
 	}
 }
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -9,7 +9,7 @@
 	"nettlefold/internal/conns"
 )
 
-// writeConnections writes the metrics of the connections to searchers, all of one moment.
+// writeConnectionMetrics writes the metrics of the connections to searchers, all from one snapshot.
 func writeConnectionMetrics(w io.Writer, st conns.Stats) {
 	const prefix = "nettlefold_connections_"
 	metrics.WriteGaugeUint64(w, prefix+"open", uint64(st.Open))
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -8,7 +8,7 @@
 	"nettlefold/internal/fleet/roster"
 )
 
-// Fleet is what is told of the other mixers.
+// Fleet is what GET /fleet reports: the members of the fleet and the tables shared with them.
 type Fleet struct {
 	Roster interface {
 		Self() roster.Life
@@ -18,58 +18,62 @@
 	Tables []Table
 }
 
-// Table is what one part of the program shares with other mixers, as it stands.
+// Table is a named table that this mixer shares with others. Read returns its current state.
 type Table struct {
 	Name string
 	Read func() any
 }
 
+// memberStatus is the JSON form of a member of the fleet.
 type memberStatus struct {
 	Name  string `json:"name"`
-	Life  string `json:"life"` // hex
+	Life  string `json:"life"` // hexadecimal
 	Site  string `json:"site"`
 	Build string `json:"build"`
 	State string `json:"state"`
-	Why   string `json:"why,omitempty"` // of gone
+	Why   string `json:"why,omitempty"` // why the member is gone
 	Term  uint32 `json:"term"`
-	Heard int64  `json:"heard_ms"` // ago; -1: never
-	Since int64  `json:"state_ms"` // how long it has been in its state
+	Heard int64  `json:"heard_ms"` // time since it was last heard, in ms; -1 if never
+	Since int64  `json:"state_ms"` // time in its current state, in ms
 }
 
+// tableStatus is the JSON form of a Table.
 type tableStatus struct {
 	Name  string `json:"name"`
 	State any    `json:"state"`
 }
 
+// fleetStatus is the JSON body of GET /fleet.
 type fleetStatus struct {
 	Self    memberStatus   `json:"self"`
-	Members []memberStatus `json:"members"` // this one too
+	Members []memberStatus `json:"members"` // including this mixer
 	Tables  []tableStatus  `json:"tables"`
 }
 
+// status returns the current state of the fleet and its tables.
 func (f *Fleet) status() fleetStatus {
-	a := fleetStatus{Tables: []tableStatus{}}
+	status := fleetStatus{Tables: []tableStatus{}}
 	now, self := f.Roster.Now(), f.Roster.Self()
-	ago := func(at int64) int64 { return max(0, time.Duration(now-at).Milliseconds()) }
+	millisSince := func(at int64) int64 { return max(0, time.Duration(now-at).Milliseconds()) }
 	for _, m := range f.Roster.Members() {
-		one := memberStatus{Name: m.Name, Life: fmt.Sprintf("%016x", m.Life.Life), Site: m.Site, Build: m.Build,
-			State: m.State.String(), Why: m.Why.String(), Term: m.Term, Heard: -1, Since: ago(m.At)}
+		member := memberStatus{Name: m.Name, Life: fmt.Sprintf("%016x", m.Life.Life), Site: m.Site, Build: m.Build,
+			State: m.State.String(), Why: m.Why.String(), Term: m.Term, Heard: -1, Since: millisSince(m.At)}
 		if m.Heard > 0 {
-			one.Heard = ago(m.Heard)
+			member.Heard = millisSince(m.Heard)
 		}
 		if m.Life.Life == self.Life {
-			one.Heard = 0
-			a.Self = one
+			member.Heard = 0
+			status.Self = member
 		}
-		a.Members = append(a.Members, one)
+		status.Members = append(status.Members, member)
 	}
 	for _, t := range f.Tables {
-		a.Tables = append(a.Tables, tableStatus{t.Name, t.Read()})
+		status.Tables = append(status.Tables, tableStatus{t.Name, t.Read()})
 	}
-	return a
+	return status
 }
 
-// fleet answers GET /fleet.
+// serveFleet handles GET /fleet.
 func (s *Server) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	if s.Fleet == nil {
 		http.Error(w, "no fleet is set", http.StatusNotFound)
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -11,19 +11,20 @@
 	"nettlefold/mixer"
 )
 
-// Config is what a mixer is started with.
+// Config is the configuration that a mixer starts with.
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    int64
 	Mixer                   mixer.Config
-	TariffRows, TenantRows  map[string]int // tariffs; customers, from 1 on
+	TariffRows, TenantRows  map[string]int // index of each tariff; row of each tenant, from 1
 	Limits                  charter.Limits
 	KnownMembers            MemberList
 
-	values   map[string]string // everything but discovery and known, as written
-	settings charter.Settings  // the settings as written, which a version is laid over
+	values   map[string]string // configured values by path, except discovery and known
+	settings charter.Settings  // initial settings, the base of every overlay
 }
 
+// config is the JSON form of Config.
 type config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -38,53 +39,53 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// ReadConfig reads the platform's configuration.
+// ReadConfig parses and validates the JSON configuration that the platform provides.
 func ReadConfig(raw []byte) (Config, error) {
 	var in config
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
 	c := Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery}
-	for _, f := range []struct{ name, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if f.value == "" {
-			return c, fmt.Errorf("configuration: %s: missing", f.name)
+	for _, address := range []struct{ name, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if address.value == "" {
+			return c, fmt.Errorf("configuration: %s: missing", address.name)
 		}
-		if _, port, err := net.SplitHostPort(f.value); err != nil {
-			return c, fmt.Errorf("configuration: %s: %w", f.name, err)
+		if _, port, err := net.SplitHostPort(address.value); err != nil {
+			return c, fmt.Errorf("configuration: %s: %w", address.name, err)
 		} else if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-			return c, fmt.Errorf("configuration: %s: port: %q", f.name, truncate(port))
+			return c, fmt.Errorf("configuration: %s: invalid port %q", address.name, truncate(port))
 		}
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
-		return c, fmt.Errorf("configuration: seed: not hex of 64 bits: %q", truncate(in.Seed))
+		return c, fmt.Errorf("configuration: seed: not a 64-bit hexadecimal number: %q", truncate(in.Seed))
 	}
 	c.Seed = int64(seed)
 	if !(in.Limits.Cores > 0 && in.Limits.Cores < 1e4) {
-		return c, fmt.Errorf("configuration: limits.cores: %v", in.Limits.Cores)
+		return c, fmt.Errorf("configuration: limits.cores: %v is not in (0, 10000)", in.Limits.Cores)
 	}
 	if !(in.Limits.Memory >= 1 && in.Limits.Memory < 1e9) {
-		return c, fmt.Errorf("configuration: limits.memory_mb: %v", in.Limits.Memory)
+		return c, fmt.Errorf("configuration: limits.memory_mb: %v is not in [1, 1e9)", in.Limits.Memory)
 	}
 	if in.Limits.Sockets < 1 {
-		return c, fmt.Errorf("configuration: limits.sockets: %d", in.Limits.Sockets)
+		return c, fmt.Errorf("configuration: limits.sockets: %d is below 1", in.Limits.Sockets)
 	}
-	terms, err := charter.ParseJSON(in.Settings)
+	settings, err := charter.ParseJSON(in.Settings)
 	if err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	if c.Mixer, c.TariffRows, err = terms.MixerConfig(); err != nil {
+	if c.Mixer, c.TariffRows, err = settings.MixerConfig(); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	c.TenantRows, c.settings = terms.TenantRows(c.Mixer), terms
-	if c.Limits, err = terms.Limits(c.Mixer); err != nil {
+	c.TenantRows, c.settings = settings.TenantRows(c.Mixer), settings
+	if c.Limits, err = settings.Limits(c.Mixer); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
 	c.Limits.CPUCores, c.Limits.FileDescriptors = in.Limits.Cores, in.Limits.Sockets
 	c.Limits.MemoryBytes = int64(in.Limits.Memory * (1 << 20))
 	c.values = map[string]string{"name": c.Name, "listen": c.Listen, "seed": in.Seed, "limits": fmt.Sprint(in.Limits)}
-	for key, v := range terms {
-		c.values["settings."+key] = v
+	for key, value := range settings {
+		c.values["settings."+key] = value
 	}
 	if len(in.Known) > 0 {
 		if c.KnownMembers, err = ReadMemberList(in.Known); err != nil {
@@ -94,10 +95,11 @@
 	return c, nil
 }
 
-// Differs names what of another configuration this one has otherwise, but for discovery and the list as last known.
+// ChangedKeys returns the sorted paths of the values that differ between c and other. It ignores the
+// discovery address and the known members.
 func (c Config) ChangedKeys(other Config) (names []string) {
-	for name, v := range c.values {
-		if w, ok := other.values[name]; !ok || v != w {
+	for name, value := range c.values {
+		if otherValue, ok := other.values[name]; !ok || value != otherValue {
 			names = append(names, name)
 		}
 	}
@@ -110,23 +112,24 @@
 	return names
 }
 
-// Revise gives the configuration with a version of the settings laid over those it was read with, never over a version before:
-// each is whole by itself. How a document is written, and what it may change, is said at charter.Terms.Lay. Of the limits only
-// Open follows: the longest deadline, and with it the time after SIGTERM, stay the start's, which no version may exceed. What
-// is wrong is a *charter.Fault with path and value; then the configuration is as before.
+// Overlay returns the configuration with a settings document applied to the initial settings, never to
+// those of an earlier document: each document is complete by itself. charter.Settings.Overlay describes
+// the form of a document and what it may change. Of the limits, only MaxOpenRequests changes: the
+// longest deadline, and with it the time allowed after SIGTERM, stay as at the start, and no document
+// may exceed them. An invalid document yields a *charter.SettingError with path and value, and c unchanged.
 func (c Config) Overlay(document []byte) (Config, error) {
-	terms, err := c.settings.Overlay(document)
+	settings, err := c.settings.Overlay(document)
 	if err != nil {
 		return c, err
 	}
-	anew, _, err := terms.MixerConfig()
+	mixerConfig, _, err := settings.MixerConfig()
 	if err != nil {
 		return c, err
 	}
-	limits, err := terms.Limits(anew)
+	limits, err := settings.Limits(mixerConfig)
 	if err != nil {
 		return c, err
 	}
-	c.Mixer, c.Limits.MaxOpenRequests = anew, limits.MaxOpenRequests
+	c.Mixer, c.Limits.MaxOpenRequests = mixerConfig, limits.MaxOpenRequests
 	return c, nil
 }
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -14,7 +14,7 @@
 	"nettlefold/mixer"
 )
 
-// The letters of frames.
+// The types of frames, as the byte that follows the length of each frame.
 const (
 	QueryFrame  = 'Q'
 	CancelFrame = 'X'
@@ -24,53 +24,57 @@
 	ErrorFrame  = 'E'
 )
 
-// Frame is one message between mixer and searcher.
+// Frame is one message between mixer and searcher. On the wire, a 32-bit little-endian length counts the
+// type byte and the payload that follow it.
 type Frame struct {
 	Type    byte
 	Payload []byte
 }
 
-// Part is one part as a searcher is sent it.
+// Part is one part of a lookup as it is sent to a searcher.
 type Part struct {
 	ID      string
 	Shard   int
-	Timeout time.Duration // how long the mixer waits
+	Timeout time.Duration // how long the mixer waits for the reply
 	Query   string
 }
 
-// Reply is what a searcher answers to a part.
+// Reply is the answer of a searcher to one part.
 type Reply struct {
 	ID      string
 	Outcome routing.Outcome
 	Value   []byte
 }
 
-// BadFrame is a frame that breaks the protocol.
+// FrameError reports a frame that violates the protocol.
 type FrameError struct{ text string }
 
-func (b *FrameError) Error() string { return b.text }
+func (e *FrameError) Error() string { return e.text }
 
-// Bad says what is wrong with a frame.
+// FrameErrorf returns a *FrameError with a formatted message.
 func FrameErrorf(format string, args ...any) error { return &FrameError{fmt.Sprintf(format, args...)} }
 
-// ReadFrame reads one frame of at most so many bytes. Memory is taken only once length and letter have been seen to be sound.
-func ReadFrame(r io.Reader, most int) (Frame, error) {
-	var head [5]byte
-	if _, err := io.ReadFull(r, head[:4]); err != nil {
+// ReadFrame reads one frame, whose length may be up to maxBytes. It checks length and type before it
+// allocates the payload. It returns io.EOF if there is no further frame, a *FrameError if the frame is
+// invalid, and an error that wraps the cause if the frame is incomplete.
+func ReadFrame(r io.Reader, maxBytes int) (Frame, error) {
+	var header [5]byte
+	if _, err := io.ReadFull(r, header[:4]); err != nil {
 		return Frame{}, err
 	}
-	n := binary.LittleEndian.Uint32(head[:4])
-	if n < 1 || n > uint32(most) {
-		return Frame{}, FrameErrorf("frame: length %d is not within 1 to %d", n, most)
+	n := binary.LittleEndian.Uint32(header[:4])
+	if n < 1 || n > uint32(maxBytes) {
+		return Frame{}, FrameErrorf("frame: length %d is not within 1 to %d", n, maxBytes)
 	}
-	_, err := io.ReadFull(r, head[4:])
-	if err == nil && bytes.IndexByte([]byte{QueryFrame, CancelFrame, ProbeFrame, LoadFrame, AnswerFrame, ErrorFrame}, head[4]) < 0 {
-		return Frame{}, FrameErrorf("frame: unknown letter %q", head[4])
+	_, err := io.ReadFull(r, header[4:])
+	if err == nil && bytes.IndexByte([]byte{QueryFrame, CancelFrame, ProbeFrame, LoadFrame, AnswerFrame, ErrorFrame},
+		header[4]) < 0 {
+		return Frame{}, FrameErrorf("frame: unknown letter %q", header[4])
 	}
-	rest := []byte(nil)
+	payload := []byte(nil)
 	if err == nil && n > 1 {
-		rest = make([]byte, n-1)
-		_, err = io.ReadFull(r, rest)
+		payload = make([]byte, n-1)
+		_, err = io.ReadFull(r, payload)
 	}
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -78,59 +82,61 @@
 	if err != nil {
 		return Frame{}, fmt.Errorf("frame: cut off within its %d bytes: %w", n, err)
 	}
-	return Frame{head[4], rest}, nil
+	return Frame{header[4], payload}, nil
 }
 
-// Waits tells whether the next frame has come in whole, or is known not to be one.
-func FrameBuffered(in *bufio.Reader, most int) bool {
-	head, err := in.Peek(min(4, in.Buffered()))
-	if err != nil || len(head) < 4 {
+// FrameBuffered reports whether ReadFrame returns without waiting for more input: the next frame is
+// buffered completely, or its length exceeds maxBytes.
+func FrameBuffered(in *bufio.Reader, maxBytes int) bool {
+	header, err := in.Peek(min(4, in.Buffered()))
+	if err != nil || len(header) < 4 {
 		return false
 	}
-	n := binary.LittleEndian.Uint32(head)
-	return n > uint32(most) || int(n) <= in.Buffered()-4
+	n := binary.LittleEndian.Uint32(header)
+	return n > uint32(maxBytes) || int(n) <= in.Buffered()-4
 }
 
-// AppendFrame writes one frame.
-func AppendFrame(to []byte, letter byte, rest []byte) []byte {
-	to = binary.LittleEndian.AppendUint32(to, uint32(1+len(rest)))
-	to = append(to, letter)
-	return append(to, rest...)
+// AppendFrame appends one encoded frame to buf.
+func AppendFrame(buf []byte, frameType byte, payload []byte) []byte {
+	buf = binary.LittleEndian.AppendUint32(buf, uint32(1+len(payload)))
+	buf = append(buf, frameType)
+	return append(buf, payload...)
 }
 
-// AppendCall writes the frame of one call.
-func AppendQuery(to []byte, parts []Part) []byte {
-	var rest []byte
+// AppendQuery appends to buf a query frame with the given parts.
+func AppendQuery(buf []byte, parts []Part) []byte {
+	var payload []byte
 	for _, p := range parts {
-		rest = append(rest, p.ID...)
-		rest = append(rest, ' ')
-		rest = strconv.AppendInt(rest, int64(p.Shard), 10)
-		rest = append(rest, " d="...)
-		rest = strconv.AppendInt(rest, max(0, p.Timeout.Milliseconds()), 10)
-		rest = append(rest, ' ')
-		rest = strconv.AppendInt(rest, int64(len(p.Query)), 10)
-		rest = append(rest, '\n')
-		rest = append(rest, p.Query...)
+		payload = append(payload, p.ID...)
+		payload = append(payload, ' ')
+		payload = strconv.AppendInt(payload, int64(p.Shard), 10)
+		payload = append(payload, " d="...)
+		payload = strconv.AppendInt(payload, max(0, p.Timeout.Milliseconds()), 10)
+		payload = append(payload, ' ')
+		payload = strconv.AppendInt(payload, int64(len(p.Query)), 10)
+		payload = append(payload, '\n')
+		payload = append(payload, p.Query...)
 	}
-	return AppendFrame(to, QueryFrame, rest)
+	return AppendFrame(buf, QueryFrame, payload)
 }
 
+// outcomes maps the outcome field of an answer frame.
 var outcomes = map[string]routing.Outcome{"ok": mixer.Succeeded, "err": mixer.Failed, "busy": mixer.Rejected}
 
-// ReadReply reads the rest of an answer's frame. Where it cannot be used, the reply has the id at least if that could be
-// read. The report is not used, so one that cannot be read is no fault.
-func ReadReply(rest []byte) (Reply, error) {
-	line, value, ok := bytes.Cut(rest, []byte{'\n'})
-	words := bytes.SplitN(line, []byte{' '}, 4)
-	r := Reply{ID: string(words[0])}
-	if !ok || len(words) != 4 || len(words[0]) == 0 {
+// ReadReply parses the payload of an answer frame. On an error, the reply still has the ID of its part if
+// that could be parsed. The report field is not used, so it is not validated.
+func ReadReply(payload []byte) (Reply, error) {
+	line, value, ok := bytes.Cut(payload, []byte{'\n'})
+	fields := bytes.SplitN(line, []byte{' '}, 4)
+	r := Reply{ID: string(fields[0])}
+	if !ok || len(fields) != 4 || len(fields[0]) == 0 {
 		return r, FrameErrorf("answer: line %q is not ID END SCORE REPORT", truncate(string(line)))
 	}
-	if r.Outcome, ok = outcomes[string(words[1])]; !ok {
-		return r, FrameErrorf("answer: unknown end %q", truncate(string(words[1])))
+	if r.Outcome, ok = outcomes[string(fields[1])]; !ok {
+		return r, FrameErrorf("answer: unknown end %q", truncate(string(fields[1])))
 	}
-	if _, err := strconv.ParseFloat(string(words[2]), 64); err != nil {
-		return r, FrameErrorf("answer: score %q is no number", truncate(string(words[2])))
+	if _, err := strconv.ParseFloat(string(fields[2]), 64); err != nil {
+		return r, FrameErrorf("answer: score %q is no number", truncate(string(fields[2])))
 	}
 	if !utf8.Valid(value) {
 		return r, FrameErrorf("answer: value %q is not UTF-8", truncate(string(value)))
@@ -139,9 +145,10 @@
 	return r, nil
 }
 
-// ProbeAnswer gives the rest that answers a searcher's probe: the mixer is well, and reports no load.
-func ProbeResponse(letter byte) []byte {
-	if letter == LoadFrame {
+// ProbeResponse returns the payload that answers a probe or load frame of a searcher. The mixer is always
+// healthy and reports no load.
+func ProbeResponse(frameType byte) []byte {
+	if frameType == LoadFrame {
 		return []byte("-")
 	}
 	return []byte("ok")
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -11,55 +11,57 @@
 	"nettlefold/mixer"
 )
 
-// PathList is where discovery gives the list.
+// PathList is the path at which the discovery service serves the member list.
 const PathList = "/catalog/members"
 
-// PathWatch is where discovery gives what has changed since a version, and goes on doing so.
-func PathWatch(since int64) string {
-	return PathList + "?follow=1&since=" + strconv.FormatInt(since, 10)
+// PathWatch returns the path at which the discovery service streams the changes after a version.
+func PathWatch(sinceVersion int64) string {
+	return PathList + "?follow=1&since=" + strconv.FormatInt(sinceVersion, 10)
 }
 
-// Member is a searcher of the list and where it is reached.
+// Member is a searcher in the member list.
 type Member struct {
 	routing.Entry
-	Address   string
-	StartTime time.Time // its latest start, zero for long ago
+	Address   string    // host:port
+	StartTime time.Time // of its process; zero for long ago
 }
 
-// List is one message of the list: all of it, or what has changed.
+// MemberList is one message of the member list: a snapshot, or the members that have changed.
 type MemberList struct {
 	Version  int64
 	Snapshot bool
 	Members  []Member
-	Skipped  []SkippedMember // members that could not be read
+	Skipped  []SkippedMember // invalid members, left out of Members
 }
 
-// Skipped is a member of the list that nothing can be made of.
+// SkippedMember names an invalid member and why it was left out.
 type SkippedMember struct{ Searcher, Reason string }
 
 var statusByName = map[string]mixer.Status{"SERVING": mixer.Live, "DRAINING": mixer.Draining, "DELETED": mixer.Dead}
 
-// written is how a status is written.
+// statusNames is the inverse of statusByName.
 var statusNames = map[mixer.Status]string{mixer.Live: "SERVING", mixer.Draining: "DRAINING", mixer.Dead: "DELETED"}
 
-// ReadList reads one message of the list, and nothing but that. Members it can make nothing of are left out and named.
+// ReadMemberList parses raw, which has to hold exactly one message of the member list. Invalid members are
+// left out and reported in Skipped.
 func ReadMemberList(raw []byte) (MemberList, error) {
-	in := json.NewDecoder(bytes.NewReader(raw))
-	out, err := readList(in)
-	if err != nil || len(bytes.TrimLeft(raw[in.InputOffset():], " \t\r\n")) > 0 {
-		if unsound := json.Unmarshal(raw, new(ignoredValue)); unsound != nil { // says it as of the whole, also what stands behind it
-			err = unsound
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	out, err := readList(decoder)
+	if err != nil || len(bytes.TrimLeft(raw[decoder.InputOffset():], " \t\r\n")) > 0 {
+		// A syntax error is reported as json.Unmarshal does, with the offset in all of raw, trailing data included.
+		if syntaxErr := json.Unmarshal(raw, new(ignoredValue)); syntaxErr != nil {
+			err = syntaxErr
 		}
 		return MemberList{}, fmt.Errorf("list: %w", err)
 	}
 	return out, nil
 }
 
-// Entries gives the members as the module is told them.
+// Entries returns the members in the form that the router takes.
 func (l MemberList) Entries() []routing.Entry {
-	rows := make([]routing.Entry, len(l.Members))
+	entries := make([]routing.Entry, len(l.Members))
 	for i, m := range l.Members {
-		rows[i] = m.Entry
+		entries[i] = m.Entry
 	}
-	return rows
+	return entries
 }
--- a/internal/protocol/lookup.go
+++ b/internal/protocol/lookup.go
@@ -1,5 +1,6 @@
-// Package protocol turns bytes into small typed values and back: lookups and their answers, the frames of
-// searchers, the list, the configuration. It knows no sockets.
+// Package protocol encodes and decodes the messages of a mixer: the lookups of clients and their answers,
+// the frames exchanged with searchers, the member list of the discovery service, and the configuration.
+// It does no I/O of its own.
 package protocol
 
 import (
@@ -21,7 +22,7 @@
 	"nettlefold/internal/routing"
 )
 
-// The names that clients use.
+// Paths and header fields of the client API.
 const (
 	PathLookup = "/api"
 	PathHealth = "/_health"
@@ -30,85 +31,89 @@
 	headerTariff    = "X-Lane"
 	headerRemaining = "X-Remaining-Ms"
 	headerResent    = "X-Resent"
-	headerTenant    = "X-Org" // by the names on the sockets; the page itself has none for it
+	headerTenant    = "X-Org" // as sent by clients; PROTOCOL does not define it
 )
 
-// Lookup is a client's request: what the module is told of it, and the text that each part carries.
+// Lookup is the request of a client: the router's view of it, and the query text that every part carries.
 type Lookup struct {
 	routing.Lookup
 	Query string
 }
 
-// ReadLookup reads a client's request, the first of which was seen at a time. It takes nothing that PROTOCOL does not have:
-// what is let through reaches searchers, and one that cannot read it ends a connection that others share.
-func ReadLookup(head http.Header, raw []byte, seen time.Time, tariffs, customers map[string]int,
-	lim charter.Limits) (Lookup, error) {
+// ReadLookup parses and validates the request of a client, whose first byte arrived at the given time.
+// It rejects whatever PROTOCOL does not allow: accepted values reach the searchers, and a searcher that
+// cannot parse one closes a connection that other lookups share.
+func ReadLookup(header http.Header, raw []byte, arrived time.Time, tariffs, tenants map[string]int,
+	limits charter.Limits) (Lookup, error) {
 	l := Lookup{}
-	var remaining, again, customer string
+	var remaining, resent, tenant string
 	for _, h := range []struct {
-		name string
-		to   *string
-	}{{headerID, &l.ID}, {headerTariff, &l.Tariff}, {headerRemaining, &remaining}, {headerResent, &again}, {headerTenant, &customer}} {
-		switch all := head.Values(h.name); len(all) {
+		name   string
+		target *string
+	}{
+		{headerID, &l.ID}, {headerTariff, &l.Tariff}, {headerRemaining, &remaining},
+		{headerResent, &resent}, {headerTenant, &tenant},
+	} {
+		switch values := header.Values(h.name); len(values) {
 		case 0:
 		case 1:
-			*h.to = all[0]
+			*h.target = values[0]
 		default:
-			return l, fmt.Errorf("%s: told %d times", h.name, len(all))
+			return l, fmt.Errorf("%s: told %d times", h.name, len(values))
 		}
 	}
-	if err := validateID(l.ID, lim.MaxIDBytes); err != nil {
+	if err := validateID(l.ID, limits.MaxIDBytes); err != nil {
 		return l, err
 	}
 	if _, ok := tariffs[l.Tariff]; !ok {
 		return l, fmt.Errorf("%s: unknown %q", headerTariff, truncate(l.Tariff))
 	}
-	if again != "" && again != "1" {
-		return l, fmt.Errorf("%s: %q", headerResent, truncate(again))
+	if resent != "" && resent != "1" {
+		return l, fmt.Errorf("%s: %q", headerResent, truncate(resent))
 	}
-	l.Again = again == "1"
-	if l.Customer = customers[customer]; len(customers) > 0 && customer != "" && l.Customer == 0 {
-		return l, fmt.Errorf("%s: unknown %q", headerTenant, truncate(customer))
+	l.Again = resent == "1"
+	if l.Customer = tenants[tenant]; len(tenants) > 0 && tenant != "" && l.Customer == 0 {
+		return l, fmt.Errorf("%s: unknown %q", headerTenant, truncate(tenant))
 	}
-	left, err := strconv.ParseUint(remaining, 10, 32)
+	remainingMillis, err := strconv.ParseUint(remaining, 10, 32)
 	if err != nil {
 		return l, fmt.Errorf("%s: not whole milliseconds: %q", headerRemaining, truncate(remaining))
 	}
-	l.Expires = seen.Add(time.Duration(left) * time.Millisecond)
-	if err := l.readBody(raw, lim); err != nil {
+	l.Expires = arrived.Add(time.Duration(remainingMillis) * time.Millisecond)
+	if err := l.readBody(raw, limits); err != nil {
 		return l, fmt.Errorf("body: %w", err)
 	}
 	return l, nil
 }
 
-// readBody reads the parts and their text.
-func (l *Lookup) readBody(raw []byte, lim charter.Limits) error {
+// readBody parses the JSON body: the parts and the query text.
+func (l *Lookup) readBody(raw []byte, limits charter.Limits) error {
 	if !utf8.Valid(raw) {
 		return errors.New("not UTF-8")
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
-	told := false
+	hasQuery := false
 	err := readObject(d, func(key string) error {
 		switch key {
 		case "q":
-			told = true
+			hasQuery = true
 			return readString(d, &l.Query)
 		case "shards":
 			return readArray(d, func() error {
-				at := fmt.Sprintf("shards[%d]: ", len(l.Parts))
-				p, err := readPart(d, lim)
-				if err == nil && slices.ContainsFunc(l.Parts, func(o routing.Part) bool { return o.Slice == p.Slice }) {
+				prefix := fmt.Sprintf("shards[%d]: ", len(l.Parts))
+				p, err := readPart(d, limits)
+				if err == nil && slices.ContainsFunc(l.Parts, func(other routing.Part) bool { return other.Slice == p.Slice }) {
 					err = fmt.Errorf("shard: %d is named twice", p.Slice)
 				}
 				if err != nil {
-					return fmt.Errorf("%s%w", at, err)
+					return fmt.Errorf("%s%w", prefix, err)
 				}
 				l.Parts = append(l.Parts, p)
 				return nil
 			})
 		}
-		return d.Decode(&json.RawMessage{}) // something newer
+		return d.Decode(&json.RawMessage{}) // a key of a newer version of the protocol
 	})
 	if err != nil {
 		return err
@@ -116,12 +121,14 @@
 	if _, err := d.Token(); err != io.EOF {
 		return errors.New("more than one JSON value")
 	}
-	if lost := strings.Count(l.Query, "\ufffd"); lost > 0 && lost > bytes.Count(raw, []byte("\ufffd"))+
+	// The decoder replaces an unpaired surrogate escape by U+FFFD: reject the text if it has more of them
+	// than the body itself.
+	if replaced := strings.Count(l.Query, "\ufffd"); replaced > 0 && replaced > bytes.Count(raw, []byte("\ufffd"))+
 		bytes.Count(bytes.ToLower(raw), []byte(`\ufffd`)) {
 		return errors.New("q: half a character")
 	}
 	switch {
-	case !told:
+	case !hasQuery:
 		return errors.New("q: missing")
 	case len(l.Parts) == 0:
 		return errors.New("shards: none")
@@ -134,16 +141,16 @@
 		return fmt.Errorf("shards: weights add up to %v", sum)
 	}
 	for i := range l.Parts {
-		l.Parts[i].Weight /= sum // guards against twelve parts of 0.0833, all of which are never the whole
+		l.Parts[i].Weight /= sum // the sum has to be 1: twelve parts of 0.0833 would never add up to a complete answer
 	}
 	return nil
 }
 
-// rounding is how far each weight may be from what it stands for: they are written with a few digits.
+// weightTolerance is the rounding error allowed in each weight: clients write weights with a few digits.
 const weightTolerance = 1e-3
 
-// readPart reads one part.
-func readPart(d *json.Decoder, lim charter.Limits) (p routing.Part, err error) {
+// readPart parses one element of "shards".
+func readPart(d *json.Decoder, limits charter.Limits) (p routing.Part, err error) {
 	shard, weight := -1, -1.0
 	err = readObject(d, func(key string) error {
 		switch key {
@@ -152,8 +159,8 @@
 			if err != nil {
 				return err
 			}
-			if shard, err = strconv.Atoi(n); err != nil || shard < 0 || shard >= lim.Shards {
-				return fmt.Errorf("shard: %s is not within 0 to %d", truncate(n), lim.Shards-1)
+			if shard, err = strconv.Atoi(n); err != nil || shard < 0 || shard >= limits.Shards {
+				return fmt.Errorf("shard: %s is not within 0 to %d", truncate(n), limits.Shards-1)
 			}
 		case "weight":
 			n, err := readNumber(d, key)
@@ -197,7 +204,8 @@
 	return p, err
 }
 
-// object reads an object, each key of which may stand once, in just these letters.
+// readObject reads an object and calls member for each key, which has to consume the value. Duplicate keys
+// are rejected; keys are case-sensitive.
 func readObject(d *json.Decoder, member func(key string) error) error {
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
 		return fmt.Errorf("not an object: %w", cmp.Or(err, errWrongType))
@@ -208,7 +216,7 @@
 		if err != nil {
 			return err
 		}
-		key := t.(string) // the decoder lets nothing else stand here
+		key := t.(string) // the decoder accepts no other token here
 		if slices.Contains(keys, key) {
 			return fmt.Errorf("%s: told twice", truncate(key))
 		}
@@ -223,12 +231,12 @@
 	return err
 }
 
-// mostKeys is how many keys an object may have: those there are and some newer ones.
+// maxObjectKeys limits the keys of an object. It leaves room for keys of newer versions of the protocol.
 const maxObjectKeys = 32
 
 var errWrongType = errors.New("another sort of value")
 
-// array reads an array.
+// readArray reads an array and calls item for each element, which has to consume it.
 func readArray(d *json.Decoder, item func() error) error {
 	if t, err := d.Token(); err != nil || t != json.Delim('[') {
 		return fmt.Errorf("not an array: %w", cmp.Or(err, errWrongType))
@@ -242,7 +250,8 @@
 	return err
 }
 
-func readString(d *json.Decoder, to *string) error {
+// readString reads a string into target.
+func readString(d *json.Decoder, target *string) error {
 	t, err := d.Token()
 	if err != nil {
 		return err
@@ -251,10 +260,11 @@
 	if !ok {
 		return fmt.Errorf("not a text: %w", errWrongType)
 	}
-	*to = s
+	*target = s
 	return nil
 }
 
+// readNumber reads a number and returns its text. key names it in errors.
 func readNumber(d *json.Decoder, key string) (string, error) {
 	t, err := d.Token()
 	if err != nil {
@@ -267,13 +277,14 @@
 	return string(n), nil
 }
 
-// checkID sees to it that an id can stand in a line of a frame.
-func validateID(id string, most int) error {
+// validateID rejects an ID that is empty, too long, or cannot be written in the space-separated header line
+// of a frame.
+func validateID(id string, maxBytes int) error {
 	if id == "" {
 		return fmt.Errorf("%s: missing", headerID)
 	}
-	if len(id) > most {
-		return fmt.Errorf("%s: %d bytes, at most %d", headerID, len(id), most)
+	if len(id) > maxBytes {
+		return fmt.Errorf("%s: %d bytes, at most %d", headerID, len(id), maxBytes)
 	}
 	for _, c := range []byte(id) {
 		if c <= ' ' || c > '~' {
@@ -283,32 +294,35 @@
 	return nil
 }
 
+// truncate limits text quoted in an error to 80 bytes.
 func truncate(s string) string { return s[:min(len(s), 80)] }
 
+// hit is the JSON form of the value of one part.
 type hit struct {
 	Shard int    `json:"shard"`
 	Value string `json:"doc"`
 }
 
+// answer is the JSON form of the answer to a lookup.
 type answer struct {
 	Complete bool  `json:"complete"`
 	Hits     []hit `json:"hits"`
 }
 
-// WriteAnswer gives the body of an answered lookup.
-func EncodeAnswer(l Lookup, f routing.Final) ([]byte, error) {
-	a := answer{Complete: f.Whole, Hits: make([]hit, len(f.Hits))}
-	for i, h := range f.Hits {
+// EncodeAnswer returns the response body of an answered lookup.
+func EncodeAnswer(l Lookup, final routing.Final) ([]byte, error) {
+	a := answer{Complete: final.Whole, Hits: make([]hit, len(final.Hits))}
+	for i, h := range final.Hits {
 		a.Hits[i] = hit{l.Parts[h.Part].Slice, string(h.Value)}
 	}
 	var out bytes.Buffer
-	e := json.NewEncoder(&out)
-	e.SetEscapeHTML(false)
-	err := e.Encode(a)
+	encoder := json.NewEncoder(&out)
+	encoder.SetEscapeHTML(false)
+	err := encoder.Encode(a)
 	return out.Bytes(), err
 }
 
-// WriteWait gives a wait as the Retry-After header has it.
+// FormatRetryAfter formats a wait for the Retry-After header, in seconds with three decimals.
 func FormatRetryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)
 }
--- a/internal/protocol/members.go
+++ b/internal/protocol/members.go
@@ -16,7 +16,8 @@
 	"nettlefold/mixer"
 )
 
-// member is one of the list as it is written. It has no name of its own, so that faults are told as those of a list read whole.
+// jsonMember is the JSON form of a Member. It is an alias of an unnamed type: a named one would change the
+// path that encoding/json puts into the type errors of a list.
 type jsonMember = struct {
 	Name    string          `json:"name"`
 	Address string          `json:"address"`
@@ -27,159 +28,165 @@
 	Size    json.RawMessage `json:"weight"`
 }
 
-// list is a message as it is written. Its members are not kept: each is made a Member as it is read.
+// list is the JSON form of a MemberList; its name appears in the type errors of encoding/json. Members holds
+// only merged members: otherwise each one is converted as soon as it has been read.
 type list struct {
 	Index    *int64       `json:"index"`
 	Snapshot bool         `json:"snapshot"`
 	Members  []jsonMember `json:"endpoints"`
 }
 
-// misfit is the error of a message that is sound JSON, and no list.
+// schemaError reports a message that is valid JSON but not a member list.
 type schemaError struct{ error }
 
 func (e *schemaError) Unwrap() error { return e.error }
 
-// passed is a value that is not looked at.
+// ignoredValue is a JSON value of any type that is skipped.
 type ignoredValue struct{}
 
 func (*ignoredValue) UnmarshalJSON([]byte) error { return nil }
 
-// message is a message of the list on its way in.
+// listDecoder decodes one message of the member list.
 type listDecoder struct {
 	decoder   *json.Decoder
 	list      list
-	typeError *json.UnmarshalTypeError // the first, told once the message is whole
+	typeError *json.UnmarshalTypeError // the first one, returned once the message has been read
 
-	sawEndpoints bool // its members, once
+	sawEndpoints bool // an array of members has been read
 	out          MemberList
-	fullChunks   [][]Member // read, in pieces of piece
-	chunk        []Member   // the last piece
+	fullChunks   [][]Member // earlier chunks
+	chunk        []Member   // the current chunk
 	rejected     []rejectedMember
 
-	merged    bool     // its members came again: list.Members has what they add up to
-	firstRead []Member // by place, as read the first time
+	merged    bool     // there was a further array of members; list.Members has the result
+	firstRead []Member // by index, before the merge; zero for rejected members
 }
 
-// rejected is a member that is left out, and its place.
+// rejectedMember is an invalid member and its index in the message.
 type rejectedMember struct {
 	index int
 	jsonMember
 }
 
-// piece is how many members are gathered at once: a slice that grew over all of them would throw away five times what it keeps.
+// chunkMembers is the capacity of a chunk of members. One slice that grew over all members would allocate
+// and discard five times what it keeps.
 const chunkMembers = 512
 
-// readList reads one message of the list from a stream, member by member; it holds one member's text, and no more of the message. A misfit
-// ends it once the message has come whole, anything else at once; io.EOF is the end between two messages.
+// readList reads one message of the member list from a stream, member by member, so that it buffers the text
+// of one member at a time. A schemaError is returned after the whole message has been read, any other error
+// at once. io.EOF means that the stream ended between two messages.
 //
-// It takes and refuses what json.Unmarshal into a list does: keys in any case and order, the last of several, null for nothing.
-// Members that come twice are laid over each other by place, as there. It alone takes a value nested 10,000 deep less two.
-func readList(in *json.Decoder) (MemberList, error) {
-	in.UseNumber()
-	m := listDecoder{decoder: in}
-	first, err := in.Token()
+// It accepts and rejects what json.Unmarshal into a list does: keys in any case and order, the last value of
+// a repeated key, null for no value. A repeated array of members is merged into the earlier one by index, as
+// there. The one difference is that it also accepts a value nested 10,000 levels deep less two.
+func readList(decoder *json.Decoder) (MemberList, error) {
+	decoder.UseNumber()
+	d := listDecoder{decoder: decoder}
+	first, err := decoder.Token()
 	if err != nil {
 		return MemberList{}, err
 	}
-	if err := m.decodeMessage(first); err == io.EOF {
+	if err := d.decodeMessage(first); err == io.EOF {
 		return MemberList{}, io.ErrUnexpectedEOF
 	} else if err != nil {
 		return MemberList{}, err
 	}
-	if m.typeError != nil {
-		return MemberList{}, &schemaError{m.typeError}
+	if d.typeError != nil {
+		return MemberList{}, &schemaError{d.typeError}
 	}
-	if m.list.Index == nil {
+	if d.list.Index == nil {
 		return MemberList{}, &schemaError{errors.New("index: missing")}
 	}
-	m.out.Version, m.out.Snapshot = *m.list.Index, m.list.Snapshot
-	m.out.Members = m.chunk
-	if len(m.fullChunks) > 0 {
-		m.out.Members = slices.Concat(append(m.fullChunks, m.chunk)...)
+	d.out.Version, d.out.Snapshot = *d.list.Index, d.list.Snapshot
+	d.out.Members = d.chunk
+	if len(d.fullChunks) > 0 {
+		d.out.Members = slices.Concat(append(d.fullChunks, d.chunk)...)
 	}
-	return m.out, nil
+	return d.out, nil
 }
 
-// read reads a message from its first token on.
-func (m *listDecoder) decodeMessage(first json.Token) error {
+// decodeMessage reads a message whose first token has been read.
+func (d *listDecoder) decodeMessage(first json.Token) error {
 	if first != json.Delim('{') {
 		if first == nil {
-			return nil // null is a list without anything
+			return nil // json.Unmarshal leaves an empty list
 		}
-		return m.skipWrongType(first, reflect.TypeFor[list](), "", "")
+		return d.skipWrongType(first, reflect.TypeFor[list](), "", "")
 	}
-	for m.decoder.More() {
-		key, err := m.decoder.Token()
+	for d.decoder.More() {
+		key, err := d.decoder.Token()
 		if err != nil {
 			return err
 		}
 		name, _ := key.(string)
 		switch {
 		case strings.EqualFold(name, "index"):
-			err = m.decodeField(&m.list.Index, "index")
+			err = d.decodeField(&d.list.Index, "index")
 		case strings.EqualFold(name, "snapshot"):
-			err = m.decodeField(&m.list.Snapshot, "snapshot")
+			err = d.decodeField(&d.list.Snapshot, "snapshot")
 		case !strings.EqualFold(name, "endpoints"):
-			err = m.decoder.Decode(new(ignoredValue))
-		case !m.sawEndpoints:
-			m.sawEndpoints = true
-			err = m.decodeMembers()
+			err = d.decoder.Decode(new(ignoredValue))
+		case !d.sawEndpoints:
+			d.sawEndpoints = true
+			err = d.decodeMembers()
 		default:
-			err = m.mergeMembers()
+			err = d.mergeMembers()
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if _, err := m.decoder.Token(); err != nil || !m.merged {
+	if _, err := d.decoder.Token(); err != nil || !d.merged {
 		return err
 	}
-	m.finishMerge()
+	d.finishMerge()
 	return nil
 }
 
-// value reads one value of the message. One of another type is noted and passed over, as json.Unmarshal does.
-func (m *listDecoder) decodeField(to any, field string) error {
-	err := m.decoder.Decode(to)
+// decodeField decodes the value of one field into target. A value of the wrong type is recorded and skipped,
+// as json.Unmarshal does.
+func (d *listDecoder) decodeField(target any, field string) error {
+	err := d.decoder.Decode(target)
 	if e := (*json.UnmarshalTypeError)(nil); errors.As(err, &e) {
 		if e.Field == "" {
 			e.Struct, e.Field = "list", field
 		} else {
 			e.Field = field + "." + e.Field
 		}
-		m.recordTypeError(e)
+		d.recordTypeError(e)
 		return nil
 	}
 	return err
 }
 
-func (m *listDecoder) recordTypeError(e *json.UnmarshalTypeError) {
-	if m.typeError == nil {
-		m.typeError = e
+// recordTypeError keeps the first type error.
+func (d *listDecoder) recordTypeError(e *json.UnmarshalTypeError) {
+	if d.typeError == nil {
+		d.typeError = e
 	}
 }
 
-// other passes over a value that should be of another type and has begun with a token.
-func (m *listDecoder) skipWrongType(first json.Token, want reflect.Type, of, field string) error {
-	e := &json.UnmarshalTypeError{Type: want, Struct: of, Field: field}
-	m.recordTypeError(e)
+// skipWrongType records that a value is not of the wanted type, and skips it. Its first token has been read.
+func (d *listDecoder) skipWrongType(first json.Token, want reflect.Type, structName, field string) error {
+	e := &json.UnmarshalTypeError{Type: want, Struct: structName, Field: field}
+	d.recordTypeError(e)
 	switch first := first.(type) {
 	case json.Delim:
 		e.Value = "array"
 		if first == '{' {
 			e.Value = "object"
 		}
-		for m.decoder.More() {
+		for d.decoder.More() {
 			if first == '{' {
-				if _, err := m.decoder.Token(); err != nil {
+				if _, err := d.decoder.Token(); err != nil {
 					return err
 				}
 			}
-			if err := m.decoder.Decode(new(ignoredValue)); err != nil {
+			if err := d.decoder.Decode(new(ignoredValue)); err != nil {
 				return err
 			}
 		}
-		_, err := m.decoder.Token()
+		_, err := d.decoder.Token()
 		return err
 	case string:
 		e.Value = "string"
@@ -191,124 +198,126 @@
 	return nil
 }
 
-// first reads the members as they come.
-func (m *listDecoder) decodeMembers() error {
-	switch begin, err := m.decoder.Token(); {
+// decodeMembers reads the first array of members and converts each member as it is read.
+func (d *listDecoder) decodeMembers() error {
+	switch open, err := d.decoder.Token(); {
 	case err != nil:
 		return err
-	case begin == nil:
+	case open == nil:
 		return nil
-	case begin != json.Delim('['):
-		return m.skipWrongType(begin, reflect.TypeFor[[]jsonMember](), "list", "endpoints")
+	case open != json.Delim('['):
+		return d.skipWrongType(open, reflect.TypeFor[[]jsonMember](), "list", "endpoints")
 	}
 	var one jsonMember
-	for at := 0; m.decoder.More(); at++ {
+	for index := 0; d.decoder.More(); index++ {
 		one = jsonMember{Size: one.Size[:0]}
-		if err := m.decodeField(&one, "endpoints"); err != nil {
+		if err := d.decodeField(&one, "endpoints"); err != nil {
 			return err
 		}
-		if !m.addMember(at, one) {
-			out := one
-			out.Size = slices.Clone(one.Size) // the next member's comes in its place
-			m.rejected = append(m.rejected, rejectedMember{at, out})
+		if !d.addMember(index, one) {
+			rejected := one
+			rejected.Size = slices.Clone(one.Size) // one.Size is overwritten by the next member
+			d.rejected = append(d.rejected, rejectedMember{index, rejected})
 		}
 	}
-	_, err := m.decoder.Token()
+	_, err := d.decoder.Token()
 	return err
 }
 
-// take keeps what a member is, or why it is left out.
-func (m *listDecoder) addMember(at int, one jsonMember) (taken bool) {
-	e, fault := convertMember(one)
-	if fault != "" {
-		m.out.Skipped = append(m.out.Skipped, SkippedMember{one.Name, fmt.Sprintf("endpoints[%d]: %s", at, fault)})
+// addMember converts a member and appends it, or records why it is skipped.
+func (d *listDecoder) addMember(index int, in jsonMember) (added bool) {
+	member, reason := convertMember(in)
+	if reason != "" {
+		d.out.Skipped = append(d.out.Skipped, SkippedMember{in.Name, fmt.Sprintf("endpoints[%d]: %s", index, reason)})
 		return false
 	}
-	m.appendMember(e)
+	d.appendMember(member)
 	return true
 }
 
-func (m *listDecoder) appendMember(e Member) {
-	if len(m.chunk) == chunkMembers {
-		m.fullChunks, m.chunk = append(m.fullChunks, m.chunk), make([]Member, 0, chunkMembers)
+// appendMember appends to the current chunk, and begins a new one if that is full.
+func (d *listDecoder) appendMember(m Member) {
+	if len(d.chunk) == chunkMembers {
+		d.fullChunks, d.chunk = append(d.fullChunks, d.chunk), make([]Member, 0, chunkMembers)
 	}
-	m.chunk = append(m.chunk, e)
+	d.chunk = append(d.chunk, m)
 }
 
-// asRead stands in a member that is merged with another for the size that was read before; the time it began is no number then.
+// unchangedWeight takes the place of the weight of an earlier member in a merge, and NaN that of its start
+// time: neither can be restored to its exact text from the converted member.
 const unchangedWeight = "-"
 
-// again reads members that come after others, over those: by place, what is not told stays. What was read of the first is
-// written as it was, but for what is no longer known to the last digit.
-func (m *listDecoder) mergeMembers() error {
-	if !m.merged {
-		m.merged = true
-		all := slices.Concat(append(m.fullChunks, m.chunk)...)
-		for at := 0; len(all) > 0 || len(m.rejected) > 0; at++ {
-			if len(m.rejected) > 0 && m.rejected[0].index == at {
-				m.list.Members, m.firstRead = append(m.list.Members, m.rejected[0].jsonMember), append(m.firstRead, Member{})
-				m.rejected = m.rejected[1:]
+// mergeMembers reads a further array of members over the earlier ones, by index: fields that it omits keep
+// their values. On the first call, it writes the earlier members back to their JSON form.
+func (d *listDecoder) mergeMembers() error {
+	if !d.merged {
+		d.merged = true
+		all := slices.Concat(append(d.fullChunks, d.chunk)...)
+		for index := 0; len(all) > 0 || len(d.rejected) > 0; index++ {
+			if len(d.rejected) > 0 && d.rejected[0].index == index {
+				d.list.Members, d.firstRead = append(d.list.Members, d.rejected[0].jsonMember), append(d.firstRead, Member{})
+				d.rejected = d.rejected[1:]
 				continue
 			}
-			e := all[0]
-			all, m.firstRead = all[1:], append(m.firstRead, e)
-			m.list.Members = append(m.list.Members, jsonMember{Name: e.Searcher, Address: e.Address, Zone: e.Zone, Cell: &e.Cell,
-				Status: statusNames[e.Status], Since: math.NaN(), Size: json.RawMessage(unchangedWeight)})
+			m := all[0]
+			all, d.firstRead = all[1:], append(d.firstRead, m)
+			d.list.Members = append(d.list.Members, jsonMember{Name: m.Searcher, Address: m.Address, Zone: m.Zone,
+				Cell: &m.Cell, Status: statusNames[m.Status], Since: math.NaN(), Size: json.RawMessage(unchangedWeight)})
 		}
 	}
-	return m.decodeField(&m.list.Members, "endpoints")
+	return d.decodeField(&d.list.Members, "endpoints")
 }
 
-// finish takes what merged members add up to, in place of those read first.
-func (m *listDecoder) finishMerge() {
-	m.fullChunks, m.chunk, m.out.Skipped = nil, nil, nil
-	for at, one := range m.list.Members {
-		old := Member{}
-		if at < len(m.firstRead) {
-			old = m.firstRead[at]
+// finishMerge replaces the members by the result of the merge.
+func (d *listDecoder) finishMerge() {
+	d.fullChunks, d.chunk, d.out.Skipped = nil, nil, nil
+	for index, merged := range d.list.Members {
+		first := Member{}
+		if index < len(d.firstRead) {
+			first = d.firstRead[index]
 		}
-		kept := math.IsNaN(one.Since)
-		if kept {
-			one.Since = 0
+		sinceUnchanged := math.IsNaN(merged.Since)
+		if sinceUnchanged {
+			merged.Since = 0
 		}
-		if !m.addMember(at, one) {
+		if !d.addMember(index, merged) {
 			continue
 		}
-		e := &m.chunk[len(m.chunk)-1]
-		if kept {
-			e.Started, e.StartTime = old.Started, old.StartTime
+		m := &d.chunk[len(d.chunk)-1]
+		if sinceUnchanged {
+			m.Started, m.StartTime = first.Started, first.StartTime
 		}
-		if string(one.Size) == unchangedWeight {
-			e.Size = old.Size
+		if string(merged.Size) == unchangedWeight {
+			m.Size = first.Size
 		}
 	}
 }
 
-// memberOf gives a member of the list, or why nothing can be made of it.
-func convertMember(m jsonMember) (e Member, fault string) {
-	state, ok := statusByName[m.Status]
+// convertMember returns the Member for its JSON form, or the reason why it is invalid.
+func convertMember(in jsonMember) (m Member, reason string) {
+	status, ok := statusByName[in.Status]
 	switch {
-	case m.Name == "":
-		fault = "name: missing"
+	case in.Name == "":
+		reason = "name: missing"
 	case !ok:
-		fault = fmt.Sprintf("status: unknown %q", truncate(m.Status))
-	case m.Cell == nil:
-		fault = "group: missing"
-	case m.Address == "" && state != mixer.Dead:
-		fault = "address: missing"
-	case !(m.Since >= 0 && m.Since < 1e15):
-		fault = fmt.Sprintf("since_ms: %v", m.Since)
+		reason = fmt.Sprintf("status: unknown %q", truncate(in.Status))
+	case in.Cell == nil:
+		reason = "group: missing"
+	case in.Address == "" && status != mixer.Dead:
+		reason = "address: missing"
+	case !(in.Since >= 0 && in.Since < 1e15):
+		reason = fmt.Sprintf("since_ms: %v", in.Since)
 	}
-	if fault != "" {
-		return e, fault
+	if reason != "" {
+		return m, reason
 	}
-	e.Address = m.Address
-	if size, err := strconv.ParseFloat(string(m.Size), 64); err == nil && size > 0 && size < 1e9 {
-		e.Size = size // one that cannot be read is as good as none: the searcher serves all the same
+	m.Address = in.Address
+	if size, err := strconv.ParseFloat(string(in.Size), 64); err == nil && size > 0 && size < 1e9 {
+		m.Size = size // an invalid weight counts as none, since the searcher can serve all the same
 	}
-	e.Searcher, e.Zone, e.Cell, e.Status, e.Started = m.Name, m.Zone, *m.Cell, state, charter.MillisToNanos(m.Since)
-	if m.Since > 0 {
-		e.StartTime = time.Unix(0, e.Started)
+	m.Searcher, m.Zone, m.Cell, m.Status, m.Started = in.Name, in.Zone, *in.Cell, status, charter.MillisToNanos(in.Since)
+	if in.Since > 0 {
+		m.StartTime = time.Unix(0, m.Started)
 	}
-	return e, ""
+	return m, ""
 }
--- a/internal/protocol/members_test.go
+++ b/internal/protocol/members_test.go
@@ -20,7 +20,7 @@
 	"nettlefold/mixer"
 )
 
-// readAtOnce is ReadList as it was before lists were read by a stream: the whole message by json.Unmarshal. It is what readers are held to.
+// unmarshalList is the reference for ReadMemberList: it decodes the whole message with json.Unmarshal.
 func unmarshalList(raw []byte) (MemberList, error) {
 	var in list
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -62,7 +62,7 @@
 	return out, nil
 }
 
-// newsAtOnce reads a stream's messages as News did before, by messages kept whole, up to its first error.
+// unmarshalStream is the reference for MemberListReader: it buffers each message, and stops at the first error.
 func unmarshalStream(raw []byte) (all []MemberList, err error) {
 	in := json.NewDecoder(bytes.NewReader(raw))
 	for {
@@ -78,6 +78,7 @@
 	}
 }
 
+// readStream reads all messages of a stream with MemberListReader, up to the first error.
 func readStream(in io.Reader) (all []MemberList, err error) {
 	n := NewMemberListReader(in, 1<<20)
 	for {
@@ -89,7 +90,8 @@
 	}
 }
 
-// sort of an error: what the watch does about it hangs on that, and on the text where the JSON is sound.
+// errorClass returns what has to agree between two errors: the watch treats the classes differently, and for
+// valid JSON the text has to agree too.
 func errorClass(err error) string {
 	syntax := (*json.SyntaxError)(nil)
 	switch {
@@ -98,32 +100,34 @@
 	case err == io.EOF:
 		return "end"
 	case err == io.ErrUnexpectedEOF || errors.As(err, &syntax):
-		return "no JSON"
+		return "invalid JSON"
 	}
 	return err.Error()
 }
 
-// same holds both readers to those from before.
+// compareWithUnmarshal checks ReadMemberList and MemberListReader against their references.
 func compareWithUnmarshal(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, raw []byte) {
 	t.Helper()
 	got, err := ReadMemberList(raw)
-	want, was := unmarshalList(raw)
-	if !reflect.DeepEqual(got, want) || fmt.Sprint(err) != fmt.Sprint(was) {
-		t.Fatalf("%q:\n%+v, %v\nbefore\n%+v, %v", raw, got, err, want, was)
+	want, wantErr := unmarshalList(raw)
+	if !reflect.DeepEqual(got, want) || fmt.Sprint(err) != fmt.Sprint(wantErr) {
+		t.Fatalf("ReadMemberList(%q):\ngot  %+v, error %v\nwant %+v, error %v", raw, got, err, want, wantErr)
 	}
-	told, was := unmarshalStream(raw)
+	wantLists, wantErr := unmarshalStream(raw)
 	for _, in := range []io.Reader{bytes.NewReader(raw), iotest.OneByteReader(bytes.NewReader(raw))} {
-		heard, err := readStream(in)
-		if !reflect.DeepEqual(heard, told) || errorClass(err) != errorClass(was) {
-			t.Fatalf("%q as news:\n%+v, %v\nbefore\n%+v, %v", raw, heard, err, told, was)
+		lists, err := readStream(in)
+		if !reflect.DeepEqual(lists, wantLists) || errorClass(err) != errorClass(wantErr) {
+			t.Fatalf("MemberListReader on %q:\ngot  %+v, error %v\nwant %+v, error %v",
+				raw, lists, err, wantLists, wantErr)
 		}
 	}
 }
 
-// messages are some of each sort that there is: sound ones, those of which a part is left out, and those that are refused.
+// listMessages has examples of all kinds of input: valid messages, messages with invalid members, and input
+// that is rejected.
 var listMessages = func() (all []string) {
 	a := `{"name":"a","address":"1:1","zone":"z","type":"m","group":3,"status":"DRAINING","weight":1.5,"since_ms":1790000000123.25}`
 	b := `{"name":"b","address":"1:2","zone":"z","group":0,"status":"SERVING","weight":"big","since_ms":0}`
@@ -161,19 +165,20 @@
 }()
 
 func TestReadMemberListMatchesUnmarshal(t *testing.T) {
-	refused := 0
+	rejected := 0
 	for _, raw := range listMessages {
 		compareWithUnmarshal(t, []byte(raw))
 		if _, err := ReadMemberList([]byte(raw)); err != nil {
-			refused++
+			rejected++
 		}
 	}
-	if refused < 50 || refused > len(listMessages)-50 {
-		t.Errorf("%d of %d are refused", refused, len(listMessages))
+	if rejected < 50 || rejected > len(listMessages)-50 {
+		t.Errorf("%d of %d messages rejected, want at least 50 rejected and 50 accepted",
+			rejected, len(listMessages))
 	}
 }
 
-// Pieces of messages, put together anyhow, are read as before too.
+// Compares the decoders on random sequences of tokens, and on messages with a token inserted or truncated.
 func TestReadMemberListMatchesUnmarshalOnRandomInput(t *testing.T) {
 	words := []string{`{`, `}`, `[`, `]`, `,`, `:`, `"index"`, `"endpoints"`, `"snapshot"`, `"name"`, `"Status"`, `"group"`, `"since_ms"`,
 		`"weight"`, `"address"`,
@@ -196,24 +201,25 @@
 		f.Add([]byte(raw))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if len(raw) < 8000 { // deeper nesting than json's own bound is told at another depth
+		if len(raw) < 8000 { // the decoders report nesting beyond the limit of encoding/json at different depths
 			compareWithUnmarshal(t, raw)
 		}
 	})
 }
 
-// A message that doesn't come whole is no end of the stream, wherever it breaks off: what it had to tell is not known.
+// A stream that ends within a message must not look like a regular end, because the changes in that message are
+// lost.
 func TestTruncatedMessage(t *testing.T) {
 	raw := `{"index":4,"snapshot":true,"endpoints":[{"name":"a","address":"1:1","group":3,"status":"SERVING"}],"x":[1,{}]}`
 	for at := range raw {
 		_, err := NewMemberListReader(strings.NewReader("\n"+raw[:at]), 1<<10).Next()
 		if want := io.ErrUnexpectedEOF; at == 0 && err != io.EOF || at > 0 && err != want {
-			t.Errorf("%q: %v", raw[:at], err)
+			t.Errorf("%q: got error %v, want io.EOF if empty, else %v", raw[:at], err, want)
 		}
 	}
 }
 
-// endless is a message without end, which counts what is taken of it.
+// endlessMessage yields a message without end and counts the bytes read.
 type endlessMessage struct{ bytesRead int }
 
 func (e *endlessMessage) Read(p []byte) (int, error) {
@@ -229,17 +235,18 @@
 	return n, nil
 }
 
-// The bound of a message holds while its members are read, and no more than a little beyond it is taken.
+// The size limit applies while the members of a message are still being read, and little is read beyond it.
 func TestMessageTooLong(t *testing.T) {
 	in := &endlessMessage{}
 	_, err := NewMemberListReader(in, 100_000).Next()
 	if err == nil || err.Error() != "list: message too long" || in.bytesRead > 110_000 {
-		t.Errorf("%v after %d bytes", err, in.bytesRead)
+		t.Errorf("got error %v after %d bytes, want \"list: message too long\" after at most 110000",
+			err, in.bytesRead)
 	}
 }
 
-// What reading takes beyond its result is bounded: it allocates under three times the bytes of the members, strings and all, however long the
-// list is; it was over ten times while messages were read whole.
+// Reading a list allocates less than three times the size of the resulting members, strings included, however
+// long the list is. Decoding whole messages allocated more than ten times as much.
 func TestMemberListReaderAllocations(t *testing.T) {
 	var b bytes.Buffer
 	const n = 10_000
@@ -257,8 +264,10 @@
 	list, err := NewMemberListReader(bytes.NewReader(b.Bytes()), 1<<24).Next()
 	runtime.ReadMemStats(&after)
 	bytes, times := after.TotalAlloc-before.TotalAlloc, after.Mallocs-before.Mallocs
-	result := uint64(n * (reflect.TypeFor[Member]().Size() + 16 + 24 + 8)) // with a name, an address and a zone, in the sizes that are handed out
+	// Members with name, address and zone, in size classes of the allocator.
+	result := uint64(n * (reflect.TypeFor[Member]().Size() + 16 + 24 + 8))
 	if err != nil || len(list.Members) != n || bytes > 3*result || times > 6*n+500 {
-		t.Errorf("%v, %d members: %d bytes allocated %d times, the members have %d", err, len(list.Members), bytes, times, result)
+		t.Errorf("got %d of %d members, error %v, %d bytes in %d allocations; want at most %d bytes in %d",
+			len(list.Members), n, err, bytes, times, 3*result, 6*n+500)
 	}
 }
--- a/internal/protocol/news.go
+++ b/internal/protocol/news.go
@@ -8,64 +8,66 @@
 	"io"
 )
 
-// News reads messages of the list one after another. Where lines break means nothing: a message may come indented, in
-// pieces, or with others in its line.
+// MemberListReader reads a stream of member list messages. Line breaks have no meaning: a message may be
+// indented, arrive in pieces, or share a line with others.
 type MemberListReader struct {
-	// Heard is told of each sign of life: an empty line, a message that is whole, and the first byte of one, after which it
-	// is not told of that one's other bytes.
-	OnActivity func(begun bool)
+	// OnActivity is called for each sign of life of the sender: white space between messages and the end of a
+	// message (started is false), and the first byte of a message (started is true). It is not called for the
+	// other bytes of a message.
+	OnActivity func(started bool)
 
 	src          io.Reader
 	decoder      *json.Decoder
 	maxBytes     int
-	inMessage    bool  // a message has begun to come
-	bytesRead    int64 // bytes handed to the decoder
-	messageStart int64 // of these, up to the end of the last message
+	inMessage    bool  // part of a message has arrived
+	bytesRead    int64 // handed to the decoder
+	messageStart int64 // of bytesRead, those up to the end of the last message
 }
 
-// NewNews reads messages of at most so many bytes.
-func NewMemberListReader(in io.Reader, most int) *MemberListReader {
-	n := &MemberListReader{OnActivity: func(bool) {}, src: in, maxBytes: most}
-	n.decoder = json.NewDecoder((*decoderInput)(n))
-	return n
+// NewMemberListReader returns a reader of the messages in src, each of at most maxBytes.
+func NewMemberListReader(src io.Reader, maxBytes int) *MemberListReader {
+	r := &MemberListReader{OnActivity: func(bool) {}, src: src, maxBytes: maxBytes}
+	r.decoder = json.NewDecoder((*decoderInput)(r))
+	return r
 }
 
-// Next waits for the next message.
-func (n *MemberListReader) Next() (MemberList, error) {
-	list, err := readList(n.decoder)
-	if meant := (*schemaError)(nil); errors.As(err, &meant) {
+// Next waits for the next message. It returns io.EOF at the end of the stream, io.ErrUnexpectedEOF if that
+// lies within a message.
+func (r *MemberListReader) Next() (MemberList, error) {
+	list, err := readList(r.decoder)
+	if mismatch := (*schemaError)(nil); errors.As(err, &mismatch) {
 		return MemberList{}, fmt.Errorf("list: %w", err)
 	} else if err != nil {
 		return MemberList{}, err
 	}
-	n.messageStart = n.decoder.InputOffset()
-	n.OnActivity(false)
-	rest, _ := io.ReadAll(n.decoder.Buffered())
-	if n.inMessage = len(bytes.TrimSpace(rest)) > 0; n.inMessage {
-		n.OnActivity(true)
+	r.messageStart = r.decoder.InputOffset()
+	r.OnActivity(false)
+	rest, _ := io.ReadAll(r.decoder.Buffered())
+	if r.inMessage = len(bytes.TrimSpace(rest)) > 0; r.inMessage {
+		r.OnActivity(true)
 	}
 	return list, nil
 }
 
-// feed is what the decoder reads from. It notes what comes, keeps empty lines from the decoder, which would hold them until
-// the next message, and ends what is over the bound.
+// decoderInput is the input of the decoder. It reports activity, withholds white space between messages,
+// which the decoder would buffer until the next message, and fails once a message exceeds maxBytes.
 type decoderInput MemberListReader
 
-func (f *decoderInput) Read(p []byte) (int, error) {
+func (d *decoderInput) Read(p []byte) (int, error) {
 	for {
-		k, err := f.src.Read(p)
-		if !f.inMessage && k > 0 {
-			sound := bytes.TrimLeft(p[:k], " \t\r\n")
-			k = copy(p, sound)
-			f.inMessage = k > 0
-			f.OnActivity(f.inMessage)
+		n, err := d.src.Read(p)
+		if !d.inMessage && n > 0 {
+			text := bytes.TrimLeft(p[:n], " \t\r\n")
+			n = copy(p, text)
+			d.inMessage = n > 0
+			d.OnActivity(d.inMessage)
 		}
-		if k == 0 && err == nil {
+		if n == 0 && err == nil {
 			continue
 		}
-		if f.bytesRead += int64(k); f.bytesRead-f.messageStart > int64(f.maxBytes) {
+		if d.bytesRead += int64(n); d.bytesRead-d.messageStart > int64(d.maxBytes) {
 			return 0, errors.New("list: message too long")
 		}
-		return k, err
+		return n, err
 	}
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -21,8 +21,9 @@
 
 var limits = charter.Limits{Shards: 10, MaxIDBytes: 16}
 
-func lookupHeader(id, lane, left string) http.Header {
-	return http.Header{"X-Txn": {id}, "X-Lane": {lane}, "X-Remaining-Ms": {left}, "X-Resent": {"1"}}
+// lookupHeader returns the header of a lookup that the client sends again.
+func lookupHeader(id, tariff, remaining string) http.Header {
+	return http.Header{"X-Txn": {id}, "X-Lane": {tariff}, "X-Remaining-Ms": {remaining}, "X-Resent": {"1"}}
 }
 
 func FuzzReadLookup(f *testing.F) {
@@ -30,25 +31,25 @@
 	f.Add("a", "t", "-1", `{"shards":[{"shard":1e3,"weight":1}],"q":""}`)
 	f.Add("a\n", "t", "1e400", `{"shards":[{"shard":3,"weight":1e-400}],"q":"\u0000"}`)
 	f.Add("", "", "NaN", `{"shards":null}`)
-	seen := time.Unix(1e9, 0)
-	f.Fuzz(func(t *testing.T, id, lane, left, body string) {
-		l, err := ReadLookup(lookupHeader(id, lane, left), []byte(body), seen, map[string]int{"t": 0}, nil, limits)
+	arrived := time.Unix(1e9, 0)
+	f.Fuzz(func(t *testing.T, id, tariff, remaining, body string) {
+		l, err := ReadLookup(lookupHeader(id, tariff, remaining), []byte(body), arrived, map[string]int{"t": 0}, nil, limits)
 		if err != nil {
 			return
 		}
 		used, sum := map[int]bool{}, 0.0
 		for _, p := range l.Parts {
 			if p.Slice < 0 || p.Slice >= limits.Shards || used[p.Slice] || !(p.Weight > 0) || p.Effort < 0 {
-				t.Errorf("part %+v was let in", p)
+				t.Errorf("accepted invalid part %+v", p)
 			}
 			used[p.Slice] = true
 			sum += p.Weight
 		}
 		if math.Abs(sum-1) > 1e-9 || !utf8.ValidString(l.Query) {
-			t.Errorf("weights add up to %v, text %q", sum, l.Query)
+			t.Errorf("accepted weights with sum %v, want 1, and query %q, want UTF-8", sum, l.Query)
 		}
-		if len(l.Parts) == 0 || l.ID == "" || strings.ContainsAny(l.ID, " \n\t\r") || l.Expires.Before(seen) {
-			t.Errorf("lookup %+v was let in", l)
+		if len(l.Parts) == 0 || l.ID == "" || strings.ContainsAny(l.ID, " \n\t\r") || l.Expires.Before(arrived) {
+			t.Errorf("accepted invalid lookup %+v", l)
 		}
 	})
 }
@@ -56,31 +57,34 @@
 func TestLookupAndAnswer(t *testing.T) {
 	raw := `{"shards":[{"shard":3,"weight":0.5,"cost":9000.5,"key":"5be2a07c19f04d63"},{"shard":9,"weight":0.25},` +
 		`{"shard":0,"weight":0.25}],"q":"c\n<é","new":1}`
-	seen := time.Unix(1e9, 0)
-	l, err := ReadLookup(lookupHeader("9b1f", "t", "480"), []byte(raw), seen, map[string]int{"t": 0}, nil, limits)
+	arrived := time.Unix(1e9, 0)
+	l, err := ReadLookup(lookupHeader("9b1f", "t", "480"), []byte(raw), arrived, map[string]int{"t": 0}, nil, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.ID != "9b1f" || l.Tariff != "t" || !l.Again || l.Query != "c\n<é" || !l.Expires.Equal(seen.Add(480*time.Millisecond)) {
-		t.Errorf("%+v", l)
+	if l.ID != "9b1f" || l.Tariff != "t" || !l.Again || l.Query != "c\n<é" ||
+		!l.Expires.Equal(arrived.Add(480*time.Millisecond)) {
+		t.Errorf("got lookup %+v, want ID 9b1f, tariff t, resent, its query, and 480 ms remaining", l)
 	}
 	if p := l.Parts[0]; len(l.Parts) != 3 || p != (routing.Part{Slice: 3, Weight: 0.5, Effort: 9000500}) {
-		t.Errorf("parts %+v", l.Parts)
+		t.Errorf("got parts %+v, want three, the first of shard 3 with weight 0.5 and effort 9.0005 ms",
+			l.Parts)
 	}
-	got, err := EncodeAnswer(l, routing.Final{Whole: true, Hits: []routing.Hit{{Part: 0, Value: []byte("5b<e")}, {Part: 2, Value: []byte("a\"")}}})
+	got, err := EncodeAnswer(l, routing.Final{Whole: true,
+		Hits: []routing.Hit{{Part: 0, Value: []byte("5b<e")}, {Part: 2, Value: []byte("a\"")}}})
 	want := `{"complete":true,"hits":[{"shard":3,"doc":"5b<e"},{"shard":0,"doc":"a\""}]}`
 	if err != nil || strings.TrimSpace(string(got)) != want {
-		t.Errorf("answer %s, %v, want %s", got, err, want)
+		t.Errorf("got answer %s, error %v, want %s", got, err, want)
 	}
 	if got, _ := EncodeAnswer(l, routing.Final{}); strings.TrimSpace(string(got)) != `{"complete":false,"hits":[]}` {
-		t.Errorf("an answer without parts is %s", got)
+		t.Errorf("answer without hits: got %s, want incomplete with an empty array", got)
 	}
 	if got := FormatRetryAfter(250 * time.Millisecond); got != "0.250" {
-		t.Errorf("a wait is written %q", got)
+		t.Errorf("FormatRetryAfter(250 ms): got %q, want 0.250 s", got)
 	}
 }
 
-// FuzzStream feeds a connection's bytes in two pieces: what is made of them does not hang on where they are cut.
+// FuzzStream checks that the result does not depend on where the input is split between two reads.
 func FuzzStream(f *testing.F) {
 	post := "POST /api HTTP/1.1\r\nHost: x\r\n"
 	for raw, want := range map[string]string{
@@ -99,20 +103,22 @@
 		f.Add([]byte(raw), 40)
 		s := RequestStream{}
 		if s.Feed([]byte(raw)); !strings.Contains(s.Fault, want) || (want == "") != (s.Complete && s.Fault == "") {
-			f.Errorf("%.90q: whole %v, fault %q, want %q", raw, s.Complete, s.Fault, want)
+			f.Errorf("%.90q: got complete %v, fault %q, want fault %q", raw, s.Complete, s.Fault, want)
 		}
 		if s.Next(); want == "" && (s.Started() || s.Complete) {
-			f.Errorf("%.90q: the next request is not waited for", raw)
+			f.Errorf("%.90q: after Next, got started %v, complete %v, want false",
+				raw, s.Started(), s.Complete)
 		}
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, cut int) {
 		at := min(max(cut, 0), len(raw))
-		one, two := RequestStream{}, RequestStream{}
-		one.Feed(raw)
-		two.Feed(raw[:at])
-		two.Feed(raw[at:])
-		if one.Fault != two.Fault || one.Complete != two.Complete || len(two.line) > maxLineBytes {
-			t.Errorf("%q: %+v, cut at %d %+v", raw, one, at, two)
+		whole, split := RequestStream{}, RequestStream{}
+		whole.Feed(raw)
+		split.Feed(raw[:at])
+		split.Feed(raw[at:])
+		if whole.Fault != split.Fault || whole.Complete != split.Complete || len(split.line) > maxLineBytes {
+			t.Errorf("%q: got %+v when split at %d, want %+v and a line of at most %d bytes",
+				raw, split, at, whole, maxLineBytes)
 		}
 	})
 }
@@ -129,18 +135,19 @@
 		for {
 			frame, err := ReadFrame(in, 1000)
 			if err != nil {
-				bad := new(FrameError)
-				if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.As(err, &bad) {
-					t.Errorf("error %v", err)
+				frameErr := new(FrameError)
+				if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.As(err, &frameErr) {
+					t.Errorf("ReadFrame: got error %v, want EOF or a FrameError", err)
 				}
 				return
 			}
 			if len(frame.Payload) >= 1000 {
-				t.Errorf("a rest of %d bytes", len(frame.Payload))
+				t.Errorf("got a payload of %d bytes, want less than 1000", len(frame.Payload))
 			}
 			r, err := ReadReply(frame.Payload)
-			if err == nil && (r.ID == "" || r.Outcome != mixer.Succeeded && r.Outcome != mixer.Failed && r.Outcome != mixer.Rejected) {
-				t.Errorf("reply %+v of %q", r, frame.Payload)
+			if err == nil && (r.ID == "" ||
+				r.Outcome != mixer.Succeeded && r.Outcome != mixer.Failed && r.Outcome != mixer.Rejected) {
+				t.Errorf("ReadReply(%q): accepted invalid reply %+v", frame.Payload, r)
 			}
 		}
 	})
@@ -148,17 +155,17 @@
 
 func TestFrameEncoding(t *testing.T) {
 	got := AppendQuery(nil, []Part{{"9b.3", 3, 240500 * time.Microsecond, "c41e77d0"}, {"9b.4", 4, -time.Second, "a\nb"}})
-	rest := "9b.3 3 d=240 8\nc41e77d09b.4 4 d=0 3\na\nb"
-	if binary.LittleEndian.Uint32(got) != uint32(len(rest)+1) || string(got[4:]) != "Q"+rest {
-		t.Errorf("call %q", got)
+	payload := "9b.3 3 d=240 8\nc41e77d09b.4 4 d=0 3\na\nb"
+	if binary.LittleEndian.Uint32(got) != uint32(len(payload)+1) || string(got[4:]) != "Q"+payload {
+		t.Errorf("AppendQuery: got %q, want its length, Q and %q", got, payload)
 	}
 	r, err := ReadReply([]byte("9b.3 ok 1840277719 -\n5be2\nx"))
 	if err != nil || r.ID != "9b.3" || r.Outcome != mixer.Succeeded || string(r.Value) != "5be2\nx" {
-		t.Errorf("reply %+v, %v", r, err)
+		t.Errorf("ReadReply: got %+v, error %v, want part 9b.3, succeeded with value \"5be2\\nx\"", r, err)
 	}
 	for text, want := range map[string]routing.Outcome{"a.1 err 0 -\n": mixer.Failed, "a.1 busy 0 -\n": mixer.Rejected} {
 		if r, err := ReadReply([]byte(text)); err != nil || r.Outcome != want {
-			t.Errorf("%q is %+v, %v", text, r, err)
+			t.Errorf("ReadReply(%q): got %+v, error %v, want outcome %v", text, r, err, want)
 		}
 	}
 }
@@ -173,8 +180,9 @@
 			return
 		}
 		for _, m := range l.Members {
-			if m.Searcher == "" || m.Status != mixer.Dead && m.Address == "" || m.Started < 0 || (m.Started == 0) != m.StartTime.IsZero() {
-				t.Errorf("member %+v was let in", m)
+			if m.Searcher == "" || m.Status != mixer.Dead && m.Address == "" ||
+				m.Started < 0 || (m.Started == 0) != m.StartTime.IsZero() {
+				t.Errorf("accepted invalid member %+v", m)
 			}
 		}
 	})
@@ -187,24 +195,24 @@
 		{"name":"c","address":"1:2","zone":"z","group":0,"status":"WELL","since_ms":0},
 		{"name":"d","address":"1:2","zone":"z","status":"SERVING","since_ms":0}]}`))
 	if err != nil || l.Version != 43 || l.Snapshot || len(l.Skipped) != 2 {
-		t.Fatalf("%+v, %v", l, err)
+		t.Fatalf("got %+v, error %v, want changes of version 43 with 2 members skipped", l, err)
 	}
 	want := []routing.Entry{
 		{Searcher: "a", Started: 1790000000123e6, Cell: 3, Zone: "z", Size: 1.5, Status: mixer.Draining},
 		{Searcher: "b", Zone: "z"}}
 	if got := l.Entries(); len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got entries %+v, want %+v", got, want)
 	}
 }
 
-// example gives the example's configuration with one value changed.
+// exampleConfig returns the example configuration with old replaced by new.
 func exampleConfig(t testing.TB, old, new string) []byte {
 	raw, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(raw, []byte(old)) {
-		t.Fatalf("the example has no %s", old)
+		t.Fatalf("example configuration does not contain %s", old)
 	}
 	return bytes.Replace(raw, []byte(old), []byte(new), 1)
 }
@@ -215,20 +223,23 @@
 	f.Add([]byte(`{"listen":"a","discovery":"b","seed":"0","limits":{"cores":1,"memory_mb":1,"sockets":9},"settings":[]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := ReadConfig(raw)
-		if err == nil && (len(c.Mixer.Tariffs) == 0 || c.Limits.MaxOpenRequests < 1 || c.Limits.MemoryBytes < 1 || c.Limits.KillAfterTerm <= 0) {
-			t.Errorf("configuration %+v was let in", c)
+		if err == nil && (len(c.Mixer.Tariffs) == 0 || c.Limits.MaxOpenRequests < 1 ||
+			c.Limits.MemoryBytes < 1 || c.Limits.KillAfterTerm <= 0) {
+			t.Errorf("accepted invalid configuration %+v", c)
 		}
 	})
 }
 
 func TestReadConfigErrors(t *testing.T) {
 	c, err := ReadConfig(exampleConfig(t, "", ""))
-	if err != nil || c.Seed != -0x73e0cf2d85a4169c || len(c.KnownMembers.Members) != 4 || c.Mixer.Cells != 2 || c.Limits.Shards != 8 {
-		t.Errorf("%+v, %v", c, err)
+	if err != nil || c.Seed != -0x73e0cf2d85a4169c || len(c.KnownMembers.Members) != 4 ||
+		c.Mixer.Cells != 2 || c.Limits.Shards != 8 {
+		t.Errorf("got configuration %+v, error %v, want the seed, 4 members, 2 cells and 8 shards of the example",
+			c, err)
 	}
 	for _, f := range []struct{ old, new, want string }{
 		{`"listen":"`, `"listen":"","was":"`, "listen: missing"},
-		{`"8c1f30d27a5be964"`, `"xyz"`, `seed: not hex of 64 bits: "xyz"`},
+		{`"8c1f30d27a5be964"`, `"xyz"`, `seed: not a 64-bit hexadecimal number: "xyz"`},
 		{`"cores":1.0`, `"cores":0`, "limits.cores: 0"},
 		{`"memory_mb":192`, `"memory_mb":-3`, "limits.memory_mb: -3"},
 		{`"sockets":1024`, `"sockets":0`, "limits.sockets: 0"},
@@ -250,55 +261,63 @@
 	} {
 		_, err := ReadConfig(exampleConfig(t, f.old, f.new))
 		if err == nil || !strings.Contains(err.Error(), f.want) {
-			t.Errorf("with %s: %v, want %q", f.new, err, f.want)
+			t.Errorf("with %s: got error %v, want %q", f.new, err, f.want)
 		}
 	}
 }
 
-// customers gives settings with two customers, the second as told.
+// tenantSettings returns settings with two tenants. The arguments describe the second one.
 func tenantSettings(share, name, allowance string) string {
 	return `"Tenants":[{"Name":"a","Share":0.6,"AllowancePerS":7.5},{"Name":"` + name + `","Share":` + share +
 		`,"AllowancePerS":` + allowance + `}]`
 }
 
-// Settings that know customers and sizes reach the charter; a lookup names its customer or none, never an unknown one.
+// The settings of tenants and weights reach the configuration of the mixer. A lookup may name a configured tenant
+// or none; an unknown one is rejected.
 func TestTenants(t *testing.T) {
-	c, err := ReadConfig(exampleConfig(t, `"NInstances":1`, `"NInstances":1,"Weights":"nominal","OverShareWorth":0.1,`+tenantSettings("0.4", "b", "5")))
-	if err != nil || !c.Mixer.Sized || c.Mixer.OverWorth != 0.1 || len(c.Mixer.Allowances) != 2 || c.Mixer.Allowances[1] != 5 {
-		t.Fatalf("%+v, %v", c.Mixer, err)
+	c, err := ReadConfig(exampleConfig(t, `"NInstances":1`,
+		`"NInstances":1,"Weights":"nominal","OverShareWorth":0.1,`+tenantSettings("0.4", "b", "5")))
+	if err != nil || !c.Mixer.Sized || c.Mixer.OverWorth != 0.1 ||
+		len(c.Mixer.Allowances) != 2 || c.Mixer.Allowances[1] != 5 {
+		t.Fatalf("got %+v, error %v, want nominal weights, OverWorth 0.1 and two allowances", c.Mixer, err)
 	}
 	odd, err := ReadConfig(exampleConfig(t, `"NInstances":1`, `"NInstances":1,"Tenants":{"0":{"Name":"a"}}`))
 	if err != nil || len(odd.TenantRows) != len(odd.Mixer.Allowances) {
-		t.Errorf("customers %v with allowances %v, %v", odd.TenantRows, odd.Mixer.Allowances, err)
+		t.Errorf("tenants as an object: got %v with allowances %v, error %v, want as many of each",
+			odd.TenantRows, odd.Mixer.Allowances, err)
 	}
 	plain, err := ReadConfig(exampleConfig(t, "", ""))
-	if err != nil || plain.Mixer.Sized || plain.Mixer.OverWorth != 1 || len(plain.Mixer.Allowances)+len(plain.TenantRows) > 0 {
-		t.Fatalf("%+v, %v", plain.Mixer, err)
+	if err != nil || plain.Mixer.Sized || plain.Mixer.OverWorth != 1 ||
+		len(plain.Mixer.Allowances)+len(plain.TenantRows) > 0 {
+		t.Fatalf("without tenants: got %+v, error %v, want no weights, allowances or tenants, and OverWorth 1",
+			plain.Mixer, err)
 	}
 	for _, f := range []struct {
-		customer string
-		known    map[string]int
-		want     int
-		fault    string
+		tenant  string
+		known   map[string]int
+		want    int
+		wantErr string
 	}{
-		{"b", c.TenantRows, 2, ""}, {"", c.TenantRows, 0, ""}, {"who", c.TenantRows, 0, `X-Org: unknown "who"`}, {"who", plain.TenantRows, 0, ""},
+		{"b", c.TenantRows, 2, ""}, {"", c.TenantRows, 0, ""},
+		{"who", c.TenantRows, 0, `X-Org: unknown "who"`}, {"who", plain.TenantRows, 0, ""},
 	} {
 		h := lookupHeader("a", "t", "480")
-		if f.customer != "" {
-			h.Set("X-Org", f.customer)
+		if f.tenant != "" {
+			h.Set("X-Org", f.tenant)
 		}
-		l, err := ReadLookup(h, []byte(`{"shards":[{"shard":3,"weight":1}],"q":""}`), time.Unix(1e9, 0), map[string]int{"t": 0}, f.known, limits)
+		l, err := ReadLookup(h, []byte(`{"shards":[{"shard":3,"weight":1}],"q":""}`), time.Unix(1e9, 0),
+			map[string]int{"t": 0}, f.known, limits)
 		if got := ""; err != nil {
-			if got = err.Error(); got != f.fault {
-				t.Errorf("customer %q: %v, want %q", f.customer, err, f.fault)
+			if got = err.Error(); got != f.wantErr {
+				t.Errorf("tenant %q: got error %v, want %q", f.tenant, err, f.wantErr)
 			}
-		} else if l.Customer != f.want || f.fault != "" {
-			t.Errorf("customer %q is row %d, want %d and fault %q", f.customer, l.Customer, f.want, f.fault)
+		} else if l.Customer != f.want || f.wantErr != "" {
+			t.Errorf("tenant %q: got row %d, want %d and error %q", f.tenant, l.Customer, f.want, f.wantErr)
 		}
 	}
 }
 
-// TestSettingsReadAlike holds the configuration's settings against the same as the bench's wire writes them.
+// The settings of the JSON configuration have the same text as in the line protocol of the simulator.
 func TestFlattenedSettings(t *testing.T) {
 	var all struct{ Settings json.RawMessage }
 	if err := json.Unmarshal(exampleConfig(t, "", ""), &all); err != nil {
@@ -313,7 +332,7 @@
 		"PolicyLimits.KeepaliveMs": "30000.0", "Profiles.count": "2", "Profiles.1.Name": "any-half",
 	} {
 		if nested[key] != want {
-			t.Errorf("%s is %q, on the wire %q", key, nested[key], want)
+			t.Errorf("%s: got %q, want %q as in the line protocol", key, nested[key], want)
 		}
 	}
 }
--- a/internal/protocol/revise_test.go
+++ b/internal/protocol/revise_test.go
@@ -15,17 +15,19 @@
 	"nettlefold/internal/charter"
 )
 
-// begun gives the example's configuration with two customers.
+// configWithTenants returns the example configuration with two tenants.
 func configWithTenants(t testing.TB) Config {
 	t.Helper()
-	c, err := ReadConfig(exampleConfig(t, `"NInstances":1`, `"NInstances":1,"OverShareWorth":0.1,`+tenantSettings("0.4", "b", "5")))
+	c, err := ReadConfig(exampleConfig(t, `"NInstances":1`,
+		`"NInstances":1,"OverShareWorth":0.1,`+tenantSettings("0.4", "b", "5")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// Each path that may be changed in flight is, in both ways of writing rows, and nothing else is.
+// A document changes each setting that may change at run time, with rows written as an array or as an object,
+// and nothing else.
 func TestOverlay(t *testing.T) {
 	for _, f := range []struct {
 		document string
@@ -37,7 +39,7 @@
 		{`{"Profiles":{},"FamilyInfo":{"LeastShare":{}},"Tenants":{"1":{}}}`, func(*Config) {}},
 		{`{"Profiles":{"1":{"AimMs":300}}}`, func(c *Config) { c.Mixer.Tariffs[1].Expected = 300e6 }},
 		{`{"Profiles":[{},{"AimMs":300.5}]}`, func(c *Config) { c.Mixer.Tariffs[1].Expected = 300.5e6 }},
-		{`{"Profiles":{"1":{"AimMs":[300]}}}`, func(c *Config) { c.Mixer.Tariffs[1].Expected = 300e6 }}, // as the start's reader does
+		{`{"Profiles":{"1":{"AimMs":[300]}}}`, func(c *Config) { c.Mixer.Tariffs[1].Expected = 300e6 }}, // as in the initial settings
 		{`{"Profiles.1.AimMs":300}`, func(c *Config) { c.Mixer.Tariffs[1].Expected = 300e6 }},
 		{`{"Profiles":{"0":{"DeadlineMs":900,"KeyTtlMs":7}}}`, func(c *Config) {
 			c.Mixer.Tariffs[0].Patience, c.Mixer.Tariffs[0].RepeatFor = 900e6, 7e6
@@ -60,31 +62,35 @@
 		f.change(&want)
 		got, err := configWithTenants(t).Overlay([]byte(f.document))
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %v\n%+v, want\n%+v", f.document, err, got, want)
+			t.Errorf("%s: error %v\ngot  %+v\nwant %+v", f.document, err, got, want)
 		}
 	}
 }
 
-// Each version is laid over the start, never over the one before.
+// Each document applies to the initial settings, never to the result of an earlier document.
 func TestOverlayIsNotCumulative(t *testing.T) {
 	c := configWithTenants(t)
-	one, err := c.Overlay([]byte(`{"Profiles":{"0":{"AimMs":300}},"OverShareWorth":1}`))
-	if err != nil || one.Mixer.OverWorth != 1 {
+	first, err := c.Overlay([]byte(`{"Profiles":{"0":{"AimMs":300}},"OverShareWorth":1}`))
+	if err != nil || first.Mixer.OverWorth != 1 {
 		t.Fatal(err)
 	}
-	two, err := one.Overlay([]byte(`{"Profiles":{"1":{"AimMs":200}}}`))
-	if err != nil || two.Mixer.Tariffs[0].Expected != 500e6 || two.Mixer.Tariffs[1].Expected != 200e6 || two.Mixer.OverWorth != 0.1 {
-		t.Errorf("%+v, %v", two.Mixer, err)
+	second, err := first.Overlay([]byte(`{"Profiles":{"1":{"AimMs":200}}}`))
+	if err != nil || second.Mixer.Tariffs[0].Expected != 500e6 ||
+		second.Mixer.Tariffs[1].Expected != 200e6 || second.Mixer.OverWorth != 0.1 {
+		t.Errorf("second document: got %+v, error %v, want only the aim of tariff 1 changed, to 200 ms",
+			second.Mixer, err)
 	}
-	if back, err := two.Overlay([]byte(`{}`)); err != nil || !reflect.DeepEqual(back, c) || !reflect.DeepEqual(c, configWithTenants(t)) {
-		t.Errorf("back to the start: %+v, %v", back, err)
+	if back, err := second.Overlay([]byte(`{}`)); err != nil || !reflect.DeepEqual(back, c) ||
+		!reflect.DeepEqual(c, configWithTenants(t)) {
+		t.Errorf("empty document: got %+v, error %v, want the initial configuration", back, err)
 	}
-	if names := two.ChangedKeys(configWithTenants(t)); len(names) > 0 {
-		t.Errorf("a version counts as a change of the configuration's file: %v", names)
+	if names := second.ChangedKeys(configWithTenants(t)); len(names) > 0 {
+		t.Errorf("ChangedKeys after an overlay: got %v, want none", names)
 	}
 }
 
-// What a version may not have is told with path and value, the first by path.
+// An invalid document is rejected with path and value, of several errors the first by path, and leaves the
+// configuration unchanged.
 func TestOverlayErrors(t *testing.T) {
 	for _, f := range []struct{ document, path, value string }{
 		{``, "(document)", "not JSON: unexpected end of JSON input"},
@@ -159,20 +165,20 @@
 		c := configWithTenants(t)
 		got, err := c.Overlay([]byte(f.document))
 		want := charter.SettingError{Key: f.path, Value: f.value}
-		if fault := (*charter.SettingError)(nil); !errors.As(err, &fault) || *fault != want {
-			t.Errorf("%.80s: %v, want %v", f.document, err, &want)
+		if settingErr := (*charter.SettingError)(nil); !errors.As(err, &settingErr) || *settingErr != want {
+			t.Errorf("%.80s: got error %v, want %v", f.document, err, &want)
 		}
 		if !reflect.DeepEqual(got, configWithTenants(t)) {
-			t.Errorf("%.80s: rejected, and the configuration is another", f.document)
+			t.Errorf("%.80s: got a changed configuration with the error, want it unchanged", f.document)
 		}
 	}
 }
 
-// drawn draws a value of a document: mostly as one may be, else any.
+// drawDocument draws the value at a path of a document: mostly a valid one, sometimes an arbitrary one.
 func drawDocument(t *rapid.T, path string, depth int) string {
-	any := []string{"0", "1", "0.5", "1.0", "500.0", "300", "999", "1000.0", "2", "-1", "1e400", "1e-400", "null", "true", `"x"`, `"1"`,
+	values := []string{"0", "1", "0.5", "1.0", "500.0", "300", "999", "1000.0", "2", "-1", "1e400", "1e-400", "null", "true", `"x"`, `"1"`,
 		"[]", "{}", "[1,0.5]", "[0.2,0.1]", "[{},{}]", "[[1],{}]", `[{"AimMs":20},{}]`, "[{}]", "[1,null]"}
-	below := map[string][]string{
+	keys := map[string][]string{
 		"":           {"Profiles", "FamilyInfo", "Tenants", "PolicyLimits", "OverShareWorth"},
 		"Profiles":   {"0", "1"},
 		"Tenants":    {"0", "1"},
@@ -182,15 +188,15 @@
 		"FamilyInfo.CompleteFrom": {"0", "1"}, "FamilyInfo.LeastShare": {"0", "1"}, "FamilyInfo.ClassPartial": {"0", "1"},
 	}[path]
 	odd := rapid.IntRange(0, 30).Draw(t, "odd")
-	if below == nil || depth > 4 || odd == 0 && depth > 0 {
+	if keys == nil || depth > 4 || odd == 0 && depth > 0 {
 		if odd > 3 {
 			return rapid.SampledFrom([]string{"0", "1", "0.5", "1.0", "500.0", "300", "999"}).Draw(t, "number")
 		}
-		return rapid.SampledFrom(any).Draw(t, "value")
+		return rapid.SampledFrom(values).Draw(t, "value")
 	}
 	var members []string
 	for range rapid.IntRange(0, 3).Draw(t, "members") {
-		key := rapid.SampledFrom(below).Draw(t, "key")
+		key := rapid.SampledFrom(keys).Draw(t, "key")
 		next := strings.TrimPrefix(path+"."+key, ".")
 		if (path == "Profiles" || path == "Tenants") && len(key) == 1 {
 			next = path + ".#"
@@ -204,43 +210,46 @@
 	return "{" + strings.Join(members, ",") + "}"
 }
 
-// Whatever a document is, it is taken with nothing changed but what may be, or refused by path and value, each time the same.
+// A random document either changes only what it may, or is rejected with path and value. The outcome is
+// deterministic.
 func TestOverlayRandomDocuments(t *testing.T) {
 	start := configWithTenants(t)
-	taken, refused := 0, 0
+	accepted, rejected := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		document := drawDocument(t, "", 0)
 		if cut := rapid.IntRange(0, 40*len(document)).Draw(t, "cut"); cut < len(document) {
 			document = document[:cut] + string(rapid.Byte().Draw(t, "byte")) + document[cut:]
 		}
 		if checkOverlay(t, start, []byte(document)) {
-			taken++
+			accepted++
 		} else {
-			refused++
+			rejected++
 		}
 	})
-	if taken == 0 || refused == 0 {
-		t.Errorf("%d documents taken, %d refused", taken, refused)
+	if accepted == 0 || rejected == 0 {
+		t.Errorf("got %d documents accepted and %d rejected, want some of each", accepted, rejected)
 	}
 }
 
-// revised checks one document and tells whether it was taken.
+// checkOverlay checks the outcome for one document and reports whether it was accepted.
 func checkOverlay(t rapid.TB, start Config, document []byte) bool {
 	got, err := start.Overlay(document)
-	again, twice := start.Overlay(document)
-	if !reflect.DeepEqual(got, again) || fmt.Sprint(err) != fmt.Sprint(twice) {
-		t.Errorf("%s: another time another outcome: %v, %v", document, err, twice)
+	second, secondErr := start.Overlay(document)
+	if !reflect.DeepEqual(got, second) || fmt.Sprint(err) != fmt.Sprint(secondErr) {
+		t.Errorf("%s: outcome differs between calls: got error %v, then %v", document, err, secondErr)
 	}
 	if err != nil {
-		fault := (*charter.SettingError)(nil)
-		if !errors.As(err, &fault) || !reflect.DeepEqual(got, start) || len(fault.Key) > 80 || len(fault.Value) > 80 ||
-			!utf8.ValidString(fault.Key+fault.Value) {
-			t.Errorf("%s: refused with %v, as %+v", document, err, got)
+		settingErr := (*charter.SettingError)(nil)
+		if !errors.As(err, &settingErr) || !reflect.DeepEqual(got, start) ||
+			len(settingErr.Key) > 80 || len(settingErr.Value) > 80 ||
+			!utf8.ValidString(settingErr.Key+settingErr.Value) {
+			t.Errorf("%s: got error %v and %+v, want a SettingError of at most 80 bytes each and no change",
+				document, err, got)
 		}
 		return false
 	}
 	if !json.Valid(document) {
-		t.Errorf("%s: taken, and is not JSON", document)
+		t.Errorf("%s: accepted, but is not valid JSON", document)
 	}
 	longest := max(start.Mixer.Tariffs[0].Patience, start.Mixer.Tariffs[1].Patience)
 	want := start
@@ -251,14 +260,15 @@
 			g.Expected, g.Patience, g.RepeatFor, g.CompleteFrom, g.LeastShare, g.Partial
 		shares := g.LeastShare >= 0 && g.LeastShare <= g.CompleteFrom && g.CompleteFrom <= 1 && g.Partial >= 0 && g.Partial <= 1
 		if !shares || g.Expected <= 0 || g.Patience <= 0 || g.Patience > longest || g.RepeatFor < 0 {
-			t.Errorf("%s: tariff %d is %+v", document, i, g)
+			t.Errorf("%s: accepted invalid tariff %d: %+v", document, i, g)
 		}
 	}
 	want.Mixer.Allowances, want.Mixer.OverWorth = got.Mixer.Allowances, got.Mixer.OverWorth
 	want.Mixer.MaxAdvice = got.Mixer.MaxAdvice
 	want.Limits.MaxOpenRequests = got.Limits.MaxOpenRequests
-	if !reflect.DeepEqual(got, want) || len(got.Mixer.Allowances) != len(start.Mixer.Allowances) || got.Limits.MaxOpenRequests < 1 {
-		t.Errorf("%s: %+v, of the start %+v", document, got, want)
+	if !reflect.DeepEqual(got, want) || len(got.Mixer.Allowances) != len(start.Mixer.Allowances) ||
+		got.Limits.MaxOpenRequests < 1 {
+		t.Errorf("%s: changed more than it may:\ngot  %+v\nwant %+v", document, got, want)
 	}
 	return true
 }
@@ -272,8 +282,8 @@
 	f.Fuzz(func(t *testing.T, document []byte) { checkOverlay(t, start, document) })
 }
 
-// Where the start does not tell shares, all of a tariff's parts make it whole, and the least share is the complete one, also when
-// a version changes that.
+// Without shares in the initial settings, an answer is complete with all parts of a lookup, and the least share
+// equals the share for completeness, also after a document changes that.
 func TestOverlayDefaultShares(t *testing.T) {
 	c, err := ReadConfig(exampleConfig(t, `"CompleteFrom":[1.0,0.5],"LeastShare":[1.0,0.5],`, ""))
 	if err != nil {
@@ -294,11 +304,14 @@
 		if err != nil {
 			t.Errorf("%s: %v", f.document, err)
 		} else if row := got.Mixer.Tariffs[1]; row.CompleteFrom != f.complete || row.LeastShare != f.least {
-			t.Errorf("%s: %+v", f.document, row)
+			t.Errorf("%s: got complete from %v, least share %v, want %v and %v",
+				f.document, row.CompleteFrom, row.LeastShare, f.complete, f.least)
 		}
 	}
 	_, err = c.Overlay([]byte(`{"FamilyInfo":{"LeastShare":{"1":0.6},"CompleteFrom":{"1":0.5}}}`))
-	if fault := (*charter.SettingError)(nil); !errors.As(err, &fault) || *fault != (charter.SettingError{Key: "FamilyInfo.LeastShare.1", Value: "0.6"}) {
-		t.Errorf("a least share above the complete one: %v", err)
+	if settingErr := (*charter.SettingError)(nil); !errors.As(err, &settingErr) ||
+		*settingErr != (charter.SettingError{Key: "FamilyInfo.LeastShare.1", Value: "0.6"}) {
+		t.Errorf("least share above the share for completeness: got error %v, want FamilyInfo.LeastShare.1: 0.6",
+			err)
 	}
 }
--- a/internal/protocol/stream.go
+++ b/internal/protocol/stream.go
@@ -5,45 +5,47 @@
 	"strconv"
 )
 
-// Stream follows the bytes of a client's connection from request to request. It sees what net/http hides: a request
-// whose length is told in two ways, one of which may hide another request, and bytes that come before the answer.
+// RequestStream tracks the framing of HTTP requests in the bytes of a client connection. It detects what
+// net/http hides: a request with two lengths, one of which may smuggle in another request, and bytes that
+// arrive before the request has been answered.
 type RequestStream struct {
-	Fault    string // what is wrong, for good
-	Complete bool   // the request at hand has come in whole
+	Fault    string // the protocol violation, which is permanent; empty if there is none
+	Complete bool   // the current request has arrived completely
 
 	stage               stage
-	started             bool   // some of the request at hand has come
-	awaitingRequestLine bool   // the head's first line is still to come
-	line                []byte // of the line at hand, at most lineKept bytes
-	contentLength       int64  // told by the head, -1 if it was not
+	started             bool   // part of the current request has arrived
+	awaitingRequestLine bool   // the request line is still to come
+	line                []byte // start of the current line, at most maxLineBytes
+	contentLength       int64  // from the header, in bytes; -1 if absent
 	chunked             bool
-	remaining           int64 // of the body or chunk
+	remaining           int64 // bytes of the body or chunk still to come
 }
 
+// stage is the part of a request that the next byte belongs to.
 type stage int
 
 const (
 	inHeader stage = iota
 	inBody
 	inChunkSize // the line before a chunk
-	inChunk     // a chunk and the line end after it
-	inTrailer   // after the last chunk
+	inChunk     // a chunk and its line end
+	inTrailer   // after the last chunk, up to an empty line
 )
 
-// lineKept is as much of a line as its name and a length need.
+// maxLineBytes is how much of a line is kept: enough for a field name and a length.
 const maxLineBytes = 128
 
-// Next begins the next request, once the one at hand is being answered.
+// Next moves on to the next request once the current one is complete and is being answered.
 func (s *RequestStream) Next() {
 	if s.Complete && s.Fault == "" {
 		*s = RequestStream{}
 	}
 }
 
-// Begun tells whether some of a request has come.
+// Started reports whether part of the current request has arrived.
 func (s *RequestStream) Started() bool { return s.started }
 
-// Feed takes what has come next.
+// Feed processes the next bytes of the connection.
 func (s *RequestStream) Feed(b []byte) {
 	for len(b) > 0 && s.Fault == "" {
 		if s.Complete {
@@ -77,13 +79,13 @@
 	}
 }
 
-// took takes a line that has come in whole.
+// endLine processes a complete line without its line end.
 func (s *RequestStream) endLine(line []byte) {
 	switch s.stage {
 	case inHeader:
 		switch {
 		case s.awaitingRequestLine:
-			s.awaitingRequestLine = len(line) == 0 // an empty line may come before the first
+			s.awaitingRequestLine = len(line) == 0 // an empty line may precede the request line
 		case len(line) == 0:
 			s.endHeader()
 		default:
@@ -105,7 +107,7 @@
 	}
 }
 
-// field takes a line of the head.
+// headerField processes a line of the header.
 func (s *RequestStream) headerField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	switch {
@@ -123,7 +125,7 @@
 	}
 }
 
-// headed is at the head's end.
+// endHeader processes the empty line that ends the header.
 func (s *RequestStream) endHeader() {
 	switch {
 	case s.chunked:
