--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -12,100 +12,105 @@
 	"nettlefold/internal/replicated"
 )
 
-// lease is a duty as this agent holds it. Its owner's goroutines share it.
+// lease is a lease held or claimed by this agent. It is safe for concurrent use by the goroutines
+// of a rollout.
 type lease struct {
-	duty      string
-	inherited bool // somebody else may have held it before
-	mu        sync.Mutex
-	state     *leases.Lease
+	name           string
+	hadPredecessor bool // another agent may have held the lease before
+	mu             sync.Mutex
+	state          *leases.Lease
 }
 
-func (l *lease) fence() uint64 {
+func (l *lease) fencingToken() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.FencingToken()
 }
 
-func (l *lease) mayAct(now time.Duration) bool {
+func (l *lease) valid(now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.Valid(now)
 }
 
-func (l *lease) over(now time.Duration) bool {
+func (l *lease) expired(now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.Expired(now)
 }
 
-// opensIn is how long it is until the lease begins.
-func (l *lease) opensIn(now time.Duration) time.Duration {
+// timeUntilValid returns the time until the lease becomes valid, 0 if it has.
+func (l *lease) timeUntilValid(now time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, l.state.ValidFrom()-now)
 }
 
-func (l *lease) confirmed(c leases.Renewal) bool {
+// renew applies a renewal and reports whether the lease accepted it.
+func (l *lease) renew(renewal leases.Renewal) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.HadPredecessor = l.inherited
-	return l.state.Renew(c)
+	renewal.HadPredecessor = l.hadPredecessor
+	return l.state.Renew(renewal)
 }
 
-// orderTerms are the times of the duty to give orders. Engines that refuse lower tokens need no time between two holders: what the former one
-// sent has arrived by then or is refused.
-func (a *Agent) orderTerms() leases.Timing {
-	terms := leases.Timing{HoldFor: confirmFor, MaxTransit: orderLimit}
+// rolloutLeaseTiming returns the timing of rollout leases. Engines that reject lower fencing tokens
+// need no separation between two holders: an order of the former one has arrived by then or is
+// rejected.
+func (a *Agent) rolloutLeaseTiming() leases.Timing {
+	timing := leases.Timing{HoldFor: leaseHoldTime, MaxTransit: orderTimeout}
 	if !a.settings.Bounds.Fenced {
-		terms.MinSeparation = a.settings.Bounds.Lease
+		timing.MinSeparation = a.settings.Bounds.Lease
 	}
-	return terms
+	return timing
 }
 
-// acquire takes a duty over, and waits until shortly before whoever had it has stopped: its lease may begin emptyAhead later.
-func (a *Agent) acquire(ctx context.Context, name string) (*lease, error) {
-	var before replicated.LeaseRecord
-	if err := a.ask(ctx, func() { before = a.snapshot.Leases[name] }); err != nil {
+// acquireLease takes a lease over and waits until shortly before it becomes valid, which is after
+// the former holder has stopped. It returns up to emptyingLead before that time.
+func (a *Agent) acquireLease(ctx context.Context, name string) (*lease, error) {
+	var record replicated.LeaseRecord
+	if err := a.runInLoop(ctx, func() { record = a.snapshot.Leases[name] }); err != nil {
 		return nil, err
 	}
-	l := &lease{duty: name, inherited: before.Holder != "" && before.Holder != a.self.ID, state: leases.New(a.orderTerms(), before.FencingToken)}
-	if err := a.confirm(ctx, l); err != nil {
+	l := &lease{name: name, hadPredecessor: record.Holder != "" && record.Holder != a.self.ID, state: leases.New(a.rolloutLeaseTiming(), record.FencingToken)}
+	if err := a.renewLease(ctx, l); err != nil {
 		return nil, err
 	}
 	for {
-		wait := l.opensIn(a.now()) - emptyAhead
+		wait := l.timeUntilValid(a.now()) - emptyingLead
 		if wait <= 0 {
 			return l, nil
 		}
-		time.Sleep(min(confirmEvery, wait))
-		if err := a.confirm(ctx, l); err != nil {
+		time.Sleep(min(leaseRenewInterval, wait))
+		if err := a.renewLease(ctx, l); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// confirm makes sure through the chain that the duty is this agent's; it becomes so if nobody took it since the fence that is known.
-func (a *Agent) confirm(ctx context.Context, l *lease) error {
-	asked := a.now()
+// renewLease renews a lease through the head of the chain. An agent that doesn't hold the lease
+// acquires it if nobody has acquired it since the known fencing token.
+func (a *Agent) renewLease(ctx context.Context, l *lease) error {
+	requestedAt := a.now()
 	request := &distribute.SubmitRequest{Operation: replicated.Operation{
-		Kind: replicated.KindLease, LeaseName: l.duty, Holder: a.self.ID, FencingToken: l.fence(),
+		Kind: replicated.KindLease, LeaseName: l.name, Holder: a.self.ID, FencingToken: l.fencingToken(),
 	}}
 	var controllers []string
-	if err := a.ask(ctx, func() { controllers = a.controllers }); err != nil {
+	if err := a.runInLoop(ctx, func() { controllers = a.controllers }); err != nil {
 		return err
 	}
-	err := merry.New("no controller is known")
+	err := merry.New("agent: renew lease " + l.name + ": no controller is known")
 	for _, addr := range controllers {
 		reply := new(distribute.SubmitReply)
-		if callErr := a.pool.Call(ctx, orderLimit, addr, distribute.KindSubmit, request, reply); callErr != nil {
+		if callErr := a.pool.Call(ctx, orderTimeout, addr, distribute.KindSubmit, request, reply); callErr != nil {
 			err = callErr
 			continue
 		}
-		quiet := time.Duration(reply.PredecessorIdleMS) * time.Millisecond
-		if reply.Outcome == distribute.OutcomeCommitted && l.confirmed(leases.Renewal{RequestedAt: asked, ReceivedAt: a.now(), FencingToken: reply.FencingToken, PredecessorIdle: quiet}) {
+		predecessorIdle := time.Duration(reply.PredecessorIdleMS) * time.Millisecond
+		if reply.Outcome == distribute.OutcomeCommitted && l.renew(leases.Renewal{RequestedAt: requestedAt, ReceivedAt: a.now(), FencingToken: reply.FencingToken, PredecessorIdle: predecessorIdle}) {
 			return nil
 		}
-		err = merry.New("the duty " + l.duty + " is another's: " + reply.Reason)
+		err = merry.New("agent: renew lease " + l.name + ": not granted: " + reply.Reason)
 		if reply.Outcome != distribute.OutcomeUnknown {
 			return err
 		}
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// aheadMost bounds the bytes of a client's next requests that are read while one runs.
-	aheadMost = 64 << 10
-	// aheadChunk is how many of them are read at a time.
-	aheadChunk = 4 << 10
+	// maxReadAheadBytes bounds what is read ahead of a client's next requests while one runs.
+	maxReadAheadBytes = 64 << 10
+	// readAheadChunkBytes is the size of one read of readAhead.
+	readAheadChunkBytes = 4 << 10
 )
 
-// clientConn is a client's connection whose end is seen while a request runs, also behind bytes of the next one. net/http watches for that end by
-// reading a single byte; once it has one it sees no more. From then on this reads ahead.
+// clientConn is a client connection that notices a disconnect while a request runs, even if bytes of
+// a pipelined request precede it. net/http watches for the disconnect with a read of a single byte
+// and stops watching once it has got one; from then on readAhead continues the watch.
 type clientConn struct {
 	*net.TCPConn
 
-	mu      sync.Mutex
-	changed sync.Cond          // of what follows
-	ahead   []byte             // was read and not asked for yet
-	err     error              // ended the connection's reading; nothing follows ahead
-	reading bool               // a readAhead runs
-	leave   context.CancelFunc // ends the request that runs
+	mu            sync.Mutex
+	changed       sync.Cond          // signals changes of the fields below
+	buffered      []byte             // read ahead and not returned by Read yet
+	err           error              // final read error, returned once buffered is empty
+	reading       bool               // readAhead is running
+	cancelRequest context.CancelFunc // cancels the running request; nil between requests
 }
 
 func newClientConn(conn *net.TCPConn) *clientConn {
@@ -34,16 +35,16 @@
 	return c
 }
 
-// Read gives what was read ahead, and then what comes.
-func (c *clientConn) Read(into []byte) (int, error) {
+// Read returns the bytes that were read ahead first, then reads from the connection.
+func (c *clientConn) Read(buffer []byte) (int, error) {
 	c.mu.Lock()
-	for c.reading && len(c.ahead) == 0 && c.err == nil {
+	for c.reading && len(c.buffered) == 0 && c.err == nil {
 		c.changed.Wait()
 	}
-	if len(c.ahead) > 0 {
+	if len(c.buffered) > 0 {
 		defer c.mu.Unlock()
-		n := copy(into, c.ahead)
-		c.ahead = c.ahead[n:]
+		n := copy(buffer, c.buffered)
+		c.buffered = c.buffered[n:]
 		return n, nil
 	}
 	if c.err != nil {
@@ -51,8 +52,8 @@
 		return 0, c.err
 	}
 	c.mu.Unlock()
-	n, err := c.TCPConn.Read(into)
-	if n == 1 && len(into) == 1 {
+	n, err := c.TCPConn.Read(buffer)
+	if n == 1 && len(buffer) == 1 { // the read by which net/http watches for a disconnect
 		c.mu.Lock()
 		c.reading = true
 		c.mu.Unlock()
@@ -61,48 +62,49 @@
 	return n, err
 }
 
-// readAhead reads until the connection ends, a read deadline interrupts it, or aheadMost is there.
+// readAhead reads until the connection ends, a read deadline interrupts it, or maxReadAheadBytes
+// are buffered.
 func (c *clientConn) readAhead() {
-	chunk := make([]byte, aheadChunk)
+	chunk := make([]byte, readAheadChunkBytes)
 	for {
 		n, err := c.TCPConn.Read(chunk)
 		c.mu.Lock()
-		c.ahead = append(c.ahead, chunk[:n]...)
+		c.buffered = append(c.buffered, chunk[:n]...)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.err = err
-			if c.leave != nil {
-				c.leave()
+			if c.cancelRequest != nil {
+				c.cancelRequest()
 			}
 		}
-		c.reading = err == nil && len(c.ahead) < aheadMost
-		over := !c.reading
+		c.reading = err == nil && len(c.buffered) < maxReadAheadBytes
+		finished := !c.reading
 		c.changed.Broadcast()
 		c.mu.Unlock()
-		if over {
+		if finished {
 			return
 		}
 	}
 }
 
-// runs has a request ended when the client leaves, until the function it gives is called.
-func (c *clientConn) runs(leave context.CancelFunc) (ended func()) {
+// cancelOnDisconnect has cancel called when the client disconnects, until stop is called.
+func (c *clientConn) cancelOnDisconnect(cancel context.CancelFunc) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leave = leave
+	c.cancelRequest = cancel
 	if c.err != nil {
-		leave()
+		cancel()
 	}
 	return func() {
 		c.mu.Lock()
-		c.leave = nil
+		c.cancelRequest = nil
 		c.mu.Unlock()
 	}
 }
 
-// clientListener accepts clients' connections.
+// clientListener wraps the accepted TCP connections in a clientConn.
 type clientListener struct{ net.Listener }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it.
 func (l clientListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -115,10 +117,10 @@
 	return newClientConn(tcp), nil
 }
 
-// clientConnKey is the key of a request's connection in its context.
+// clientConnKey is the context key of a request's clientConn.
 type clientConnKey struct{}
 
-// withClientConn notes a connection in the context of its requests.
+// withClientConn stores a connection in the context of its requests.
 func withClientConn(ctx context.Context, conn net.Conn) context.Context {
 	if c, ok := conn.(*clientConn); ok {
 		return context.WithValue(ctx, clientConnKey{}, c)
@@ -126,16 +128,17 @@
 	return ctx
 }
 
-// untilClientLeaves gives a context that ends when the request's client leaves; end frees what it holds.
-func untilClientLeaves(parent context.Context) (ctx context.Context, end func()) {
+// contextUntilDisconnect returns a context that is cancelled when the client of a request
+// disconnects; end releases its resources.
+func contextUntilDisconnect(parent context.Context) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(parent)
 	c, ok := parent.Value(clientConnKey{}).(*clientConn)
 	if !ok {
 		return ctx, cancel
 	}
-	ended := c.runs(cancel)
+	stop := c.cancelOnDisconnect(cancel)
 	return ctx, func() {
-		ended()
+		stop()
 		cancel()
 	}
 }
