--- a/internal/protocol/lookup.go
+++ b/internal/protocol/lookup.go
@@ -1,6 +1,6 @@
 // Package protocol encodes and decodes the messages of a mixer: the lookups of clients and their answers,
 // the frames exchanged with searchers, the member list of the discovery service, and the configuration.
-// It does no I/O of its own.
+// It opens no connections itself.
 package protocol
 
 import (
