--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -21,117 +21,127 @@
 	"nettlefold/internal/simtest"
 )
 
-// A world plays whole controllers, their own code with its goroutines, store and HTTP, in a synctest bubble: time passes only when all wait,
-// and the machines meet over a network in memory that delays, holds up and cuts.
+// testPort is the first port of the machines.
+const testPort = 7340
 
-const worldPort = 7340
-
-type world struct {
+// testCluster runs complete controllers with their goroutines, stores and HTTP servers in a
+// synctest bubble, where time advances only while all goroutines wait. The machines communicate
+// over an in-memory network that can delay and cut links.
+type testCluster struct {
 	t         *testing.T
 	dir       string
 	contracts []string
-	machines  map[string]*worldMachine
+	machines  map[string]*testMachine
 
 	network *simtest.Network
-	mu      sync.Mutex // of calls
+	mu      sync.Mutex // guards calls
 	start   time.Time
 	calls   []simtest.Call
 }
 
-// worldMachine is a core machine and the process that runs on it, if one does.
-type worldMachine struct {
+// testMachine is a core machine and the controller that runs on it, if one does.
+type testMachine struct {
 	ip         string
 	settings   *local.Settings
 	controller *Controller
 	stop       context.CancelFunc
-	ended      chan struct{}
+	done       chan struct{}
 }
 
-func newWorld(t *testing.T, n int) *world { return newWorldOf(t, n) }
+// newTestCluster starts a cluster of n machines.
+func newTestCluster(t *testing.T, n int) *testCluster { return newTestClusterWithContracts(t, n) }
 
-// newWorldOf is a world under more parts of the rules.
-func newWorldOf(t *testing.T, n int, contracts ...string) *world {
-	w := &world{t: t, dir: t.TempDir(), contracts: contracts, machines: map[string]*worldMachine{}, network: simtest.NewNetwork(), start: time.Now()}
+// newTestClusterWithContracts starts a cluster of n machines under the given contracts.
+func newTestClusterWithContracts(t *testing.T, n int, contracts ...string) *testCluster {
+	w := &testCluster{
+		t: t, dir: t.TempDir(), contracts: contracts, machines: map[string]*testMachine{},
+		network: simtest.NewNetwork(), start: time.Now(),
+	}
 	for i := range n {
-		w.add(i+1, true)
+		w.addMachine(i+1, true)
 	}
 	return w
 }
 
+// ipOf returns the address of machine i, counted from 1.
 func ipOf(i int) string { return fmt.Sprintf("10.0.0.%d", i) }
 
-// add places a machine, with an empty disk, and starts it.
-func (w *world) add(i int, first bool) {
+// addMachine adds a machine with an empty disk and starts it.
+func (w *testCluster) addMachine(i int, first bool) {
 	ip := ipOf(i)
 	settings := &local.Settings{
 		NodeName: "core-" + ip, IP: ip, Zone: "zone-" + ip, Zones: map[string]string{"x": "r", "y": "r"}, ControlAddr: ip + ":8783",
-		FirstStart: first, Contracts: w.contracts, MemoryMB: 256, FirstPort: worldPort, LastPort: worldPort + 10, MachineFaultTolerance: 1, DataDirectory: filepath.Join(w.dir, fmt.Sprint(i, "-", len(w.calls), "-", time.Now().UnixNano())),
+		FirstStart: first, Contracts: w.contracts, MemoryMB: 256,
+		FirstPort: testPort, LastPort: testPort + 10, MachineFaultTolerance: 1,
+		DataDirectory: filepath.Join(w.dir, fmt.Sprint(i, "-", len(w.calls), "-", time.Now().UnixNano())),
 	}
 	for seed := 1; seed <= 3; seed++ {
 		settings.Seeds = append(settings.Seeds, ipOf(seed)+":8783")
 	}
 	settings.Bounds.Grace = 8 * time.Second
-	w.machines[ip] = &worldMachine{ip: ip, settings: settings}
-	w.boot(ip)
+	w.machines[ip] = &testMachine{ip: ip, settings: settings}
+	w.startMachine(ip)
 }
 
-// boot starts a machine's process on what is on its disk.
-func (w *world) boot(ip string) {
+// startMachine starts a machine's controller on its present disk.
+func (w *testCluster) startMachine(ip string) {
 	m := w.machines[ip]
-	c, err := newOn(w.network.Host(ip), m.settings, zerolog.Nop())
+	c, err := newWithNetwork(w.network.Host(ip), m.settings, zerolog.Nop())
 	require.NoError(w.t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	m.controller, m.stop, m.ended = c, stop, make(chan struct{})
+	m.controller, m.stop, m.done = c, stop, make(chan struct{})
 	go func() {
-		defer close(m.ended)
+		defer close(m.done)
 		if err := c.Run(ctx); err != nil {
 			w.t.Error(err)
 		}
 	}()
 }
 
-// end ends a machine's process: told to, with its grace, or at once and without a word.
-func (w *world) end(ip string, grace bool) {
+// stopMachine stops a machine's controller: gracefully, or abruptly without any message to others.
+func (w *testCluster) stopMachine(ip string, graceful bool) {
 	m := w.machines[ip]
-	if !grace {
-		w.separate(true, ip)
+	if !graceful {
+		w.setIsolated(true, ip)
 		m.controller.enqueue(commandOther, func() { m.controller.settings.Bounds.Grace = 0 })
 	}
 	m.stop()
-	<-m.ended
+	<-m.done
 	m.controller.pool.Close()
 	m.controller.store.Close()
 	w.network.CloseHost(ip)
-	if !grace {
-		w.separate(false, ip)
+	if !graceful {
+		w.setIsolated(false, ip)
 	}
 }
 
-func (w *world) close() {
+// close stops all machines.
+func (w *testCluster) close() {
 	for ip := range w.machines {
 		if m := w.machines[ip]; m.controller != nil {
 			select {
-			case <-m.ended:
+			case <-m.done:
 			default:
-				w.end(ip, false)
+				w.stopMachine(ip, false)
 			}
 		}
 	}
 	time.Sleep(simtest.Settled)
 }
 
-// separate cuts a machine off from all others, or joins it again.
-func (w *world) separate(cut bool, ip string) {
+// setIsolated cuts all links of a machine, including those of the operator, or restores them.
+func (w *testCluster) setIsolated(cut bool, ip string) {
 	for other := range w.machines {
-		w.setLink(cut, ip, other)
-		w.setLink(cut, other, ip)
+		w.setLinkCut(cut, ip, other)
+		w.setLinkCut(cut, other, ip)
 	}
-	w.setLink(cut, ip, operatorIP)
-	w.setLink(cut, operatorIP, ip)
+	w.setLinkCut(cut, ip, operatorIP)
+	w.setLinkCut(cut, operatorIP, ip)
 }
 
-// separateCore cuts some machines off from the other machines; the operator reaches them on.
-func (w *world) separateCore(cut bool, ips ...string) {
+// setIsolatedFromCore cuts or restores the links between the given machines and the other machines.
+// The operator still reaches all of them.
+func (w *testCluster) setIsolatedFromCore(cut bool, ips ...string) {
 	side := map[string]bool{}
 	for _, ip := range ips {
 		side[ip] = true
@@ -139,34 +149,36 @@
 	for a := range w.machines {
 		for b := range w.machines {
 			if side[a] != side[b] {
-				w.setLink(cut, a, b)
+				w.setLinkCut(cut, a, b)
 			}
 		}
 	}
 }
 
-func (w *world) setLink(cut bool, from, to string) { w.network.Cut(cut, from, to) }
+// setLinkCut cuts or restores the link in one direction.
+func (w *testCluster) setLinkCut(cut bool, from, to string) { w.network.Cut(cut, from, to) }
 
-// put writes a configuration at a machine and notes the call for the check of the history.
-func (w *world) put(ip string, base, version int64, mark string) simtest.Outcome {
-	body := document(int(version), "s")
+// putConfig writes a configuration at a machine and records the call for the linearizability check.
+func (w *testCluster) putConfig(ip string, base, version int64, mark string) simtest.Outcome {
+	body := configDocument(int(version), "s")
 	body = strings.Replace(body, "as sent", mark, 1)
 	call := simtest.Call{Write: true, Base: base, Version: version, Body: body, Start: time.Since(w.start)}
-	status, _ := w.ask(ip, http.MethodPut, "/v1/configuration", fmt.Sprint(base), body)
+	status, _ := w.request(ip, http.MethodPut, "/v1/configuration", fmt.Sprint(base), body)
 	switch status {
 	case http.StatusOK:
 		call.Outcome = simtest.Taken
 	case http.StatusPreconditionFailed, http.StatusBadRequest:
 		call.Outcome = simtest.Refused
 	}
-	w.note(call)
+	w.recordCall(call)
 	return call.Outcome
 }
 
-// get reads the configuration at a machine and notes it; false where no answer came.
-func (w *world) get(ip string) (version int64, ok bool) {
+// getConfig reads the configuration at a machine and records the call; ok is false if there was no
+// response.
+func (w *testCluster) getConfig(ip string) (version int64, ok bool) {
 	call := simtest.Call{Outcome: simtest.Taken, Start: time.Since(w.start)}
-	status, text := w.ask(ip, http.MethodGet, "/v1/configuration", "", "")
+	status, text := w.request(ip, http.MethodGet, "/v1/configuration", "", "")
 	switch status {
 	case http.StatusOK:
 		fmt.Sscanf(text, `{"version":%d`, &call.Version)
@@ -175,29 +187,31 @@
 	default:
 		return 0, false
 	}
-	w.note(call)
+	w.recordCall(call)
 	return call.Version, true
 }
 
-func (w *world) note(call simtest.Call) {
+// recordCall records a call that ends now.
+func (w *testCluster) recordCall(call simtest.Call) {
 	call.End = time.Since(w.start)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls = append(w.calls, call)
 }
 
-// taken has a write taken by anybody, within so long.
-func (w *world) taken(within time.Duration, random *rand.Rand) bool {
-	end := time.Now().Add(within)
+// commitWithin reports whether a write could be committed at any running machine within a time
+// limit.
+func (w *testCluster) commitWithin(limit time.Duration, random *rand.Rand) bool {
+	end := time.Now().Add(limit)
 	for time.Now().Before(end) {
 		for ip, m := range w.machines {
 			select {
-			case <-m.ended:
+			case <-m.done:
 				continue
 			default:
 			}
-			version, ok := w.get(ip)
-			if ok && w.put(ip, version, version+1, fmt.Sprint("last ", random.Uint64())) == simtest.Taken {
+			version, ok := w.getConfig(ip)
+			if ok && w.putConfig(ip, version, version+1, fmt.Sprint("last ", random.Uint64())) == simtest.Taken {
 				return true
 			}
 		}
@@ -206,20 +220,21 @@
 	return false
 }
 
-func (w *world) requireLinearizable() {
+// requireLinearizable checks that the recorded calls are linearizable.
+func (w *testCluster) requireLinearizable() {
 	w.t.Helper()
-	require.True(w.t, simtest.Linearizable(w.calls), "the operator's calls cannot be put in an order")
+	require.True(w.t, simtest.Linearizable(w.calls), "the operator's calls are not linearizable")
 }
 
-// storeFile is the newest file of a machine's store.
-func (w *world) storeFile(ip string) string {
+// storeFile returns the path of the newest file of a machine's store.
+func (w *testCluster) storeFile(ip string) string {
 	files, err := filepath.Glob(filepath.Join(w.machines[ip].settings.DataDirectory, "state-*.db"))
 	require.NoError(w.t, err)
 	return files[len(files)-1]
 }
 
-// damage flips a bit in the middle of a machine's store.
-func (w *world) damage(ip string) {
+// corruptStore flips a bit in the middle of a machine's store.
+func (w *testCluster) corruptStore(ip string) {
 	path := w.storeFile(ip)
 	text, err := os.ReadFile(path)
 	require.NoError(w.t, err)
@@ -227,16 +242,17 @@
 	require.NoError(w.t, os.WriteFile(path, text, 0o644))
 }
 
-// operatorIP is where the operator's calls come from.
+// operatorIP is the address from which the operator's calls come.
 const operatorIP = "10.0.9.9"
 
-// operatorPatience is when the operator turns elsewhere.
-const operatorPatience = time.Second
+// operatorTimeout is the time after which the operator tries another machine.
+const operatorTimeout = time.Second
 
-// ask sends one call of the operator to a machine: status 0 where no answer came in time.
-func (w *world) ask(ip, method, path, match, body string) (status int, text string) {
+// request sends one call of the operator to a machine and returns the status, 0 if there was no
+// answer in time, and the body.
+func (w *testCluster) request(ip, method, path, match, body string) (status int, text string) {
 	network := w.network.Host(operatorIP)
-	client := &http.Client{Timeout: operatorPatience, Transport: &http.Transport{
+	client := &http.Client{Timeout: operatorTimeout, Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext:       func(ctx context.Context, _, addr string) (net.Conn, error) { return network.Dial(ctx, addr) },
 	}}
@@ -245,14 +261,14 @@
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, ""
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var b strings.Builder
-	if _, err := io.Copy(&b, answer.Body); err != nil {
+	if _, err := io.Copy(&b, response.Body); err != nil {
 		return 0, ""
 	}
-	return answer.StatusCode, b.String()
+	return response.StatusCode, b.String()
 }
