--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -21,7 +21,8 @@
 	printer = message.NewPrinter(language.English)
 )
 
-// InvalidError is an error in a configuration.
+// InvalidError is an error in a configuration. Its text is reported to operators, whose tools match the
+// reasons, so these must not be reworded.
 type InvalidError struct {
 	Path   string // JSON pointer to the invalid value
 	Reason string
@@ -48,7 +49,7 @@
 func Parse(text []byte) (*Document, error) {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return nil, &InvalidError{"", "invalid JSON: " + err.Error()}
+		return nil, &InvalidError{"", "it cannot be read: " + err.Error()}
 	}
 	if err := schema.Validate(value); err != nil {
 		return nil, schemaError(err)
@@ -86,13 +87,13 @@
 	return &InvalidError{"/" + strings.Join(failed.InstanceLocation, "/"), failed.ErrorKind.LocalizedString(printer)}
 }
 
-// checkDocument checks what the schema can't express: unique names, routes, and API keys, and
-// references to services that exist.
+// checkDocument checks what the schema can't express: unique names and routes, API keys that
+// belong to one tenant each, and references to services that exist.
 func checkDocument(doc *Document) error {
 	services := map[string]bool{}
 	for i, s := range doc.Services {
 		if services[s.Name] {
-			return invalidAt("/services/%d/name", i)("duplicate service name %q", s.Name)
+			return invalidAt("/services/%d/name", i)("%q is named twice", s.Name)
 		}
 		services[s.Name] = true
 	}
@@ -100,7 +101,7 @@
 	for i, r := range doc.Routes {
 		match := [2]string{r.Host, r.PathPrefix}
 		if matches[match] {
-			return invalidAt("/routes/%d", i)("duplicate route with host %q and path prefix %q", r.Host, r.PathPrefix)
+			return invalidAt("/routes/%d", i)("host %q and prefix %q are another route's", r.Host, r.PathPrefix)
 		}
 		matches[match] = true
 		if err := checkTargets(i, &r, services); err != nil {
@@ -114,19 +115,19 @@
 func checkTargets(i int, r *Route, services map[string]bool) error {
 	if len(r.Split) == 0 {
 		if !services[r.Service] {
-			return invalidAt("/routes/%d/service", i)("unknown service %q", r.Service)
+			return invalidAt("/routes/%d/service", i)("no service is named %q", r.Service)
 		}
 		return nil
 	}
 	sum := 0.0
 	for j, w := range r.Split {
 		if !services[w.Service] {
-			return invalidAt("/routes/%d/traffic_split/%d/service", i, j)("unknown service %q", w.Service)
+			return invalidAt("/routes/%d/traffic_split/%d/service", i, j)("no service is named %q", w.Service)
 		}
 		sum += w.Weight
 	}
 	if sum <= 0 {
-		return invalidAt("/routes/%d/traffic_split", i)("the sum of the weights is 0")
+		return invalidAt("/routes/%d/traffic_split", i)("the weights add up to 0")
 	}
 	return nil
 }
@@ -136,12 +137,12 @@
 	owners, names := map[string]string{}, map[string]bool{}
 	for i, t := range tenants {
 		if names[t.Name] {
-			return invalidAt("/tenants/%d/name", i)("duplicate tenant name %q", t.Name)
+			return invalidAt("/tenants/%d/name", i)("%q is named twice", t.Name)
 		}
 		names[t.Name] = true
 		for j, key := range t.APIKeys {
 			if owner, exists := owners[key]; exists && owner != t.Name {
-				return invalidAt("/tenants/%d/api_keys/%d", i, j)("the API key also belongs to tenant %q", owner)
+				return invalidAt("/tenants/%d/api_keys/%d", i, j)("the key is also %q's", owner)
 			}
 			owners[key] = t.Name
 		}
