--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -66,7 +66,7 @@
 	BackendInfo
 	// prefilling maps shared parts that requests of this mixer prefill here to the time after which that is
 	// no longer assumed.
-	prefilling          map[kvindex.Key]time.Duration
+	prefillingUntil     map[kvindex.Key]time.Duration
 	coldUntil           time.Duration
 	phase               string
 	ownLoad             Load          // of this mixer
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -52,12 +52,12 @@
 // they belong on another one. It is 0 for the first backend in the prompt's rendezvous ranking, to which all
 // mixers send parts that are cached nowhere, and for a backend that prefills the parts already.
 func (s *selection) duplicatePrefillTokens(now time.Duration, b *Backend, p *candidate, prefixTokens int) float64 {
-	if s.sharedTokens <= prefixTokens || slices.Contains(s.owners[:min(1, len(s.owners))], b.ID) ||
+	if s.sharedTokens <= prefixTokens || slices.Contains(s.preferredBackends[:min(1, len(s.preferredBackends))], b.ID) ||
 		b.isPrefilling(now, p.prompt.keys, s.request) {
 		return 0
 	}
 	weight := duplicatePrefillWeight()
-	if slices.Contains(s.owners, b.ID) && !trial.Disabled(trial.SecondOwner) {
+	if slices.Contains(s.preferredBackends, b.ID) && !trial.Disabled(trial.SecondPreferredBackend) {
 		weight /= 2
 	}
 	return weight * float64(s.sharedTokens-prefixTokens)
@@ -82,7 +82,7 @@
 
 // rankOwners returns the first backends in the rendezvous ranking of the request's shared prefix, nil if the
 // request shares nothing.
-func (t *Table) rankOwners(r *Request, eligible []*Backend) []string {
+func (t *Table) rankPreferred(r *Request, eligible []*Backend) []string {
 	if len(r.Parts) < 2 {
 		return nil
 	}
@@ -90,14 +90,14 @@
 	for i, b := range eligible {
 		ids[i] = b.ID
 	}
-	return rendezvous.Top(r.IsolatedTenant+"/"+r.Parts[len(r.Parts)-2].ID, ids, ownersPerPrompt)
+	return rendezvous.Top(r.IsolatedTenant+"/"+r.Parts[len(r.Parts)-2].ID, ids, preferredPerPrompt)
 }
 
 // isPrefilling reports whether the backend is assumed to prefill all shared parts of a request for another
 // request of this mixer.
 func (b *Backend) isPrefilling(now time.Duration, keys []kvindex.Key, r *Request) bool {
 	for i := range len(r.Parts) - 1 {
-		if b.prefilling[keys[i]] <= now {
+		if b.prefillingUntil[keys[i]] <= now {
 			return false
 		}
 	}
@@ -106,18 +106,18 @@
 
 // markPrefilling records that a request of this mixer makes the backend prefill parts.
 func (b *Backend) markPrefilling(now time.Duration, keys []kvindex.Key) {
-	if b.prefilling == nil {
-		b.prefilling = map[kvindex.Key]time.Duration{}
+	if b.prefillingUntil == nil {
+		b.prefillingUntil = map[kvindex.Key]time.Duration{}
 	}
-	if len(b.prefilling) > maxPrefillingKeys {
-		for k, until := range b.prefilling {
+	if len(b.prefillingUntil) > maxPrefillingKeys {
+		for k, until := range b.prefillingUntil {
 			if until <= now {
-				delete(b.prefilling, k)
+				delete(b.prefillingUntil, k)
 			}
 		}
 	}
 	for _, k := range keys {
-		b.prefilling[k] = now + prefillingTTL
+		b.prefillingUntil[k] = now + prefillingTTL
 	}
 }
 
@@ -127,7 +127,7 @@
 	if over <= 0 || s.Engine.KVCapacityTokens == 0 || trial.Disabled(trial.MemoryPressure) {
 		return 0
 	}
-	return memoryPressureMS * trial.Scale(trial.MemoryPressureCost) * over / float64(s.Engine.KVCapacityTokens)
+	return memoryPressureMSPerCapacity * trial.Scale(trial.MemoryPressureCost) * over / float64(s.Engine.KVCapacityTokens)
 }
 
 // outdated reports whether a newer version of a model is ordered.
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -19,7 +19,7 @@
 	TargetMS       float64  // time to the first token within which the response has its full value, 0 if none is set
 	RemainingMS    float64  // time until the client gives up
 	Retried        bool     // the request was refused or sent to a backend before, as far as known
-	Rank           int      // priority rank of its route and tenant, 0 is the most urgent
+	PolicyRank     int      // priority rank of its route and tenant, 0 is the most urgent
 	IsolatedTenant string   // name of the tenant if it shares cached prompts with no other, else ""
 	TriedBackends  []string // IDs of backends that must not be chosen again
 }
@@ -37,7 +37,7 @@
 	WaitMS    float64 // expected time in the backend's queue
 	PrefillMS float64 // expected time to prefill the prompt
 	// Priority is the priority of the request at an engine, 0 is the most urgent.
-	Priority int
+	EnginePriority int
 
 	// RetryAfterMS is positive if the request is refused and should be retried after this delay. All other
 	// fields are zero in that case.
@@ -170,7 +170,7 @@
 		transferMS: p.source.transferMS, nearlyIdle: b.nearlyIdle(p.waitMS),
 	}
 	if p.prompt != nil {
-		c.Priority = enginePriority(p.prefillMS, t.estimatesOf(r.Service).observePrefill(p.prefillMS), r.Rank)
+		c.EnginePriority = enginePriority(p.prefillMS, t.estimatesOf(r.Service).observePrefill(p.prefillMS), r.PolicyRank)
 		c.Salt = p.prompt.salt
 		c.CacheTrace = r.cacheTrace(b, t.index, &p)
 		t.estimatesOf(r.Service).observeEvictions(c.SharedTokens, t.evictedTokens(r, p.prompt))
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -10,20 +10,20 @@
 
 // selection holds what is computed once per request and used for each candidate backend.
 type selection struct {
-	request      *Request
-	service      *config.Service         // nil if not configured
-	estimates    *engineEstimates        // of the service's engines
-	tokensPerMS  float64                 // prefill speed of the service's engines
-	sharedTokens int                     // tokens of the request's shared parts
-	owners       []string                // IDs of the first backends in the prompt's rendezvous ranking
-	prompts      map[int64]*cachedPrompt // by version of the weights
+	request           *Request
+	service           *config.Service         // nil if not configured
+	estimates         *engineEstimates        // of the service's engines
+	tokensPerMS       float64                 // prefill speed of the service's engines
+	sharedTokens      int                     // tokens of the request's shared parts
+	preferredBackends []string                // IDs of the first backends in the prompt's rendezvous ranking
+	prompts           map[int64]*cachedPrompt // by version of the weights
 }
 
 func (t *Table) newSelection(r *Request, eligible []*Backend) *selection {
 	return &selection{
 		request: r, service: t.service(r.Service), estimates: t.estimatesOf(r.Service),
 		tokensPerMS: t.prefillTokensPerMS(r.Service), sharedTokens: r.sharedTokens(),
-		owners: t.rankOwners(r, eligible), prompts: map[int64]*cachedPrompt{},
+		preferredBackends: t.rankPreferred(r, eligible), prompts: map[int64]*cachedPrompt{},
 	}
 }
 
--- a/internal/dispatch/shares.go
+++ b/internal/dispatch/shares.go
@@ -53,26 +53,26 @@
 
 // retryBudget counts a service's requests and retries in a sliding window that is divided into slots.
 type retryBudget struct {
-	slots      [retryBudgetSlots]struct{ requests, retries int }
-	newestSlot int64 // sequence number of the newest slot
+	intervals      [retryBudgetIntervals]struct{ requests, retries int }
+	newestInterval int64 // sequence number of the newest slot
 }
 
-const retryBudgetSlots = 10
+const retryBudgetIntervals = 10
 
 // advance clears the slots that left the window.
 func (b *retryBudget) advance(now, window time.Duration) {
-	current := int64(now / (window / retryBudgetSlots))
-	for i := max(b.newestSlot+1, current-retryBudgetSlots+1); i <= current; i++ {
-		b.slots[i%retryBudgetSlots] = struct{ requests, retries int }{}
+	current := int64(now / (window / retryBudgetIntervals))
+	for i := max(b.newestInterval+1, current-retryBudgetIntervals+1); i <= current; i++ {
+		b.intervals[i%retryBudgetIntervals] = struct{ requests, retries int }{}
 	}
-	b.newestSlot = max(b.newestSlot, current)
+	b.newestInterval = max(b.newestInterval, current)
 }
 
 // retryBudget returns the retry budget of a service with its window advanced to now.
-func (t *Table) retryBudget(now time.Duration, service string) *retryBudget {
+func (t *Table) retryBudgetOf(now time.Duration, service string) *retryBudget {
 	b := t.retryBudgets[service]
 	if b == nil {
-		b = &retryBudget{newestSlot: int64(now / (t.settings.RetryBudgetWindow / retryBudgetSlots))}
+		b = &retryBudget{newestInterval: int64(now / (t.settings.RetryBudgetWindow / retryBudgetIntervals))}
 		t.retryBudgets[service] = b
 	}
 	b.advance(now, t.settings.RetryBudgetWindow)
@@ -81,8 +81,8 @@
 
 // RecordRequest adds a client's request for a service to the retry budget.
 func (t *Table) RecordRequest(now time.Duration, service string) {
-	b := t.retryBudget(now, service)
-	b.slots[b.newestSlot%retryBudgetSlots].requests++
+	b := t.retryBudgetOf(now, service)
+	b.intervals[b.newestInterval%retryBudgetIntervals].requests++
 }
 
 // TakeRetry takes one attempt after the first from a service's retry budget. It reports whether this mixer's
@@ -91,16 +91,16 @@
 	if !t.RetryAllowed(now, service) {
 		return false
 	}
-	b := t.retryBudget(now, service)
-	b.slots[b.newestSlot%retryBudgetSlots].retries++
+	b := t.retryBudgetOf(now, service)
+	b.intervals[b.newestInterval%retryBudgetIntervals].retries++
 	return true
 }
 
 // RetryAllowed reports whether this mixer's share of a service's retry budget allows one more attempt.
 func (t *Table) RetryAllowed(now time.Duration, service string) bool {
-	b := t.retryBudget(now, service)
+	b := t.retryBudgetOf(now, service)
 	requests, retries := 0, 0
-	for _, s := range b.slots {
+	for _, s := range b.intervals {
 		requests += s.requests
 		retries += s.retries
 	}
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -13,7 +13,7 @@
 	// makes a prompt less urgent by 1.
 	middlePriority = 4.5
 	// rankFactor is the factor on the prefill time for each rank.
-	rankFactor = 1.5
+	policyRankFactor = 1.5
 )
 
 // enginePriority returns the priority of a prompt at an engine, from 0 (most urgent) to lowestPriority. Short
@@ -24,6 +24,6 @@
 	if meanPrefillMS <= 0 || prefillMS <= 0 || trial.Disabled(trial.ShortPrefillFirst) {
 		return min(max(0, rank), lowestPriority)
 	}
-	rankedMS := prefillMS * math.Pow(rankFactor, float64(max(0, rank)))
+	rankedMS := prefillMS * math.Pow(policyRankFactor, float64(max(0, rank)))
 	return min(max(0, int(math.Round(middlePriority+math.Log2(rankedMS/meanPrefillMS)))), lowestPriority)
 }
--- a/internal/kvindex/evictions.go
+++ b/internal/kvindex/evictions.go
@@ -18,14 +18,14 @@
 	if len(l.ring) < l.capacity {
 		l.ring = append(l.ring, k)
 	} else {
-		l.remove(l.ring[l.oldest])
+		l.decrement(l.ring[l.oldest])
 		l.ring[l.oldest] = k
 		l.oldest = (l.oldest + 1) % len(l.ring)
 	}
 	l.counts[k]++
 }
 
-func (l *evictionLog) remove(k Key) {
+func (l *evictionLog) decrement(k Key) {
 	if l.counts[k]--; l.counts[k] <= 0 {
 		delete(l.counts, k)
 	}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -101,7 +101,7 @@
 // decision is what choosing a backend needs to know of a request that was sent to some already.
 func (q *request) decision(tried []string) *dispatch.Request {
 	return &dispatch.Request{
-		TargetMS: q.route.TargetLatencyMS, Rank: q.rank, RemainingMS: float64(time.Until(q.deadline).Milliseconds()), Retried: q.again || len(tried) > 0,
+		TargetMS: q.route.TargetLatencyMS, PolicyRank: q.rank, RemainingMS: float64(time.Until(q.deadline).Milliseconds()), Retried: q.again || len(tried) > 0,
 		Service: q.service, Model: q.model, Parts: q.parts, PromptTokens: q.prompt, BodyBytes: len(q.body), IsolatedTenant: q.wall(), TriedBackends: tried,
 	}
 }
@@ -123,7 +123,7 @@
 	if c.Version != 0 {
 		header.Set(headerVersion, strconv.FormatInt(c.Version, 10))
 		header.Set(headerSalt, c.Salt)
-		header.Set(headerPriority, strconv.Itoa(c.Priority))
+		header.Set(headerPriority, strconv.Itoa(c.EnginePriority))
 	}
 	if c.FetchAddr != "" {
 		header.Set(headerFetch, c.FetchAddr)
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -95,7 +95,7 @@
 			err := message.send(ctx, client)
 			cancel()
 			if err != nil {
-				drainQueue(queue)
+				dropQueued(queue)
 			}
 		case <-p.done:
 			return
@@ -105,7 +105,7 @@
 
 // drainQueue drops all messages in the queue of an unreachable peer: they would be outdated by the
 // time the peer can be reached again.
-func drainQueue(queue chan queuedMessage) {
+func dropQueued(queue chan queuedMessage) {
 	for {
 		select {
 		case <-queue:
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -46,13 +46,13 @@
 	// LinkQueue learns how long fetches queue behind unreported transfers on a link.
 	LinkQueue Mechanism = "link-wait"
 	// SecondOwner lets the second backend in a prompt's rendezvous ranking prefill it at half the weight.
-	SecondOwner Mechanism = "second-owner"
+	SecondPreferredBackend Mechanism = "second-owner"
 )
 
 // Mechanisms lists all mechanisms in the order in which tables show them.
 var Mechanisms = []Mechanism{
 	DuplicatePrefillWeight, ShortPrefillFirst, CostJitter, LearnedPrefillSpeed, StoreSave, PrefillInsteadOfFetch,
-	SeparateLoadUpdates, NearestHolders, CopyPenalty, MemoryPressure, OldVersionPenalty, AdmissionControl, SecondOwner,
+	SeparateLoadUpdates, NearestHolders, CopyPenalty, MemoryPressure, OldVersionPenalty, AdmissionControl, SecondPreferredBackend,
 	LearnWhenNearlyIdle, SaveOnlyIfFaster, LinkQueue,
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -272,7 +272,7 @@
 		}
 		return nil, err
 	}
-	response.Body = &body{ReadCloser: response.Body, response: response, stopCancel: stopCancel}
+	response.Body = &body{ReadCloser: response.Body, response: response, unwatchContext: stopCancel}
 	return response, nil
 }
 
@@ -360,9 +360,9 @@
 // connection if it isn't read to the end.
 type body struct {
 	io.ReadCloser
-	response   *Response
-	stopCancel func() bool // stops the cancellation by the request's context
-	finished   bool
+	response       *Response
+	unwatchContext func() bool // stops the cancellation by the request's context
+	finished       bool
 }
 
 func (b *body) Read(buffer []byte) (int, error) {
@@ -385,7 +385,7 @@
 	b.finished = true
 	r := b.response
 	r.complete = complete
-	if stopped := b.stopCancel(); stopped && complete && !r.Close && r.conn.reusable() {
+	if stopped := b.unwatchContext(); stopped && complete && !r.Close && r.conn.reusable() {
 		r.pool.putIdle(r.conn, r.Header)
 		return
 	}
