--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -9,8 +9,8 @@
 	Streaming     = "streaming"
 )
 
-// Document is a configuration as the operator sends it. Unknown fields are ignored here, but kept in
-// the text of the configuration, which is stored unchanged.
+// Document is a configuration as the operator sends it. Unknown fields are ignored here; the
+// fleet stores the JSON text of the configuration unchanged.
 type Document struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -48,8 +48,8 @@
 type Service struct {
 	Name             string  `json:"name"`
 	ConnectionLimit  float64 `json:"connection_limit"` // per backend, for all mixers; 0 if not set
-	ColdStartS       float64 `json:"cold_start_s"`     // seconds for which a new backend counts as cold
-	ColdPerS         float64 `json:"cold_per_s"`       // requests per second that a cold backend handles
+	ColdStartS       float64 `json:"cold_start_s"`     // seconds for which a new backend is cold, that is, limited to ColdPerS
+	ColdPerS         float64 `json:"cold_per_s"`       // requests per second that a cold backend sustains
 	KVStoreAddress   string  `json:"kv_store_address"`
 	Zone             string  `json:"zone"`
 	KVCapacityTokens int64   `json:"kv_capacity_tokens"`
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -1,7 +1,8 @@
 // Package dispatch chooses, for each request, the backend that serves it and the holder from which that
 // backend fetches cached prompt parts. Its Table does no I/O, has no clock, starts no goroutine and is not
 // safe for concurrent use: its owner feeds it the configuration, the state of the backends and the
-// outcomes of requests. All times are readings of the owner's monotonic clock.
+// outcomes of requests. All times are readings of the owner's monotonic clock. A mixer is one process that
+// dispatches requests with a Table of its own.
 package dispatch
 
 import (
@@ -16,7 +17,7 @@
 // Phases of a backend during a rollout of new weights.
 const (
 	PhaseNone     = ""
-	PhaseEmptying = "emptying" // gets no new requests, because its load order comes next
+	PhaseEmptying = "emptying" // to be ordered to load new weights; gets requests only if no other backend is eligible
 	PhaseLoading  = "loading"
 )
 
@@ -29,7 +30,7 @@
 	Zone     string           `cbor:"4,keyasint"`
 	Slots    int              `cbor:"5,keyasint"`
 	Draining bool             `cbor:"6,keyasint,omitempty"`
-	ColdMS   float64          `cbor:"7,keyasint,omitempty"` // remaining time for which the backend is cold
+	ColdMS   float64          `cbor:"7,keyasint,omitempty"` // remaining time for which the backend is cold: just started, and limited to a reduced request rate
 	Versions map[string]int64 `cbor:"8,keyasint,omitempty"` // version of the loaded weights, by model
 }
 
@@ -47,8 +48,8 @@
 	Tokens          int      // prompt tokens that the requests hold in the KV cache
 }
 
-// Sub subtracts a part from a sum. The part may be older or newer than the sum, so no field of the result
-// is negative.
+// Sub returns l without o. The two may have been taken at different times, so no field of the result is
+// negative.
 func (l Load) Sub(o Load) Load {
 	return Load{
 		Running: max(0, l.Running-o.Running), QueuedPrefillMS: max(0, l.QueuedPrefillMS-o.QueuedPrefillMS),
@@ -64,8 +65,8 @@
 // Backend is the state of a backend in a Table.
 type Backend struct {
 	BackendInfo
-	// prefilling maps shared parts that requests of this mixer prefill here to the time after which that is
-	// no longer assumed.
+	// prefillingUntil is the expiry, by key, of the assumption that the backend prefills or caches a shared
+	// part for a request of this mixer.
 	prefillingUntil     map[kvindex.Key]time.Duration
 	coldUntil           time.Duration
 	phase               string
@@ -77,7 +78,7 @@
 	avoidUntil          time.Duration // end of the backoff after a failure or a refusal
 	probing             bool          // a probe request is in flight after failures
 	awaitingFirstByte   int           // requests of this mixer without a first byte
-	lastProgress        time.Duration // time of the last received byte, or of the first of the waiting requests
+	lastProgress        time.Duration // time of the last received byte, or when a request was sent while none was waiting
 	nextColdSend        time.Duration // earliest time of this mixer's next request while the backend is cold
 	// coldInterval is the time between two requests of this mixer while the backend is cold, 0 if this mixer
 	// may send none. It is cached for coldIntervalRevision.
@@ -97,7 +98,7 @@
 // hasEngine reports whether the backends of a service are inference engines.
 func hasEngine(s *config.Service) bool { return s != nil && s.Engine != nil }
 
-// failureThreshold is the number of consecutive failures from which a backend is avoided.
+// failureThreshold is the number of consecutive failures after which a backend is avoided.
 const failureThreshold = 1
 
 // failureBackoff returns the time for which a backend is avoided after consecutive failures: it doubles from
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/engine_estimates.go
@@ -24,76 +24,76 @@
 
 // observeLatency updates the base latency or the prefill speed with the time to the first token of a prompt of
 // which a prefix was cached.
-func (l *engineEstimates) observeLatency(prefixTokens, promptTokens int, ms float64) {
+func (e *engineEstimates) observeLatency(prefixTokens, promptTokens int, ms float64) {
 	prefilled := float64(promptTokens - prefixTokens)
 	if prefilled < maxBaseSampleTokens {
-		l.baseSamples++
-		l.baseMS = stepQuantile(l.baseMS, math.Max(ms-prefillTimeMS(prefixTokens, promptTokens, l.tokensPerMS), minSampleMS),
-			1-speedQuantile, quantileStep(l.baseSamples))
+		e.baseSamples++
+		e.baseMS = stepQuantile(e.baseMS, math.Max(ms-prefillTimeMS(prefixTokens, promptTokens, e.tokensPerMS), minSampleMS),
+			1-speedQuantile, quantileStep(e.baseSamples))
 		return
 	}
-	if l.baseMS == 0 || prefilled < minSpeedSampleTokens {
+	if e.baseMS == 0 || prefilled < minSpeedSampleTokens {
 		return
 	}
-	linearMS := ms - l.baseMS - attentionTimeMS(prefixTokens, promptTokens)
-	l.speedSamples++
+	linearMS := ms - e.baseMS - attentionTimeMS(prefixTokens, promptTokens)
+	e.speedSamples++
 	// Cap the sample: a prompt that was cached without being in the index seems to be prefilled at any speed.
-	sample := math.Min(prefilled/math.Max(linearMS, minSampleMS), maxSpeedSampleFactor*l.tokensPerMS)
-	l.tokensPerMS = stepQuantile(l.tokensPerMS, sample, speedQuantile, quantileStep(l.speedSamples))
+	sample := math.Min(prefilled/math.Max(linearMS, minSampleMS), maxSpeedSampleFactor*e.tokensPerMS)
+	e.tokensPerMS = stepQuantile(e.tokensPerMS, sample, speedQuantile, quantileStep(e.speedSamples))
 }
 
 // observePrefill adds the estimated prefill time of a prompt to the moving mean and returns the new mean.
-func (l *engineEstimates) observePrefill(prefillMS float64) float64 {
-	l.meanPrefillMS = movingMean(l.meanPrefillMS, prefillMS)
-	return l.meanPrefillMS
+func (e *engineEstimates) observePrefill(prefillMS float64) float64 {
+	e.meanPrefillMS = movingMean(e.meanPrefillMS, prefillMS)
+	return e.meanPrefillMS
 }
 
 // observeDelay updates the unexpected delay with the expected and the actual time to a first token.
-func (l *engineEstimates) observeDelay(expectedMS, ms float64) {
-	l.unexpectedDelayMS += movingMeanWeight *
-		(min(max(0, ms-expectedMS-l.baseMS), maxUnexpectedDelayMS) - l.unexpectedDelayMS)
+func (e *engineEstimates) observeDelay(expectedMS, ms float64) {
+	e.unexpectedDelayMS += movingMeanWeight *
+		(min(max(0, ms-expectedMS-e.baseMS), maxUnexpectedDelayMS) - e.unexpectedDelayMS)
 }
 
 // observeFetchDelay is observeDelay for a response that needed a fetch.
-func (l *engineEstimates) observeFetchDelay(expectedMS, ms float64) {
-	l.unexpectedFetchDelayMS += movingMeanWeight *
-		(min(max(0, ms-expectedMS-l.baseMS), maxUnexpectedFetchDelayMS) - l.unexpectedFetchDelayMS)
+func (e *engineEstimates) observeFetchDelay(expectedMS, ms float64) {
+	e.unexpectedFetchDelayMS += movingMeanWeight *
+		(min(max(0, ms-expectedMS-e.baseMS), maxUnexpectedFetchDelayMS) - e.unexpectedFetchDelayMS)
 }
 
-// linkQueueMS returns the time that a fetch queues behind unreported transfers: the latest fetches of other
-// mixers, other fetches from the same holder, and saves. It is the unexpected delay of responses with a fetch
+// linkQueueMS returns the time that a fetch queues behind transfers that this mixer does not account for: recent
+// fetches of other mixers, its own fetches from the same holder, and saves to the store. It is the unexpected delay of responses with a fetch
 // minus that of responses without.
-func (l *engineEstimates) linkQueueMS() float64 {
+func (e *engineEstimates) linkQueueMS() float64 {
 	if trial.Disabled(trial.LinkQueue) {
 		return 0
 	}
-	return max(0, l.unexpectedFetchDelayMS-l.unexpectedDelayMS)
+	return max(0, e.unexpectedFetchDelayMS-e.unexpectedDelayMS)
 }
 
 // observeEvictions updates the eviction estimate with the shared tokens of a prompt and the number of them that
 // were evicted and are cached nowhere.
-func (l *engineEstimates) observeEvictions(sharedTokens, evictedTokens int) {
-	l.meanSharedTokens += evictionMeanWeight * (float64(sharedTokens) - l.meanSharedTokens)
-	l.meanEvictedTokens += evictionMeanWeight * (float64(evictedTokens) - l.meanEvictedTokens)
+func (e *engineEstimates) observeEvictions(sharedTokens, evictedTokens int) {
+	e.meanSharedTokens += evictionMeanWeight * (float64(sharedTokens) - e.meanSharedTokens)
+	e.meanEvictedTokens += evictionMeanWeight * (float64(evictedTokens) - e.meanEvictedTokens)
 }
 
 // evictedShare returns the share of shared tokens that are requested again after their eviction. It measures
 // how short the engines are of KV cache memory.
-func (l *engineEstimates) evictedShare() float64 {
-	if l.meanSharedTokens <= 0 {
+func (e *engineEstimates) evictedShare() float64 {
+	if e.meanSharedTokens <= 0 {
 		return 0
 	}
-	return l.meanEvictedTokens / l.meanSharedTokens
+	return e.meanEvictedTokens / e.meanSharedTokens
 }
 
 // copyCostMS returns the cost in ms of caching a second copy of tokens: it evicts other tokens, which must be
 // prefilled again when they are requested.
-func (l *engineEstimates) copyCostMS(tokens int) float64 {
+func (e *engineEstimates) copyCostMS(tokens int) float64 {
 	if trial.Disabled(trial.CopyPenalty) {
 		return 0
 	}
-	prefillMS := duplicatePrefillWeight() * float64(tokens) / l.tokensPerMS
-	return trial.Scale(trial.CopyCost) * min(1, evictionCostFactor*l.evictedShare()) * prefillMS
+	prefillMS := duplicatePrefillWeight() * float64(tokens) / e.tokensPerMS
+	return trial.Scale(trial.CopyCost) * min(1, evictionCostFactor*e.evictedShare()) * prefillMS
 }
 
 // quantileStep returns the relative step of a quantile estimate at its n-th sample. The first steps are larger.
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -12,7 +12,7 @@
 
 // candidate is the estimated cost of serving a request at one backend.
 type candidate struct {
-	costMS    float64 // expected time to the first token, plus all other costs as ms
+	costMS    float64 // expected time to the first token, plus the other costs, converted to ms of delay
 	prefillMS float64 // expected time to prefill the prompt
 	waitMS    float64 // expected time in the queue before the prefill
 	version   int64   // of the backend's weights
@@ -22,21 +22,21 @@
 
 // costJitterMS returns the range of the random cost that is added to each backend. It is the mean delay beyond
 // the estimate, which comes from requests of other mixers that are not reported yet.
-func (l *engineEstimates) costJitterMS() float64 {
+func (e *engineEstimates) costJitterMS() float64 {
 	if trial.Disabled(trial.CostJitter) {
 		return 0
 	}
-	return l.unexpectedDelayMS
+	return e.unexpectedDelayMS
 }
 
-// firstByteDeadline returns the time after which no response may begin on a version of the weights, 0 if there
-// is no limit.
+// firstByteDeadline returns the time at which a request on a version of the weights is withdrawn if it has no
+// first byte, 0 if there is no limit. The deadline lies a margin before Settings.VersionLimit.
 func (t *Table) firstByteDeadline(model string, version int64) time.Duration {
-	since, superseded := t.versionTimes[model].Since(version)
+	supersededAt, superseded := t.versionTimes[model].Since(version)
 	if !superseded {
 		return 0
 	}
-	return since + time.Duration(versionFirstByteShare*float64(t.settings.VersionLimit))
+	return supersededAt + time.Duration(versionFirstByteShare*float64(t.settings.VersionLimit))
 }
 
 // FirstByteDeadline returns the time by which the response of a choice must begin, 0 if there is no limit. The
@@ -49,7 +49,7 @@
 }
 
 // duplicatePrefillTokens returns the weighted number of shared tokens that the backend would prefill although
-// they belong on another one. It is 0 for the first backend in the prompt's rendezvous ranking, to which all
+// another backend ranks first for the prompt. It is 0 for the first backend in the prompt's rendezvous ranking, to which all
 // mixers send parts that are cached nowhere, and for a backend that prefills the parts already.
 func (s *selection) duplicatePrefillTokens(now time.Duration, b *Backend, p *candidate, prefixTokens int) float64 {
 	if s.sharedTokens <= prefixTokens || slices.Contains(s.preferredBackends[:min(1, len(s.preferredBackends))], b.ID) ||
@@ -57,6 +57,7 @@
 		return 0
 	}
 	weight := duplicatePrefillWeight()
+	// The second backend in the ranking may prefill the parts too, at half the weight.
 	if slices.Contains(s.preferredBackends, b.ID) && !trial.Disabled(trial.SecondPreferredBackend) {
 		weight /= 2
 	}
@@ -80,7 +81,7 @@
 	return tokens
 }
 
-// rankOwners returns the first backends in the rendezvous ranking of the request's shared prefix, nil if the
+// rankPreferred returns the first backends in the rendezvous ranking of the request's shared prefix, nil if the
 // request shares nothing.
 func (t *Table) rankPreferred(r *Request, eligible []*Backend) []string {
 	if len(r.Parts) < 2 {
--- a/internal/dispatch/fetch.go
+++ b/internal/dispatch/fetch.go
@@ -10,7 +10,7 @@
 	prefixTokens int     // tokens that need no prefill, including fetched ones
 	fetch        bool    // the prefix is fetched from one of the prompt's holders
 	transferMS   float64 // duration of the fetch, 0 if there is none
-	costMS       float64 // delay of the first token by the fetch, plus its other costs as ms
+	costMS       float64 // delay of the first token by the fetch, plus its other costs, converted to ms of delay
 }
 
 // choosePrefixSource decides whether a backend would fetch or prefill the part of a prompt that it has not
@@ -27,10 +27,10 @@
 		prefixTokens: p.prompt.longestTokens, fetch: true, transferMS: transferMS,
 		costMS: transferMS + s.estimates.linkQueueMS() + s.estimates.copyCostMS(missing),
 	}
-	duplicateTokens := duplicatePrefillWeight() * float64(min(missing, max(0, s.sharedTokens-local)))
-	extraMS := prefillTimeMS(local, s.request.PromptTokens, s.tokensPerMS) -
+	weightedDuplicateTokens := duplicatePrefillWeight() * float64(min(missing, max(0, s.sharedTokens-local)))
+	savedPrefillMS := prefillTimeMS(local, s.request.PromptTokens, s.tokensPerMS) -
 		prefillTimeMS(p.prompt.longestTokens, s.request.PromptTokens, s.tokensPerMS)
-	if extraMS+duplicateTokens/s.tokensPerMS <= fetch.costMS && !trial.Disabled(trial.PrefillInsteadOfFetch) {
+	if savedPrefillMS+weightedDuplicateTokens/s.tokensPerMS <= fetch.costMS && !trial.Disabled(trial.PrefillInsteadOfFetch) {
 		return prefill
 	}
 	return fetch
@@ -61,6 +61,7 @@
 }
 
 // transferTimeMS estimates the time in ms to transfer the KV cache of tokens, within a zone or between two.
+// A service without a configured bandwidth counts as having an unlimited one.
 func transferTimeMS(s *config.Service, tokens int, sameZone bool) float64 {
 	if s.Engine == nil || s.Engine.LinkMbps <= 0 {
 		return fetchBaseMS * trial.Scale(trial.FetchBase)
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -9,11 +9,14 @@
 const (
 	Completed     Outcome = iota // the backend responded, with any status
 	Refused                      // the backend did not run the request and said so
-	WrongInstance                // another instance or version answered at the address
+	WrongInstance                // the address belongs to another backend now, or the backend has another version of the weights
 	Failed                       // the backend was unreachable or broke off its response
 	Cancelled                    // the client or the deadline ended the request
 )
 
+// refusalBackoff is how long a backend is avoided after it refused a request.
+const refusalBackoff = 100 * time.Millisecond
+
 // RecordFirstByte records the first byte of a response: the prompt is prefilled, and the fetch from the holder
 // is complete.
 func (t *Table) RecordFirstByte(now time.Duration, c *Choice, service string) {
@@ -74,7 +77,7 @@
 	case WrongInstance:
 		b.avoidUntil, b.probing = now+t.settings.DiscoveryLag, false
 	case Refused:
-		b.avoidUntil, b.probing = max(b.avoidUntil, now+100*time.Millisecond), false
+		b.avoidUntil, b.probing = max(b.avoidUntil, now+refusalBackoff), false
 	case Cancelled:
 		b.probing = false
 	}
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -16,10 +16,10 @@
 	Parts          []kvindex.Part // of the prompt; other requests may share all but the last
 	PromptTokens   int
 	BodyBytes      int
-	TargetMS       float64  // time to the first token within which the response has its full value, 0 if none is set
+	TargetMS       float64  // target for the time to the first token, 0 if none is set
 	RemainingMS    float64  // time until the client gives up
-	Retried        bool     // the request was refused or sent to a backend before, as far as known
-	PolicyRank     int      // priority rank of its route and tenant, 0 is the most urgent
+	Retried        bool     // an earlier attempt is known: the request was refused, or sent to a backend
+	PolicyRank     int      // rank by the configured priorities of its route and tenant, 0 is the most urgent
 	IsolatedTenant string   // name of the tenant if it shares cached prompts with no other, else ""
 	TriedBackends  []string // IDs of backends that must not be chosen again
 }
@@ -36,7 +36,7 @@
 	Version   int64   // expected version of the weights, 0 if the request names no model
 	WaitMS    float64 // expected time in the backend's queue
 	PrefillMS float64 // expected time to prefill the prompt
-	// Priority is the priority of the request at an engine, 0 is the most urgent.
+	// EnginePriority is the priority of the request at an engine, 0 is the most urgent.
 	EnginePriority int
 
 	// RetryAfterMS is positive if the request is refused and should be retried after this delay. All other
@@ -51,20 +51,21 @@
 	promptTokens int
 	prefixTokens int     // tokens that need no prefill, including fetched ones
 	transferMS   float64 // expected duration of the fetch
-	nearlyIdle   bool    // the backend was known to have next to no other work
+	nearlyIdle   bool    // Backend.nearlyIdle at the time of the choice
 	sentAt       time.Duration
 	gotFirstByte bool
 	ended        bool
 }
 
-// CacheTrace is what the index knew of a prompt's shared parts when a backend was chosen, in tokens.
+// CacheTrace is what the index knew of a prompt's shared parts when a backend was chosen, in tokens. It is only
+// logged and has no influence on decisions, except that SharedTokens also feeds the eviction estimate.
 type CacheTrace struct {
 	LastSharedPart    string // ID of the last shared part, "" if nothing is shared
 	SharedTokens      int
 	CachedTokens      int // at the backend, including what it fetches
 	LocalTokens       int // at the backend before the fetch
 	FetchableTokens   int // at the holders of the longest prefix
-	UnfetchableTokens int // at most, at a holder that may not be fetched from
+	UnfetchableTokens int // at holders that may not be fetched from, see cachedPrompt.unfetchableTokens
 }
 
 // Pick chooses the backend with the earliest expected first token, by its prefill, its queue and its zone, and
@@ -90,6 +91,7 @@
 // selectBackend selects the backend with the lowest cost, nil if none is eligible. retryAfterMS is the delay
 // after which a refused request should be retried, 0 if the request is admitted.
 func (t *Table) selectBackend(now time.Duration, r *Request) (best *Backend, p candidate, retryAfterMS float64) {
+	// The second pass also considers the backends that are avoided otherwise.
 	for _, fallback := range []bool{false, true} {
 		eligible := t.eligibleBackends(now, r, fallback)
 		if len(eligible) == 0 {
@@ -127,7 +129,7 @@
 	return min(max(expectedMS-r.TargetMS, minRetryAfterMS), maxRetryAfterMS, r.RemainingMS*maxRetryAfterShare)
 }
 
-// estimateCost estimates the cost of serving a request at a backend. A random part of at most 1 ms breaks ties.
+// estimateCost estimates the cost of serving a request at a backend. A random cost below 1 ms breaks ties.
 func (t *Table) estimateCost(now time.Duration, s *selection, b *Backend) candidate {
 	r := s.request
 	p := candidate{costMS: t.random.Float64()}
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -32,7 +32,7 @@
 	salt              string
 	keys              []kvindex.Key
 	longestTokens     int        // tokens of the longest prefix at a holder that may be fetched from
-	unfetchableTokens int        // tokens of the longest prefix at a holder that may not be fetched from
+	unfetchableTokens int        // of a prefix at a holder that may not be fetched from; shorter ones than longestTokens so far are skipped
 	holders           []*Backend // holders of longestTokens that may be fetched from
 	holderZones       map[string]bool
 }
@@ -106,8 +106,8 @@
 }
 
 // isEligible reports whether a request may be sent to a backend. With fallback, which is set if no backend is
-// eligible without it, the backend may also be one that is avoided, probed, stalled or being emptied. Draining
-// and evacuated backends, expired versions and the limit for cold backends hold in any case.
+// eligible without it, the backend may also be one that is avoided, awaiting the result of a probe, stalled or
+// being emptied. Draining and evacuated backends, versions that get no new requests and the limit for cold backends hold in any case.
 func (t *Table) isEligible(now time.Duration, r *Request, b *Backend, fallback bool) bool {
 	if b.Draining || t.evacuatedZones[b.Zone] != 0 || b.phase == PhaseLoading || !t.coldAdmits(now, b) {
 		return false
@@ -143,9 +143,9 @@
 // RecordProgress records that bytes of a response stream arrived.
 func (t *Table) RecordProgress(now time.Duration, c *Choice) { c.Backend.lastProgress = now }
 
-// versionExpired reports whether a version of the weights was superseded so long ago that the response to a new
-// request might begin after the version's limit.
+// versionExpired reports whether a version of the weights gets no new requests: it was superseded so long ago that
+// the response to one might begin after the version's limit.
 func (t *Table) versionExpired(now time.Duration, model string, version int64) bool {
-	since, superseded := t.versionTimes[model].Since(version)
-	return superseded && now-since > time.Duration(versionSendShare*float64(t.settings.VersionLimit))
+	supersededAt, superseded := t.versionTimes[model].Since(version)
+	return superseded && now-supersededAt > time.Duration(versionSendShare*float64(t.settings.VersionLimit))
 }
--- a/internal/dispatch/shares.go
+++ b/internal/dispatch/shares.go
@@ -8,11 +8,14 @@
 	"nettlefold/internal/rendezvous"
 )
 
-// The retry budget and the request rate of a cold backend are limits on the sum over all mixers, including
-// earlier processes of a mixer that was restarted. Each mixer keeps to a share that it computes without
+// The retry budget and the request rate of a cold backend are limits on all mixers together; requests that a mixer
+// sent before a restart count too. Each mixer keeps to a share that it computes without
 // coordination. coldAllowanceShare, retrySlackShare and retryRatioShare keep the sum of the shares below the
 // limits even while mixers disagree on the members.
 
+// minColdPerS is the lower bound, in requests per second, of the rate that a cold backend is assumed to sustain.
+const minColdPerS = 0.1
+
 // coldInterval returns the time between two requests of this mixer to a cold backend, 0 if it may send none. The
 // interval is computed on demand, because ranking all mixers is expensive and few backends are cold.
 func (t *Table) coldInterval(b *Backend) time.Duration {
@@ -37,8 +40,8 @@
 	if senders < len(t.members.All) && !slices.Contains(rendezvous.Top("cold/"+b.ID, t.members.All, senders), t.members.Self) {
 		return 0
 	}
-	// Besides one request per second and sender, the senders together keep to the rate that the backend sustains.
-	intervalS := float64(min(senders, len(t.members.All))) / max(service.ColdPerS, 0.1)
+	// Each sender sends at most once per second, and all senders together at most at the rate that the backend sustains.
+	intervalS := float64(min(senders, len(t.members.All))) / max(service.ColdPerS, minColdPerS)
 	return max(time.Second, time.Duration(intervalS*float64(time.Second)))
 }
 
@@ -51,15 +54,16 @@
 	return now >= b.nextColdSend && now-t.started >= coldStartupWaitMS*time.Millisecond && t.coldInterval(b) > 0
 }
 
-// retryBudget counts a service's requests and retries in a sliding window that is divided into slots.
+// retryBudget counts a service's requests and retries in a sliding window that is divided into
+// intervals.
 type retryBudget struct {
 	intervals      [retryBudgetIntervals]struct{ requests, retries int }
-	newestInterval int64 // sequence number of the newest slot
+	newestInterval int64 // sequence number of the newest interval
 }
 
 const retryBudgetIntervals = 10
 
-// advance clears the slots that left the window.
+// advance clears the intervals that left the window.
 func (b *retryBudget) advance(now, window time.Duration) {
 	current := int64(now / (window / retryBudgetIntervals))
 	for i := max(b.newestInterval+1, current-retryBudgetIntervals+1); i <= current; i++ {
@@ -68,7 +72,7 @@
 	b.newestInterval = max(b.newestInterval, current)
 }
 
-// retryBudget returns the retry budget of a service with its window advanced to now.
+// retryBudgetOf returns the retry budget of a service with its window advanced to now.
 func (t *Table) retryBudgetOf(now time.Duration, service string) *retryBudget {
 	b := t.retryBudgets[service]
 	if b == nil {
@@ -85,8 +89,8 @@
 	b.intervals[b.newestInterval%retryBudgetIntervals].requests++
 }
 
-// TakeRetry takes one attempt after the first from a service's retry budget. It reports whether this mixer's
-// share of the budget allowed it.
+// TakeRetry counts one retry against a service's retry budget if this mixer's share of the budget allows it. It
+// reports whether it does.
 func (t *Table) TakeRetry(now time.Duration, service string) bool {
 	if !t.RetryAllowed(now, service) {
 		return false
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -16,7 +16,7 @@
 // Settings are the fleet's limits and this mixer's zone.
 type Settings struct {
 	Zone              string
-	VersionLimit      time.Duration // after which no response may begin on a superseded version of the weights
+	VersionLimit      time.Duration // from when a version of the weights is superseded until no response may begin on it
 	ColdOvershoot     float64       // allowed factor on the request rate that a cold backend sustains
 	ColdSlack         float64       // requests per second allowed beyond that
 	RetryBudgetRatio  float64       // allowed retries per request
@@ -38,18 +38,18 @@
 	minFetchTokens              = 256                     // fewer tokens are not worth the risk of a fetch
 	fetchBaseMS                 = 3.0                     // fixed time of a fetch
 	defaultLatencyMS            = 50.0                    // latency of a backend without an engine until one is measured
-	versionSendShare            = 0.8                     // share of VersionLimit after which a superseded version gets no new request
-	versionFirstByteShare       = 0.96                    // share of VersionLimit after which a request without a first byte is withdrawn
+	versionSendShare            = 0.8                     // share of VersionLimit after which a superseded version gets no new request; the rest is left for the wait
+	versionFirstByteShare       = 0.96                    // share of VersionLimit after which a request without a first byte is withdrawn; the rest is a margin
 	attentionMSPerMillionPairs  = 0.25                    // attention time per million pairs of tokens
 	duplicatePrefillFactor      = 12.0                    // cost of prefilling shared parts that another backend holds, relative to its time
 	oldVersionPenalty           = 0.3                     // additional share of the prefill time at a backend whose cache is discarded soon
 	memoryPressureShare         = 0.85                    // share of an engine's KV cache from which requests wait for others to end
-	memoryPressureMSPerCapacity = 4000.0                  // wait for memory when requests exceed that share by the whole KV cache
+	memoryPressureMSPerCapacity = 4000.0                  // ms of wait for memory per KV cache capacity of tokens above that share
 	preferredPerPrompt          = 2                       // backends per prompt that prefill shared parts at a reduced duplicate cost
 	prefillingTTL               = 3 * time.Second         // how long a backend is assumed to prefill or cache assigned parts
 	maxPrefillingKeys           = 4096                    // per backend; expired keys are removed above this number
-	stallTimeout                = 1200 * time.Millisecond // beyond the expected wait
-	stallWaitFactor             = 2                       // of the expected wait
+	stallTimeout                = 1200 * time.Millisecond // a backend is stalled without progress for stallTimeout + stallWaitFactor * expected wait
+	stallWaitFactor             = 2                       // see stallTimeout
 	crossZoneTransferFactor     = 2                       // relative to a transfer within a zone
 
 	maxBaseSampleTokens       = 1500   // prefills below this size are samples of the base latency
@@ -75,20 +75,20 @@
 
 	movingMeanWeight   = 0.1  // weight of the newest sample in a moving mean
 	evictionMeanWeight = 0.02 // weight of the newest prompt in the means of shared and evicted tokens
-	// evictionCostFactor is the factor of a copy's cost over the tokens that it evicts directly: these are prefilled
-	// or fetched again later and evict others in turn.
+	// evictionCostFactor is the cost of a copy relative to prefilling the tokens that it evicts once: these are
+	// prefilled or fetched again later and evict others in turn.
 	evictionCostFactor = 6.0
 	trackedEvictions   = 8192 // evictions recorded to distinguish a miss after an eviction from a first use
 	minSaveTokens      = 1024 // fewer shared tokens are not worth a save to the store
 
-	// Shares of the fleet-wide limits that are given out, because mixers may differ on who the members are. The
-	// shares of the retry budget also leave room for restarted processes.
+	// Only these shares of the fleet-wide limits are used, because mixers may disagree on the members. The shares
+	// of the retry budget also leave room for restarted processes.
 	coldAllowanceShare = 0.6
 	retrySlackShare    = 0.4
 	retryRatioShare    = 0.7
 
-	// coldStartupWaitMS is the time after the start without requests to cold backends, after which requests that an
-	// earlier process of this mixer may have sent no longer count.
+	// coldStartupWaitMS is how long a new process waits before it sends requests to cold backends. By then requests
+	// that an earlier process of this mixer may have sent no longer count.
 	coldStartupWaitMS = 1000.0
 )
 
@@ -96,7 +96,7 @@
 type Table struct {
 	settings       Settings
 	config         *config.Table
-	evacuatedZones map[string]uint64
+	evacuatedZones map[string]uint64             // by name; 0 means not evacuated, no other value has a meaning here
 	versionTimes   map[string]superseded.History // by model: when versions of the weights were superseded
 	backends       map[string]*Backend           // by ID
 	backendOrder   []string                      // IDs in the order of the platform's list
@@ -170,9 +170,10 @@
 }
 
 // SetState sets the operator's evacuations and the ordered versions of the models. versions holds, by model, the
-// earliest times at which versions may have been ordered, by this table's clock. A zone that is no longer
-// evacuated is assumed to be cold.
-func (t *Table) SetState(now time.Duration, evacuated, restored map[string]uint64, models map[string]replicated.ModelVersion,
+// earliest times, by this table's clock, at which versions may have been ordered; ordering a version supersedes
+// the earlier ones. A newest version that is missing there counts as ordered long ago. A zone that is no longer evacuated is assumed to be cold; the zones
+// that the operator restored are not needed for that.
+func (t *Table) SetState(now time.Duration, evacuated, _ map[string]uint64, models map[string]replicated.ModelVersion,
 	versions map[string]superseded.History) {
 	for zone := range t.evacuatedZones {
 		if _, ok := evacuated[zone]; !ok {
@@ -239,9 +240,9 @@
 
 // UpdateBackends applies new and changed entries of the list with their phases, and removes backends.
 func (t *Table) UpdateBackends(now time.Duration, changed []BackendInfo, phases map[string]string, removed []string) {
-	first := len(t.backends) == 0
+	isFirstList := len(t.backends) == 0
 	for _, l := range changed {
-		t.setBackend(now, l, phases[l.ID], first)
+		t.setBackend(now, l, phases[l.ID], isFirstList)
 	}
 	for _, id := range removed {
 		delete(t.backends, id)
@@ -249,16 +250,16 @@
 	t.rebuildLookups()
 }
 
-// setBackend adds or updates a backend. first is set for the first list, whose backends were running before this
+// setBackend adds or updates a backend. isFirstList is set for the first list, whose backends were running before this
 // mixer started.
-func (t *Table) setBackend(now time.Duration, l BackendInfo, phase string, first bool) {
+func (t *Table) setBackend(now time.Duration, l BackendInfo, phase string, isFirstList bool) {
 	coldUntil := now + time.Duration(l.ColdMS*float64(time.Millisecond))
 	b := t.backends[l.ID]
 	if b == nil {
 		b = &Backend{}
 		t.backends[l.ID] = b
 		t.backendOrder = append(t.backendOrder, l.ID)
-		if !first { // the backend has just started
+		if !isFirstList { // the backend has just started
 			b.coldUntil = coldUntil
 		}
 	}
@@ -301,8 +302,8 @@
 // BackendCount returns the number of listed backends.
 func (t *Table) BackendCount() int { return len(t.backends) }
 
-// AvoidedCount returns the number of backends that are avoided now after a failure, a refusal or an
-// unexpected instance.
+// AvoidedCount returns the number of backends that are avoided now after a failure, a refusal or a
+// response of the wrong instance or version.
 func (t *Table) AvoidedCount(now time.Duration) (n int) {
 	for _, b := range t.backends {
 		if now < b.avoidUntil {
@@ -325,12 +326,12 @@
 
 // estimatesOf returns the estimates of a service's engines and creates them if needed.
 func (t *Table) estimatesOf(service string) *engineEstimates {
-	l := t.estimates[service]
-	if l == nil {
-		l = &engineEstimates{tokensPerMS: initialTokensPerMS}
-		t.estimates[service] = l
+	e := t.estimates[service]
+	if e == nil {
+		e = &engineEstimates{tokensPerMS: initialTokensPerMS}
+		t.estimates[service] = e
 	}
-	return l
+	return e
 }
 
 // movingMean returns an exponential moving mean after a sample. A mean of 0 or NaN is replaced by the sample.
--- a/internal/kvindex/evictions.go
+++ b/internal/kvindex/evictions.go
@@ -25,6 +25,7 @@
 	l.counts[k]++
 }
 
+// decrement removes one of the entries of a key from the counts.
 func (l *evictionLog) decrement(k Key) {
 	if l.counts[k]--; l.counts[k] <= 0 {
 		delete(l.counts, k)
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -11,8 +11,9 @@
 )
 
 // Key identifies a cached prompt part: a hash of its cache salt, model and part ID. A key only has to
-// be unique within one backend, which caches a few thousand parts at most, so 32 bits suffice. Short
-// keys matter because changes of keys are most of the traffic between agents.
+// be unique within one backend, which caches a few thousand parts at most, so 32 bits suffice. A
+// collision between backends in the record of evictions only blurs an estimate. Short keys matter
+// because changes of keys are most of the traffic between agents.
 type Key uint32
 
 // Part is one part of a prompt. The parts of a prompt are ordered.
@@ -44,7 +45,7 @@
 // Cursor is a position in a backend's cache events.
 type Cursor struct {
 	Epoch int64 `cbor:"1,keyasint"` // identifies the backend's cache; changes with each restart
-	Next  int64 `cbor:"2,keyasint"` // token of the next page of events
+	Next  int64 `cbor:"2,keyasint"` // position of the next page of events, as the backend gave it; 0 is the beginning
 }
 
 // Batch is an update of one backend's cached parts: the changes between two cursors, or a snapshot.
@@ -72,42 +73,46 @@
 // New returns an empty index.
 func New() *Index { return &Index{backends: map[string]*backendParts{}} }
 
-// Apply applies a batch to the index. It returns false if the batch leaves a gap after the known
-// cursor or if the digests differ; the caller then needs a snapshot of the backend. A batch that ends
+// Apply applies a batch to the index. It returns false if the batch does not continue from
+// the known cursor, if the backend is not known or if the digests differ; the caller then needs a snapshot of the backend. A batch that ends
 // at or before the known cursor is ignored, and Apply returns true.
+//
+// A snapshot, or a batch from the beginning of a new epoch, replaces the backend's parts. The parts that
+// it replaces are not recorded as evictions.
 func (x *Index) Apply(b *Batch) bool {
-	h := x.backends[b.Backend]
-	if b.Snapshot || h == nil && b.From.Next == 0 || h != nil && b.From.Next == 0 && h.cursor.Epoch != b.To.Epoch {
-		h = &backendParts{parts: make(map[Key]int32, len(b.Changes))}
-		x.backends[b.Backend] = h
-	} else if h == nil {
+	p := x.backends[b.Backend]
+	if b.Snapshot || p == nil && b.From.Next == 0 || p != nil && b.From.Next == 0 && p.cursor.Epoch != b.To.Epoch {
+		p = &backendParts{parts: make(map[Key]int32, len(b.Changes))}
+		x.backends[b.Backend] = p
+	} else if p == nil {
 		return false
-	} else if h.cursor != b.From {
-		return h.cursor.Epoch == b.To.Epoch && h.cursor.Next >= b.To.Next // already applied
+	} else if p.cursor != b.From {
+		return p.cursor.Epoch == b.To.Epoch && p.cursor.Next >= b.To.Next // already applied
 	}
 	for _, c := range b.Changes {
-		if x.evictions != nil && c.Tokens <= 0 && h.parts[c.Key] > 0 {
+		if x.evictions != nil && c.Tokens <= 0 && p.parts[c.Key] > 0 {
 			x.evictions.add(c.Key)
 		}
-		h.set(c)
+		p.set(c)
 	}
-	h.cursor = b.To
-	return b.Digest == 0 || b.Digest == h.digest
+	p.cursor = b.To
+	return b.Digest == 0 || b.Digest == p.digest
 }
 
-func (h *backendParts) set(c Change) {
-	if old, ok := h.parts[c.Key]; ok {
-		h.digest ^= entryDigest(c.Key, int(old))
+func (p *backendParts) set(c Change) {
+	if old, ok := p.parts[c.Key]; ok {
+		p.digest ^= entryDigest(c.Key, int(old))
 	}
 	if c.Tokens <= 0 {
-		delete(h.parts, c.Key)
+		delete(p.parts, c.Key)
 		return
 	}
-	h.parts[c.Key] = int32(c.Tokens)
-	h.digest ^= entryDigest(c.Key, c.Tokens)
+	p.parts[c.Key] = int32(c.Tokens)
+	p.digest ^= entryDigest(c.Key, c.Tokens)
 }
 
 // entryDigest returns the digest of one cached part. A backend's digest is the XOR over its parts.
+// The parts are mixed with the constants of splitmix64.
 func entryDigest(k Key, tokens int) uint64 {
 	v := uint64(k) ^ uint64(tokens)*0x9e3779b97f4a7c15
 	v ^= v >> 29
@@ -118,29 +123,29 @@
 // Cursor returns the position up to which a backend's events are applied, and whether the backend is
 // known.
 func (x *Index) Cursor(backend string) (Cursor, bool) {
-	h := x.backends[backend]
-	if h == nil {
+	p := x.backends[backend]
+	if p == nil {
 		return Cursor{}, false
 	}
-	return h.cursor, true
+	return p.cursor, true
 }
 
 // Digest returns the digest of a backend's cached parts, 0 if the backend is not known.
 func (x *Index) Digest(backend string) uint64 {
-	if h := x.backends[backend]; h != nil {
-		return h.digest
+	if p := x.backends[backend]; p != nil {
+		return p.digest
 	}
 	return 0
 }
 
 // Snapshot returns a batch with all known parts of a backend, nil if the backend is not known.
 func (x *Index) Snapshot(backend string) *Batch {
-	h := x.backends[backend]
-	if h == nil {
+	p := x.backends[backend]
+	if p == nil {
 		return nil
 	}
-	b := &Batch{Backend: backend, From: h.cursor, To: h.cursor, Snapshot: true, Digest: h.digest}
-	for k, tokens := range h.parts {
+	b := &Batch{Backend: backend, From: p.cursor, To: p.cursor, Snapshot: true, Digest: p.digest}
+	for k, tokens := range p.parts {
 		b.Changes = append(b.Changes, Change{Key: k, Tokens: int(tokens)})
 	}
 	return b
@@ -154,8 +159,8 @@
 
 // PartCount returns the number of cached parts over all backends.
 func (x *Index) PartCount() (n int) {
-	for _, h := range x.backends {
-		n += len(h.parts)
+	for _, p := range x.backends {
+		n += len(p.parts)
 	}
 	return n
 }
@@ -164,12 +169,12 @@
 // The prefix ends at the first part that is missing or only partly cached; the cached tokens of that
 // part count.
 func (x *Index) PrefixTokens(backend string, keys []Key, parts []Part) (tokens int) {
-	h := x.backends[backend]
-	if h == nil {
+	p := x.backends[backend]
+	if p == nil {
 		return 0
 	}
 	for i, k := range keys {
-		cached := min(int(h.parts[k]), parts[i].Tokens)
+		cached := min(int(p.parts[k]), parts[i].Tokens)
 		tokens += cached
 		if cached < parts[i].Tokens {
 			break
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
 // Package metrics serves a program's metrics over HTTP in the Prometheus text exposition format. A
-// program keeps running if its metrics can't be served.
+// caller should log an error of this package and keep running.
 package metrics
 
 import (
@@ -21,7 +21,7 @@
 	maxPort         = 65535
 )
 
-// Endpoint is where metrics are served, on an address of the machine.
+// Endpoint is the port and path at which metrics are served. Listen takes the IP address.
 type Endpoint struct {
 	Port int
 	Path string // begins with a slash
@@ -77,7 +77,7 @@
 func Listen(ip string, endpoint Endpoint) (net.Listener, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(endpoint.Port)))
 	if err != nil {
-		return nil, merry.Prepend(err, "metrics: listen")
+		return nil, merry.Prepend(err, "metrics: listen on "+net.JoinHostPort(ip, strconv.Itoa(endpoint.Port)))
 	}
 	return listener, nil
 }
@@ -88,7 +88,7 @@
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(listener); ctx.Err() == nil {
-		return merry.Prepend(err, "metrics: serve")
+		return merry.Prepend(err, "metrics: serve on "+listener.Addr().String())
 	}
 	return nil
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -17,10 +17,11 @@
 	writeTimeout = 600 * time.Millisecond
 )
 
-// ErrClosed is returned when a connection or client is closed before a call's reply arrives.
+// ErrClosed is returned when the connection fails or the client is closed before a call's reply arrives.
 var ErrClosed = errors.New("connection closed")
 
-// RemoteError is an error that the peer's handler returned.
+// RemoteError is an error that the peer's handler returned. Its text is the handler's, without the call
+// and the peer.
 type RemoteError struct{ Message string }
 
 func (e *RemoteError) Error() string { return e.Message }
@@ -67,7 +68,7 @@
 	startedAt := time.Now()
 	connection, err := c.connect(ctx)
 	if err != nil {
-		return merry.Prepend(err, "rpc: call "+kind+" at "+c.addr+": dial")
+		return merry.Prepend(err, "rpc: call "+kind+" at "+c.addr+": connect")
 	}
 	body, err := cbor.Marshal(request)
 	if err != nil {
@@ -116,7 +117,7 @@
 func (c *Client) SendEncoded(ctx context.Context, message EncodedMessage) error {
 	connection, err := c.connect(ctx)
 	if err != nil {
-		return merry.Prepend(err, "rpc: send to "+c.addr+": dial")
+		return merry.Prepend(err, "rpc: send to "+c.addr+": connect")
 	}
 	if err := connection.writeBytes(ctx, message); err != nil {
 		c.discard(connection)
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -24,6 +24,7 @@
 // compressedFlag is the bit of the length prefix that marks a compressed frame.
 const compressedFlag = 1 << 31
 
+// The constructors fail only for invalid options.
 var (
 	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(256<<10), zstd.WithLowerEncoderMem(true))
 	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxFrameBytes), zstd.WithDecoderLowmem(true))
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -59,7 +59,7 @@
 }
 
 // Post queues a one-way message for the peer at addr and returns immediately. Messages to one peer
-// are sent in order; some may be lost.
+// are sent in order. A message is dropped silently if the outbox is full or the peer is unreachable.
 func (p *Pool) Post(addr, kind string, message any) {
 	p.enqueue(addr, queuedMessage{kind: kind, message: message})
 }
@@ -85,7 +85,8 @@
 	}
 }
 
-// sendQueued sends the messages of one outbox until the pool is closed.
+// sendQueued sends the messages of one outbox until the pool is closed. dialTimeout limits each send as a
+// whole, with the dial if there is no connection.
 func (p *Pool) sendQueued(addr string, queue chan queuedMessage) {
 	client := p.Client(addr)
 	for {
@@ -103,7 +104,7 @@
 	}
 }
 
-// drainQueue drops all messages in the queue of an unreachable peer: they would be outdated by the
+// dropQueued drops all messages in the queue of an unreachable peer: they would be outdated by the
 // time the peer can be reached again.
 func dropQueued(queue chan queuedMessage) {
 	for {
@@ -116,7 +117,7 @@
 }
 
 // Retain closes and removes the clients of peers whose address isn't in addrs. Clients that have an
-// outbox are kept.
+// outbox are kept, because the goroutine of the outbox uses them.
 func (p *Pool) Retain(addrs map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -15,7 +15,8 @@
 type Handler func(ctx context.Context, kind string, body []byte) (any, error)
 
 // Serve accepts connections and serves their messages with handle until the listener is closed.
-// It returns the error of the failed Accept.
+// It returns the error of the failed Accept. Errors of a connection are not reported: the connection is
+// closed, and the peer sees that.
 func Serve(listener net.Listener, handle Handler) error {
 	for {
 		conn, err := listener.Accept()
--- a/internal/rpc/user_timeout.go
+++ b/internal/rpc/user_timeout.go
@@ -8,12 +8,13 @@
 )
 
 // tcpUserTimeout is how long sent bytes may stay unacknowledged by the peer. Without it a connection
-// to a machine that lost power or is partitioned keeps accepting writes for many seconds. These
-// messages are lost, even if the machine comes back.
+// to a machine that lost power or is partitioned keeps accepting writes for many seconds. What
+// is written in that time is lost, even if the machine comes back.
 const tcpUserTimeout = 900 * time.Millisecond
 
 // setTCPUserTimeout makes the kernel close a TCP connection whose peer doesn't acknowledge sent bytes
-// within tcpUserTimeout. It does nothing for other connections.
+// within tcpUserTimeout. It does nothing for other connections. Errors are ignored: without the
+// timeout the connection still works.
 func setTCPUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/settings/local/local.go
+++ b/internal/settings/local/local.go
@@ -40,14 +40,14 @@
 	LinkMbps              float64 // bandwidth of the machine's link; 0 if not set
 	CloudAddr             string
 	CloudRate             float64       // calls per second to the cloud API, summed over all processes
-	CloudLag              time.Duration // until the cloud API shows a change
-	MachineFaultTolerance int           // concurrent failures that keep the contracts
-	ZoneFaultTolerance    int           // likewise for zones
+	CloudLag              time.Duration // maximum delay until the cloud API shows a change
+	MachineFaultTolerance int           // machines that may fail at once while the contracts still hold
+	ZoneFaultTolerance    int           // zones that may fail at once while the contracts still hold
 	Bounds                Bounds
 }
 
-// Bounds are the limits that the contracts in force set. Each is named after its field in the settings
-// file, which begins with bounds.
+// Bounds are the limits that the contracts in force set. The fields are those of the settings
+// file with the prefix "bounds.".
 type Bounds struct {
 	Contact          time.Duration
 	Ack              time.Duration
@@ -56,8 +56,8 @@
 	Grace            time.Duration // for a graceful shutdown
 	ConfigApply      time.Duration
 	Evacuation       time.Duration
-	Lease            time.Duration // between two holders of a duty, unless Fenced
-	Version          time.Duration // until no request may begin on an old version
+	Lease            time.Duration // minimum time between two holders of a duty, unless Fenced
+	Version          time.Duration // from when a version of the weights is superseded until no response may begin on it
 	BudgetWindow     time.Duration // over which the retry budget is counted
 	RetryBudgetRatio float64       // retries per request
 	RetryBudgetSlack float64       // retries per window in addition
@@ -161,9 +161,9 @@
 	return ip + ":" + strconv.Itoa(s.FirstPort)
 }
 
-// LoopbackAddr returns the address at which an agent serves the proxy on the same machine. If machines
-// are simulated by loopback addresses of one host, 127.0.0.1 would be shared, so each machine uses its
-// own IP address.
+// LoopbackAddr returns the address at which an agent serves the proxy on the same machine. The port is the
+// second internal one. In tests, machines are loopback addresses of one host and would share 127.0.0.1, so
+// each machine uses its own IP address.
 func (s *Settings) LoopbackAddr() string {
 	ip := "127.0.0.1"
 	if strings.HasPrefix(s.IP, "127.") {
--- a/internal/trial/switches.go
+++ b/internal/trial/switches.go
@@ -13,8 +13,8 @@
 
 var disabled, scales = parse(switches)
 
-// parse parses a list of switches: `name` disables a mechanism, `name=factor` scales a constant. It
-// panics on an invalid switch, because the trial would otherwise measure an unchanged program.
+// parse parses a list of switches. An item `name` disables a mechanism, an item `name=factor`
+// scales a constant. parse panics on an invalid switch, because the trial would otherwise measure an unchanged program.
 func parse(switches string) (disabled map[Mechanism]bool, scales map[Constant]float64) {
 	disabled, scales = map[Mechanism]bool{}, map[Constant]float64{}
 	for _, m := range Mechanisms {
@@ -45,7 +45,7 @@
 
 func requireKnown[K ~string, V any](known map[K]V, name K) {
 	if _, ok := known[name]; !ok {
-		panic("trial: unknown switch " + string(name))
+		panic("trial: parse switch " + string(name) + ": unknown mechanism to disable or constant to scale")
 	}
 }
 
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -1,5 +1,5 @@
 // Package trial lets a trial build disable one mechanism of the fleet, or scale one constant, so that the
-// mechanism's effect can be measured by simulating the same days with and without it. A trial build has
+// mechanism's effect can be measured by running the same simulated scenarios with and without it. A trial build has
 // the build tag `trial` and sets its switches at link time:
 //
 //	go build -tags trial -ldflags "-X nettlefold/internal/trial.switches=copy-price,attention=0.5" ./cmd/nettlefold
@@ -8,7 +8,7 @@
 // so a production build contains no switches.
 package trial
 
-// Mechanism is a part of a decision that can be disabled. Its value is the name of its switch.
+// Mechanism is a mechanism of the fleet that can be disabled. Its value is the name of its switch.
 type Mechanism string
 
 // The mechanisms that can be disabled.
@@ -45,39 +45,39 @@
 	SaveOnlyIfFaster Mechanism = "save-by-links"
 	// LinkQueue learns how long fetches queue behind unreported transfers on a link.
 	LinkQueue Mechanism = "link-wait"
-	// SecondOwner lets the second backend in a prompt's rendezvous ranking prefill it at half the weight.
+	// SecondPreferredBackend lets the second backend in a prompt's rendezvous ranking prefill it at half the weight.
 	SecondPreferredBackend Mechanism = "second-owner"
 )
 
-// Mechanisms lists all mechanisms in the order in which tables show them.
+// Mechanisms lists all mechanisms in the order of result tables.
 var Mechanisms = []Mechanism{
 	DuplicatePrefillWeight, ShortPrefillFirst, CostJitter, LearnedPrefillSpeed, StoreSave, PrefillInsteadOfFetch,
 	SeparateLoadUpdates, NearestHolders, CopyPenalty, MemoryPressure, OldVersionPenalty, AdmissionControl, SecondPreferredBackend,
 	LearnWhenNearlyIdle, SaveOnlyIfFaster, LinkQueue,
 }
 
-// Constant is a constant of the cost estimate that can be scaled. Its value is the name of its switch.
+// Constant is a constant that can be scaled. Its value is the name of its switch.
 type Constant string
 
 // The constants that can be scaled.
 const (
-	// Attention is the attention time in ms per million pairs of tokens.
+	// Attention scales the attention time in ms per million pairs of tokens.
 	Attention Constant = "attention"
-	// RunningCost is the delay in ms that each running request adds.
+	// RunningCost scales the delay in ms that each running request adds.
 	RunningCost Constant = "running"
-	// MemoryPressureCost is the delay in ms that a full KV cache adds.
+	// MemoryPressureCost scales the delay in ms that a full KV cache adds.
 	MemoryPressureCost Constant = "crowded"
-	// FetchBase is the fixed time of a fetch in ms.
+	// FetchBase scales the fixed time of a fetch in ms.
 	FetchBase Constant = "fetch-base"
-	// CopyCost is the cost of a second copy of a part.
+	// CopyCost scales the cost of a second copy of a part.
 	CopyCost Constant = "copy-cost"
-	// RolloutConcurrency is the number of backends that load new weights at the same time.
+	// RolloutConcurrency scales the number of backends that load new weights at the same time.
 	RolloutConcurrency Constant = "at-once"
-	// DuplicatePrefillCost is the weight of prefilling shared parts that another backend holds.
+	// DuplicatePrefillCost scales the weight of prefilling shared parts that another backend holds.
 	DuplicatePrefillCost Constant = "reread"
 )
 
-// Constants lists all constants in the order in which tables show them.
+// Constants lists all constants in the order of result tables.
 var Constants = []Constant{
 	Attention, RunningCost, MemoryPressureCost, FetchBase, CopyCost, RolloutConcurrency, DuplicatePrefillCost,
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -3,7 +3,7 @@
 // upload is the writing of one request to its connection. It may run concurrently with the reading of
 // the response.
 type upload struct {
-	done    chan struct{} // closed when the write has finished; guards the fields below
+	done    chan struct{} // closed when the write has finished; the fields below may be read only after that
 	written int           // bytes
 	err     error
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,7 +23,7 @@
 const (
 	// RequestIDHeader identifies a request. The backend repeats it in the response.
 	RequestIDHeader = "X-Request-Id"
-	// DeadlineHeader tells a backend how long the response is waited for, in milliseconds.
+	// DeadlineHeader tells a backend how long the caller still waits for the response, in milliseconds.
 	DeadlineHeader = "X-Request-Deadline-Ms"
 
 	dialTimeout = 700 * time.Millisecond
@@ -262,17 +262,18 @@
 			return nil, &Error{NotSent, "dial", p.addr, err}
 		}
 	}
-	stopCancel := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	// A deadline in the past aborts reads and writes on the connection.
+	unwatchContext := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	response, err := p.exchange(c, r)
 	if err != nil {
-		stopCancel()
+		unwatchContext()
 		p.closeConn(c)
 		if ctx.Err() != nil {
 			err.Err = ctx.Err()
 		}
 		return nil, err
 	}
-	response.Body = &body{ReadCloser: response.Body, response: response, unwatchContext: stopCancel}
+	response.Body = &body{ReadCloser: response.Body, response: response, unwatchContext: unwatchContext}
 	return response, nil
 }
 
@@ -308,7 +309,7 @@
 	}
 }
 
-// stageAfter returns the stage of a request of which so many bytes were written.
+// stageAfter returns the stage of a request that failed after the given number of bytes was written.
 func stageAfter(written int) Stage {
 	if written == 0 {
 		return NotSent
@@ -332,7 +333,7 @@
 	return finished && err == nil && !c.gotStaleResponse
 }
 
-// excludedHeaders are the fields of Request.Header that encode replaces by its own if the request has a
+// excludedHeaders are the fields of Request.Header that encode writes itself if the request has a
 // deadline.
 var excludedHeaders = map[string]bool{DeadlineHeader: true}
 
@@ -361,7 +362,7 @@
 type body struct {
 	io.ReadCloser
 	response       *Response
-	unwatchContext func() bool // stops the cancellation by the request's context
+	unwatchContext func() bool // stops the abort of the connection when the request's context is done
 	finished       bool
 }
 
