--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -28,13 +28,13 @@
 	Kind            string          `json:"kind"`
 	TimeoutMS       float64         `json:"timeout_ms"`
 	TargetLatencyMS float64         `json:"target_latency_ms"`
-	GapAimMS        float64         `json:"gap_aim_ms"`
-	Priority        int             `json:"priority"`
+	GapAimMS        float64         `json:"gap_aim_ms"` // target time between streamed tokens
+	Priority        int             `json:"priority"`   // 0 is the most urgent
 	MaxAttempts     int             `json:"max_attempts"`
 	Public          bool            `json:"public"` // requests need no API key
 	Sticky          bool            `json:"sticky"`
-	Resumable       bool            `json:"resumable"`
-	Service         string          `json:"service"` // unless Split is set
+	Resumable       bool            `json:"resumable"` // a streaming request may run more than once
+	Service         string          `json:"service"`   // unless Split is set
 	Split           []ServiceWeight `json:"traffic_split"`
 }
 
@@ -62,7 +62,7 @@
 type Engine struct {
 	Slots            int     `json:"slots"`
 	KVCapacityTokens int64   `json:"kv_capacity_tokens"`
-	KVTokenBytes     float64 `json:"kv_token_bytes"`
+	KVTokenBytes     float64 `json:"kv_token_bytes"` // size of the KV cache per token
 	LinkMbps         float64 `json:"link_mbps"`
 	MaxConcurrency   int     `json:"max_concurrency"`
 	Models           []Model `json:"models"`
@@ -77,7 +77,7 @@
 type Tenant struct {
 	Name     string   `json:"name"`
 	APIKeys  []string `json:"api_keys"`
-	Priority int      `json:"priority"`
+	Priority int      `json:"priority"` // 0 is the most urgent, before the priority of the route
 	Isolated bool     `json:"isolated"`
 }
 
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -72,7 +72,7 @@
 	}
 	body, err := cbor.Marshal(request)
 	if err != nil {
-		return err
+		return merry.Prepend(err, "rpc: call "+kind+" at "+c.addr+": encode request")
 	}
 	replies := make(chan *envelope, 1)
 	id, err := connection.register(replies)
--- a/internal/settings/local/local.go
+++ b/internal/settings/local/local.go
@@ -30,15 +30,15 @@
 	FirstPort             int               // of the internal port range
 	LastPort              int               // of the internal port range
 	Seeds                 []string          // control addresses of known controllers
-	FirstStart            bool
+	FirstStart            bool              // never run before, so that an empty data directory is not a loss of data
 	CountsForQuorum       bool
 	DataDirectory         string
 	Contracts             []string // names of the contracts that are in force
 	MemoryMB              int
 	DiskMB                int // 0 if not set
 	FileDescriptors       int
-	LinkMbps              float64 // bandwidth of the machine's link; 0 if not set
-	CloudAddr             string
+	LinkMbps              float64       // bandwidth of the machine's link; 0 if not set
+	CloudAddr             string        // of the cloud API, which lists the backends
 	CloudRate             float64       // calls per second to the cloud API, summed over all processes
 	CloudLag              time.Duration // maximum delay until the cloud API shows a change
 	MachineFaultTolerance int           // machines that may fail at once while the contracts still hold
@@ -97,7 +97,7 @@
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes([]byte(text))
 	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("settings: parse: %w", err)
 	}
 	p := &parser{values: values}
 	s := &Settings{
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -27,7 +27,8 @@
 	DeadlineHeader = "X-Request-Deadline-Ms"
 
 	dialTimeout = 700 * time.Millisecond
-	// defaultIdleTimeout applies if the backend doesn't send a keep-alive timeout.
+	// defaultIdleTimeout applies if the backend doesn't send a keep-alive timeout. It is short, because the
+	// backend may close an idle connection at any time.
 	defaultIdleTimeout = 700 * time.Millisecond
 	// idleTimeoutMargin is subtracted from the keep-alive timeout that the backend sends, so that a
 	// connection isn't reused while the backend closes it.
@@ -290,7 +291,7 @@
 			c.Close()
 			n, _ := c.upload.wait()
 			if skipped > 0 {
-				err = errors.Join(ErrResponseMismatch, err)
+				err = errors.Join(ErrResponseMismatch, err) // responses to other requests came first
 			}
 			return nil, &Error{stageAfter(n), "read", p.addr, err}
 		}
