--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -12,7 +12,7 @@
 
 // candidate is the estimated cost of serving a request at one backend.
 type candidate struct {
-	costMS    float64 // expected time to the first token, plus all other costs as ms
+	costMS    float64 // expected time to the first token, plus the other costs, converted to ms of delay
 	prefillMS float64 // expected time to prefill the prompt
 	waitMS    float64 // expected time in the queue before the prefill
 	version   int64   // of the backend's weights
@@ -22,21 +22,21 @@
 
 // costJitterMS returns the range of the random cost that is added to each backend. It is the mean delay beyond
 // the estimate, which comes from requests of other mixers that are not reported yet.
-func (l *engineEstimates) costJitterMS() float64 {
+func (e *engineEstimates) costJitterMS() float64 {
 	if trial.Disabled(trial.CostJitter) {
 		return 0
 	}
-	return l.unexpectedDelayMS
+	return e.unexpectedDelayMS
 }
 
-// firstByteDeadline returns the time after which no response may begin on a version of the weights, 0 if there
-// is no limit.
+// firstByteDeadline returns the time at which a request on a version of the weights is withdrawn if it has no
+// first byte, 0 if there is no limit. The deadline lies a margin before Settings.VersionLimit.
 func (t *Table) firstByteDeadline(model string, version int64) time.Duration {
-	since, superseded := t.versionTimes[model].Since(version)
+	supersededAt, superseded := t.versionTimes[model].Since(version)
 	if !superseded {
 		return 0
 	}
-	return since + time.Duration(versionFirstByteShare*float64(t.settings.VersionLimit))
+	return supersededAt + time.Duration(versionFirstByteShare*float64(t.settings.VersionLimit))
 }
 
 // FirstByteDeadline returns the time by which the response of a choice must begin, 0 if there is no limit. The
@@ -49,15 +49,16 @@
 }
 
 // duplicatePrefillTokens returns the weighted number of shared tokens that the backend would prefill although
-// they belong on another one. It is 0 for the first backend in the prompt's rendezvous ranking, to which all
+// another backend ranks first for the prompt. It is 0 for the first backend in the prompt's rendezvous ranking, to which all
 // mixers send parts that are cached nowhere, and for a backend that prefills the parts already.
 func (s *selection) duplicatePrefillTokens(now time.Duration, b *Backend, p *candidate, prefixTokens int) float64 {
-	if s.sharedTokens <= prefixTokens || slices.Contains(s.owners[:min(1, len(s.owners))], b.ID) ||
+	if s.sharedTokens <= prefixTokens || slices.Contains(s.preferredBackends[:min(1, len(s.preferredBackends))], b.ID) ||
 		b.isPrefilling(now, p.prompt.keys, s.request) {
 		return 0
 	}
 	weight := duplicatePrefillWeight()
-	if slices.Contains(s.owners, b.ID) && !trial.Disabled(trial.SecondOwner) {
+	// The second backend in the ranking may prefill the parts too, at half the weight.
+	if slices.Contains(s.preferredBackends, b.ID) && !trial.Disabled(trial.SecondPreferredBackend) {
 		weight /= 2
 	}
 	return weight * float64(s.sharedTokens-prefixTokens)
@@ -80,9 +81,9 @@
 	return tokens
 }
 
-// rankOwners returns the first backends in the rendezvous ranking of the request's shared prefix, nil if the
+// rankPreferred returns the first backends in the rendezvous ranking of the request's shared prefix, nil if the
 // request shares nothing.
-func (t *Table) rankOwners(r *Request, eligible []*Backend) []string {
+func (t *Table) rankPreferred(r *Request, eligible []*Backend) []string {
 	if len(r.Parts) < 2 {
 		return nil
 	}
@@ -90,14 +91,14 @@
 	for i, b := range eligible {
 		ids[i] = b.ID
 	}
-	return rendezvous.Top(r.IsolatedTenant+"/"+r.Parts[len(r.Parts)-2].ID, ids, ownersPerPrompt)
+	return rendezvous.Top(r.IsolatedTenant+"/"+r.Parts[len(r.Parts)-2].ID, ids, preferredPerPrompt)
 }
 
 // isPrefilling reports whether the backend is assumed to prefill all shared parts of a request for another
 // request of this mixer.
 func (b *Backend) isPrefilling(now time.Duration, keys []kvindex.Key, r *Request) bool {
 	for i := range len(r.Parts) - 1 {
-		if b.prefilling[keys[i]] <= now {
+		if b.prefillingUntil[keys[i]] <= now {
 			return false
 		}
 	}
@@ -106,18 +107,18 @@
 
 // markPrefilling records that a request of this mixer makes the backend prefill parts.
 func (b *Backend) markPrefilling(now time.Duration, keys []kvindex.Key) {
-	if b.prefilling == nil {
-		b.prefilling = map[kvindex.Key]time.Duration{}
+	if b.prefillingUntil == nil {
+		b.prefillingUntil = map[kvindex.Key]time.Duration{}
 	}
-	if len(b.prefilling) > maxPrefillingKeys {
-		for k, until := range b.prefilling {
+	if len(b.prefillingUntil) > maxPrefillingKeys {
+		for k, until := range b.prefillingUntil {
 			if until <= now {
-				delete(b.prefilling, k)
+				delete(b.prefillingUntil, k)
 			}
 		}
 	}
 	for _, k := range keys {
-		b.prefilling[k] = now + prefillingTTL
+		b.prefillingUntil[k] = now + prefillingTTL
 	}
 }
 
@@ -127,7 +128,7 @@
 	if over <= 0 || s.Engine.KVCapacityTokens == 0 || trial.Disabled(trial.MemoryPressure) {
 		return 0
 	}
-	return memoryPressureMS * trial.Scale(trial.MemoryPressureCost) * over / float64(s.Engine.KVCapacityTokens)
+	return memoryPressureMSPerCapacity * trial.Scale(trial.MemoryPressureCost) * over / float64(s.Engine.KVCapacityTokens)
 }
 
 // outdated reports whether a newer version of a model is ordered.
