--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,9 @@
-// Package admin serves the read-only HTTP admin API of a mixer on a listener of its own: metrics, the state of
-// sharing, fleet, control tier and subset, the settings in force, and why a searcher receives no parts. No
-// lookup passes through it.
+// Package admin serves the read-only HTTP admin API of a mixer on a listener of its own: metrics, the settings
+// in force, and why a searcher receives no parts. It also serves the state of the sharing of statistics
+// through a shared store, of the fleet of mixers, of the connection to the control tier, and of the subset of
+// searchers in use. No lookup passes through it.
+//
+// A mixer is a load balancer that sends the parts of each lookup to searchers, its backends.
 package admin
 
 import (
@@ -21,8 +24,9 @@
 	"nettlefold/mixer"
 )
 
-// Router reports the state of a searcher and whether it is listed.
+// Router provides the state of the searchers.
 type Router interface {
+	// Standing returns the state of a searcher, and whether it is in the member list.
 	Standing(searcher string) (routing.Standing, bool)
 }
 
@@ -30,7 +34,7 @@
 // that part: its path answers 404, and its metrics are missing.
 type Server struct {
 	Router   Router
-	Sharing  interface{ State() store.State } // shared store
+	Sharing  interface{ State() store.State } // exchange of statistics with other mixers through a shared store
 	Fleet    *Fleet                           // other mixers
 	Control  func() any                       // state of the connection to the relays of the control tier
 	Settings func() any                       // settings in force
@@ -109,9 +113,11 @@
 }
 
 // Reasons describes why a searcher currently receives no or fewer parts. It returns nil if there is no reason.
+// The allowance is the warm-up quota of a cold searcher, which a mixer may lend to others. A searcher is
+// reported as slow if a forward to it takes more than 1.5 times the average time of the fleet.
 func Reasons(st routing.Standing) (reasons []string) {
 	add := func(format string, args ...any) { reasons = append(reasons, fmt.Sprintf(format, args...)) }
-	duration := func(ns int64) string { return time.Duration(ns).Round(time.Millisecond).String() }
+	duration := func(nanos int64) string { return time.Duration(nanos).Round(time.Millisecond).String() }
 	switch st.Status {
 	case mixer.Draining:
 		add("the list says that it is draining")
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -9,7 +9,8 @@
 	"nettlefold/internal/conns"
 )
 
-// writeConnectionMetrics writes the metrics of the connections to searchers, all from one snapshot.
+// writeConnectionMetrics writes the metrics of the connections to searchers, all from one snapshot. The
+// metric comparisons_total counts the comparisons of connections that the decisions of the pool took.
 func writeConnectionMetrics(w io.Writer, st conns.Stats) {
 	const prefix = "nettlefold_connections_"
 	metrics.WriteGaugeUint64(w, prefix+"open", uint64(st.Open))
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -13,7 +13,7 @@
 	Roster interface {
 		Self() roster.Life
 		Members() []roster.Member
-		Now() int64
+		Now() int64 // in ns, on the clock of the times of the members
 	}
 	Tables []Table
 }
@@ -26,15 +26,15 @@
 
 // memberStatus is the JSON form of a member of the fleet.
 type memberStatus struct {
-	Name  string `json:"name"`
-	Life  string `json:"life"` // hexadecimal
-	Site  string `json:"site"`
-	Build string `json:"build"`
-	State string `json:"state"`
-	Why   string `json:"why,omitempty"` // why the member is gone
-	Term  uint32 `json:"term"`
-	Heard int64  `json:"heard_ms"` // time since it was last heard, in ms; -1 if never
-	Since int64  `json:"state_ms"` // time in its current state, in ms
+	Name             string `json:"name"`
+	Life             string `json:"life"` // incarnation ID of the process, hexadecimal
+	Site             string `json:"site"`
+	Build            string `json:"build"`
+	State            string `json:"state"`
+	Why              string `json:"why,omitempty"` // why the member is gone
+	Term             uint32 `json:"term"`          // incarnation number
+	SinceHeardMillis int64  `json:"heard_ms"`      // time since the last message from it; 0 for this mixer, -1 if never
+	InStateMillis    int64  `json:"state_ms"`      // time in its current state
 }
 
 // tableStatus is the JSON form of a Table.
@@ -57,12 +57,13 @@
 	millisSince := func(at int64) int64 { return max(0, time.Duration(now-at).Milliseconds()) }
 	for _, m := range f.Roster.Members() {
 		member := memberStatus{Name: m.Name, Life: fmt.Sprintf("%016x", m.Life.Life), Site: m.Site, Build: m.Build,
-			State: m.State.String(), Why: m.Why.String(), Term: m.Term, Heard: -1, Since: millisSince(m.At)}
+			State: m.State.String(), Why: m.Why.String(), Term: m.Term, SinceHeardMillis: -1,
+			InStateMillis: millisSince(m.At)}
 		if m.Heard > 0 {
-			member.Heard = millisSince(m.Heard)
+			member.SinceHeardMillis = millisSince(m.Heard)
 		}
 		if m.Life.Life == self.Life {
-			member.Heard = 0
+			member.SinceHeardMillis = 0
 			status.Self = member
 		}
 		status.Members = append(status.Members, member)
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -16,7 +16,7 @@
 	Name, Listen, Discovery string
 	Seed                    int64
 	Mixer                   mixer.Config
-	TariffRows, TenantRows  map[string]int // index of each tariff; row of each tenant, from 1
+	TariffRows, TenantRows  map[string]int // by name: index of the request profile, from 0; tenant, from 1
 	Limits                  charter.Limits
 	KnownMembers            MemberList
 
@@ -32,8 +32,8 @@
 	Seed      string `json:"seed"`
 	Limits    struct {
 		Cores   float64 `json:"cores"`
-		Memory  float64 `json:"memory_mb"`
-		Sockets int     `json:"sockets"`
+		Memory  float64 `json:"memory_mb"` // in MiB
+		Sockets int     `json:"sockets"`   // limit of open file descriptors
 	} `json:"limits"`
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
@@ -115,8 +115,8 @@
 // Overlay returns the configuration with a settings document applied to the initial settings, never to
 // those of an earlier document: each document is complete by itself. charter.Settings.Overlay describes
 // the form of a document and what it may change. Of the limits, only MaxOpenRequests changes: the
-// longest deadline, and with it the time allowed after SIGTERM, stay as at the start, and no document
-// may exceed them. An invalid document yields a *charter.SettingError with path and value, and c unchanged.
+// longest deadline, and with it the time allowed after SIGTERM, keep their initial values, and a document
+// that needs more is rejected. An invalid document yields a *charter.SettingError with path and value, and c unchanged.
 func (c Config) Overlay(document []byte) (Config, error) {
 	settings, err := c.settings.Overlay(document)
 	if err != nil {
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -14,7 +14,9 @@
 	"nettlefold/mixer"
 )
 
-// The types of frames, as the byte that follows the length of each frame.
+// The types of frames, as the byte that follows the length of each frame. The mixer sends queries and
+// cancellations; a searcher sends answers, and an error if it could not use a frame. Either side may send a
+// probe, and a searcher may request the load: the reply is a frame of the same type with a payload.
 const (
 	QueryFrame  = 'Q'
 	CancelFrame = 'X'
@@ -120,11 +122,12 @@
 	return AppendFrame(buf, QueryFrame, payload)
 }
 
-// outcomes maps the outcome field of an answer frame.
+// outcomes maps the END field of an answer frame to its outcome.
 var outcomes = map[string]routing.Outcome{"ok": mixer.Succeeded, "err": mixer.Failed, "busy": mixer.Rejected}
 
 // ReadReply parses the payload of an answer frame. On an error, the reply still has the ID of its part if
-// that could be parsed. The report field is not used, so it is not validated.
+// that could be parsed. The score is validated, but not used; the report
+// is neither.
 func ReadReply(payload []byte) (Reply, error) {
 	line, value, ok := bytes.Cut(payload, []byte{'\n'})
 	fields := bytes.SplitN(line, []byte{' '}, 4)
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -23,7 +23,7 @@
 type Member struct {
 	routing.Entry
 	Address   string    // host:port
-	StartTime time.Time // of its process; zero for long ago
+	StartTime time.Time // of its process: Started as a time; zero for long ago
 }
 
 // MemberList is one message of the member list: a snapshot, or the members that have changed.
--- a/internal/protocol/lookup.go
+++ b/internal/protocol/lookup.go
@@ -1,6 +1,27 @@
 // Package protocol encodes and decodes the messages of a mixer: the lookups of clients and their answers,
 // the frames exchanged with searchers, the member list of the discovery service, and the configuration.
 // It opens no connections itself.
+//
+// A lookup has parts, each of which goes to a searcher, a backend that serves one shard. The terms of the
+// wire protocol and those of the code:
+//
+//	X-Txn                      Lookup.ID
+//	X-Lane                     Lookup.Tariff (request profile)
+//	X-Org                      Lookup.Customer, the row of the tenant
+//	X-Remaining-Ms             Lookup.Expires
+//	X-Resent                   Lookup.Again
+//	shard                      routing.Part.Slice, Part.Shard
+//	weight of a shard          routing.Part.Weight
+//	cost (microseconds)        routing.Part.Effort
+//	END of an answer frame     Reply.Outcome
+//	endpoints                  MemberList.Members
+//	name                       Member.Searcher
+//	group                      Member.Cell
+//	weight of an endpoint      Member.Size
+//	since_ms                   Member.Started, Member.StartTime
+//	SERVING, DRAINING, DELETED mixer.Live, mixer.Draining, mixer.Dead
+//
+// The errors of ReadLookup are sent to the client as the body of the response.
 package protocol
 
 import (
@@ -31,7 +52,7 @@
 	headerTariff    = "X-Lane"
 	headerRemaining = "X-Remaining-Ms"
 	headerResent    = "X-Resent"
-	headerTenant    = "X-Org" // as sent by clients; PROTOCOL does not define it
+	headerTenant    = "X-Org" // sent by clients, but not defined in the PROTOCOL document
 )
 
 // Lookup is the request of a client: the router's view of it, and the query text that every part carries.
@@ -41,7 +62,7 @@
 }
 
 // ReadLookup parses and validates the request of a client, whose first byte arrived at the given time.
-// It rejects whatever PROTOCOL does not allow: accepted values reach the searchers, and a searcher that
+// It rejects whatever the PROTOCOL document of the platform does not allow: accepted values reach the searchers, and a searcher that
 // cannot parse one closes a connection that other lookups share.
 func ReadLookup(header http.Header, raw []byte, arrived time.Time, tariffs, tenants map[string]int,
 	limits charter.Limits) (Lookup, error) {
@@ -121,8 +142,8 @@
 	if _, err := d.Token(); err != io.EOF {
 		return errors.New("more than one JSON value")
 	}
-	// The decoder replaces an unpaired surrogate escape by U+FFFD: reject the text if it has more of them
-	// than the body itself.
+	// The decoder replaces an unpaired surrogate escape by U+FFFD. The query has such an escape if it has
+	// more U+FFFD than the body has literal and escaped ones.
 	if replaced := strings.Count(l.Query, "\ufffd"); replaced > 0 && replaced > bytes.Count(raw, []byte("\ufffd"))+
 		bytes.Count(bytes.ToLower(raw), []byte(`\ufffd`)) {
 		return errors.New("q: half a character")
@@ -141,7 +162,9 @@
 		return fmt.Errorf("shards: weights add up to %v", sum)
 	}
 	for i := range l.Parts {
-		l.Parts[i].Weight /= sum // the sum has to be 1: twelve parts of 0.0833 would never add up to a complete answer
+		// An answer is complete when the weights of its parts add up to 1, which those of twelve parts of
+		// 0.0833 would never do.
+		l.Parts[i].Weight /= sum
 	}
 	return nil
 }
@@ -149,7 +172,7 @@
 // weightTolerance is the rounding error allowed in each weight: clients write weights with a few digits.
 const weightTolerance = 1e-3
 
-// readPart parses one element of "shards".
+// readPart parses one element of "shards". The value of "key" is validated, but not used.
 func readPart(d *json.Decoder, limits charter.Limits) (p routing.Part, err error) {
 	shard, weight := -1, -1.0
 	err = readObject(d, func(key string) error {
@@ -179,7 +202,7 @@
 			if err != nil || !(micros >= 0 && micros <= 1e12) {
 				return fmt.Errorf("cost: %s", truncate(n))
 			}
-			p.Effort = time.Duration(math.Round(micros * 1000))
+			p.Effort = time.Duration(math.Round(micros * 1000)) // from microseconds to ns
 		case "key":
 			var v string
 			if err := readString(d, &v); err != nil {
--- a/internal/protocol/news.go
+++ b/internal/protocol/memberlist_reader.go
@@ -11,17 +11,17 @@
 // MemberListReader reads a stream of member list messages. Line breaks have no meaning: a message may be
 // indented, arrive in pieces, or share a line with others.
 type MemberListReader struct {
-	// OnActivity is called for each sign of life of the sender: white space between messages and the end of a
-	// message (started is false), and the first byte of a message (started is true). It is not called for the
-	// other bytes of a message.
+	// OnActivity is called at the first byte of a message (started is true), at the end of a message, and at
+	// white space between messages, which serves as a heartbeat (started is false for both). It is not called
+	// for the other bytes of a message.
 	OnActivity func(started bool)
 
 	src          io.Reader
 	decoder      *json.Decoder
 	maxBytes     int
 	inMessage    bool  // part of a message has arrived
-	bytesRead    int64 // handed to the decoder
-	messageStart int64 // of bytesRead, those up to the end of the last message
+	bytesRead    int64 // number of bytes passed to the decoder
+	messageStart int64 // offset in bytes at which the current message starts: the end of the previous one
 }
 
 // NewMemberListReader returns a reader of the messages in src, each of at most maxBytes.
--- a/internal/protocol/members.go
+++ b/internal/protocol/members.go
@@ -28,8 +28,8 @@
 	Size    json.RawMessage `json:"weight"`
 }
 
-// list is the JSON form of a MemberList; its name appears in the type errors of encoding/json. Members holds
-// only merged members: otherwise each one is converted as soon as it has been read.
+// list is the JSON form of a MemberList; its name appears in the type errors of encoding/json. Members is
+// used only if the array of members is repeated: otherwise each one is converted as soon as it has been read.
 type list struct {
 	Index    *int64       `json:"index"`
 	Snapshot bool         `json:"snapshot"`
@@ -78,7 +78,8 @@
 //
 // It accepts and rejects what json.Unmarshal into a list does: keys in any case and order, the last value of
 // a repeated key, null for no value. A repeated array of members is merged into the earlier one by index, as
-// there. The one difference is that it also accepts a value nested 10,000 levels deep less two.
+// there. The one difference is that the limit of encoding/json of 10,000 nested levels is reached up to
+// two levels later, since the outer levels are read as tokens.
 func readList(decoder *json.Decoder) (MemberList, error) {
 	decoder.UseNumber()
 	d := listDecoder{decoder: decoder}
@@ -243,8 +244,8 @@
 	d.chunk = append(d.chunk, m)
 }
 
-// unchangedWeight takes the place of the weight of an earlier member in a merge, and NaN that of its start
-// time: neither can be restored to its exact text from the converted member.
+// unchangedWeight marks a weight that a merge leaves unchanged; NaN marks an unchanged start time. Neither
+// can be restored to its exact text from the converted member.
 const unchangedWeight = "-"
 
 // mergeMembers reads a further array of members over the earlier ones, by index: fields that it omits keep
@@ -313,7 +314,7 @@
 	}
 	m.Address = in.Address
 	if size, err := strconv.ParseFloat(string(in.Size), 64); err == nil && size > 0 && size < 1e9 {
-		m.Size = size // an invalid weight counts as none, since the searcher can serve all the same
+		m.Size = size // an invalid weight is ignored like an absent one, since the searcher can still serve
 	}
 	m.Searcher, m.Zone, m.Cell, m.Status, m.Started = in.Name, in.Zone, *in.Cell, status, charter.MillisToNanos(in.Since)
 	if in.Since > 0 {
--- a/internal/protocol/stream.go
+++ b/internal/protocol/stream.go
@@ -6,10 +6,10 @@
 )
 
 // RequestStream tracks the framing of HTTP requests in the bytes of a client connection. It detects what
-// net/http hides: a request with two lengths, one of which may smuggle in another request, and bytes that
-// arrive before the request has been answered.
+// net/http hides: a request with two contradicting lengths, which allows request smuggling, and a
+// pipelined request, whose bytes arrive before the previous one has been answered.
 type RequestStream struct {
-	Fault    string // the protocol violation, which is permanent; empty if there is none
+	Fault    string // a protocol violation, after which input is ignored; empty if there is none
 	Complete bool   // the current request has arrived completely
 
 	stage               stage
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -63,7 +63,7 @@
 // Call sends a request and decodes its reply into reply, unless reply is nil. It fails with a
 // *RemoteError if the peer's handler failed. If ctx is done and nothing was received from the peer
 // since the call began, the connection is closed, so that the next call dials again instead of waiting
-// behind data that a failed link holds up.
+// behind data that a failed link holds up. An error of the encoding of request is returned as it is.
 func (c *Client) Call(ctx context.Context, kind string, request, reply any) error {
 	startedAt := time.Now()
 	connection, err := c.connect(ctx)
@@ -72,7 +72,7 @@
 	}
 	body, err := cbor.Marshal(request)
 	if err != nil {
-		return merry.Prepend(err, "rpc: call "+kind+" at "+c.addr+": encode request")
+		return err
 	}
 	replies := make(chan *envelope, 1)
 	id, err := connection.register(replies)
