--- a/internal/controller/tallies.go
+++ b/internal/controller/tallies.go
@@ -50,7 +50,7 @@
 
 	// What follows is the owner's.
 	replica  *tally.Replica
-	calls    map[uint64]chan tally.Answer
+	calls    map[uint64]chan tally.Result
 	token    uint64
 	lookedAt time.Duration // when the peers were last looked at
 }
@@ -63,15 +63,15 @@
 		directory: c.settings.DataDirectory,
 		diskRoom:  int64(c.settings.DiskMB) << 20 * diskShare / 100,
 		commands:  make(chan func(), commandQueue), batches: make(chan *tally.Batch, 1), done: make(chan struct{}),
-		peers: c.tallyPeers, calls: map[uint64]chan tally.Answer{},
+		peers: c.tallyPeers, calls: map[uint64]chan tally.Result{},
 		options: tally.Options{
-			Self:      c.settings.InternalAddr(c.settings.IP),
-			Life:      randomNonce(),
-			ClockBase: int64(randomNonce() >> 1),
-			Copies:    c.settings.MachineFaultTolerance,
-			MostAdds:  c.settings.MemoryMB << 20 / 100 * memoryShare / bytesPerAdd,
-			NewOrigin: newOrigin,
-			Timing:    tally.DefaultTiming(),
+			Self:         c.settings.InternalAddr(c.settings.IP),
+			Incarnation:  randomNonce(),
+			ClockBase:    int64(randomNonce() >> 1),
+			RemoteCopies: c.settings.MachineFaultTolerance,
+			MaxAdds:      c.settings.MemoryMB << 20 / 100 * memoryShare / bytesPerAdd,
+			NewOrigin:    newOrigin,
+			Timing:       tally.DefaultTiming(),
 		},
 	}
 	t.flushed.Store(true)
@@ -80,14 +80,14 @@
 		NewOrigin: newOrigin,
 	}
 	c.tallies = t
-	return tallylog.Prepare(t.directory, t.file)
+	return tallylog.Init(t.directory, t.file)
 }
 
 // open reads the tallies' file and makes a replica of it; false after stop.
 func (t *tallies) open() bool {
 	for {
 		file, saved, err := tallylog.Open(t.directory, t.file)
-		var damage *tallylog.DamageError
+		var damage *tallylog.CorruptionError
 		if errors.As(err, &damage) {
 			t.log.Error().Err(err).Str("step", "open tallies").Msg("the tallies on disk are damaged: they are set aside and learned anew")
 			err = nil
@@ -97,7 +97,7 @@
 			t.logBytes.Store(file.Size())
 			t.replica = tally.New(t.now(), t.options, saved)
 			t.opened.Store(true)
-			t.log.Info().Str("step", "open tallies").Int("adds", saved.Set.Size()).Bool("complete", saved.Complete).Msg("tallies read")
+			t.log.Info().Str("step", "open tallies").Int("adds", saved.Set.Len()).Bool("complete", saved.Complete).Msg("tallies read")
 			return true
 		}
 		t.log.Error().Err(err).Str("step", "open tallies").Msg("disk fails")
@@ -179,7 +179,7 @@
 		return
 	}
 	t.flushed.Store(false)
-	t.enqueue(func() { t.replica.Leave() })
+	t.enqueue(func() { t.replica.Drain() })
 }
 
 // receive takes another machine's message.
@@ -198,7 +198,7 @@
 	for _, e := range out.Messages {
 		t.pool.Post(e.To, distribute.KindTally, e.Message)
 	}
-	for _, answer := range out.Answers {
+	for _, answer := range out.Results {
 		if call := t.calls[answer.Token]; call != nil {
 			call <- answer
 			delete(t.calls, answer.Token)
@@ -215,18 +215,18 @@
 		case batch := <-t.batches:
 			if err := t.disk.Append(batch); err != nil {
 				t.log.Error().Err(err).Str("step", "write tallies").Msg("disk failed")
-				t.enqueue(func() { t.perform(t.replica.Failed(t.now())) })
+				t.enqueue(func() { t.perform(t.replica.WriteFailed(t.now())) })
 				if !t.recover() {
 					return
 				}
-				t.enqueue(func() { t.perform(t.replica.Recovered(t.now())) })
+				t.enqueue(func() { t.perform(t.replica.DiskRecovered(t.now())) })
 				continue
 			}
 			t.logBytes.Store(t.disk.Size())
 			full := t.diskRoom > 0 && t.disk.Size() >= t.diskRoom
 			t.enqueue(func() {
-				t.replica.SetFull(full)
-				t.perform(t.replica.Synced(t.now()))
+				t.replica.SetDiskFull(full)
+				t.perform(t.replica.WriteSucceeded(t.now()))
 			})
 		case <-t.done:
 			return
--- a/internal/controller/tallies_api.go
+++ b/internal/controller/tallies_api.go
@@ -51,7 +51,7 @@
 	case request.By == nil || *request.By > maxAmount || *request.By < -maxAmount:
 		return tally.Add{}, errBadAmount
 	}
-	return tally.Add{ID: request.ID, Tally: name, By: *request.By}, nil
+	return tally.Add{ID: request.ID, Tally: name, Amount: *request.By}, nil
 }
 
 // validName tells whether a name or an id can be kept: machines tell each other text, and text that is no UTF-8 is refused on the way.
@@ -83,7 +83,7 @@
 	defer cancel()
 	began := time.Now()
 	answer := t.add(limited, add)
-	t.log.Debug().Str("step", "add").Str("tally", add.Tally).Str("id", add.ID).Int64("by", add.By).Int("outcome", int(answer.Outcome)).
+	t.log.Debug().Str("step", "add").Str("tally", add.Tally).Str("id", add.ID).Int64("by", add.Amount).Int("outcome", int(answer.Outcome)).
 		Str("reason", answer.Reason).Dur("took", time.Since(began)).Msg("add")
 	if answer.Outcome != tally.Acknowledged {
 		return ctx.JSON(statusOf[answer.Outcome], problem{answer.Reason})
@@ -92,11 +92,11 @@
 }
 
 // add hands an add to the owner and waits for its outcome.
-func (t *tallies) add(ctx context.Context, add tally.Add) tally.Answer {
+func (t *tallies) add(ctx context.Context, add tally.Add) tally.Result {
 	if !t.opened.Load() {
-		return tally.Answer{Outcome: tally.Refused, Reason: errReading.Error()}
+		return tally.Result{Outcome: tally.Refused, Reason: errReading.Error()}
 	}
-	answers := make(chan tally.Answer, 1)
+	answers := make(chan tally.Result, 1)
 	t.enqueue(func() {
 		t.token++
 		t.calls[t.token] = answers
@@ -106,9 +106,9 @@
 	case answer := <-answers:
 		return answer
 	case <-ctx.Done():
-		return tally.Answer{Outcome: tally.Unclear, Reason: "no answer in time"}
+		return tally.Result{Outcome: tally.Unclear, Reason: "no answer in time"}
 	case <-t.done:
-		return tally.Answer{Outcome: tally.Unclear, Reason: errEnding.Error()}
+		return tally.Result{Outcome: tally.Unclear, Reason: errEnding.Error()}
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	readings := make(chan reading, 1)
 	t.enqueue(func() {
-		total, err := t.replica.Read(t.now(), name)
+		total, err := t.replica.Total(t.now(), name)
 		readings <- reading{total, err}
 	})
 	select {
--- a/internal/controller/tallies_api_test.go
+++ b/internal/controller/tallies_api_test.go
@@ -13,7 +13,7 @@
 func TestBodiesOfAdds(t *testing.T) {
 	add, err := parseAdd("t3", []byte(`{"id":"5c0e7a21d94b36f8","by":4,"more":[]}`))
 	require.NoError(t, err)
-	require.Equal(t, tally.Add{ID: "5c0e7a21d94b36f8", Tally: "t3", By: 4}, add)
+	require.Equal(t, tally.Add{ID: "5c0e7a21d94b36f8", Tally: "t3", Amount: 4}, add)
 	for _, body := range []string{
 		``, `[]`, `{}`, `{"id":"a"}`, `{"by":1}`, `{"id":"","by":1}`, `{"id":"a","by":1.5}`, `{"id":"a","by":"4"}`, `{"id":1,"by":1}`,
 		`{"id":"a","by":9007199254740993}`, `{"id":"a","by":99999999999999999999}`, `{"id":"` + strings.Repeat("a", 129) + `","by":1}`,
@@ -40,7 +40,7 @@
 		if err != nil || cbor.Unmarshal(encoded, &tally.Add{}) != nil {
 			t.Fatalf("%q was taken as %v, which cannot be told", body, add)
 		}
-		if !validName(add.ID) || add.By > maxAmount || add.By < -maxAmount {
+		if !validName(add.ID) || add.Amount > maxAmount || add.Amount < -maxAmount {
 			t.Fatalf("%q was taken as %v", body, add)
 		}
 	})
--- a/internal/controller/tallies_sockets_test.go
+++ b/internal/controller/tallies_sockets_test.go
@@ -113,7 +113,7 @@
 	require.Eventually(c.t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
 		defer cancel()
-		return c.controllers[i].tallies.add(ctx, tally.Add{ID: id, Tally: "t", By: 1}).Outcome == tally.Acknowledged
+		return c.controllers[i].tallies.add(ctx, tally.Add{ID: id, Tally: "t", Amount: 1}).Outcome == tally.Acknowledged
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
--- a/internal/controller/tallies_status.go
+++ b/internal/controller/tallies_status.go
@@ -56,14 +56,14 @@
 
 func (t *tallies) statusOf(s *tally.Status) *TallyStatus {
 	out := &TallyStatus{
-		Ready: s.Ready, NotReady: s.NotReady, DiskFails: s.DiskFails, DiskSlow: s.DiskSlow,
+		Ready: s.Ready, NotReady: s.NotReadyReason, DiskFails: s.DiskUnavailable, DiskSlow: s.DiskSlow,
 		Adds: s.Adds, Origins: s.Origins, LogBytes: t.logBytes.Load(), Behind: s.Behind,
 		Taken: s.Counters.Adds, Acknowledged: s.Counters.Acknowledged, Refused: s.Counters.Refused, Unclear: s.Counters.Unclear,
 		Merged: s.Counters.Merged, Duplicates: s.Duplicates, Conflicts: s.Conflicts,
 	}
 	for _, p := range s.Peers {
 		out.Peers = append(out.Peers, TallyPeerStatus{
-			Addr: p.Addr, InReach: p.InReach, SilentMS: p.Silent.Milliseconds(), DiskFails: p.DiskFails, Behind: p.Behind, Ahead: p.Ahead,
+			Addr: p.Addr, InReach: p.Reachable, SilentMS: p.Silent.Milliseconds(), DiskFails: p.DiskFailed, Behind: p.Behind, Ahead: p.Ahead,
 		})
 	}
 	return out
--- a/internal/tally/compact.go
+++ b/internal/tally/compact.go
@@ -3,50 +3,52 @@
 import "strings"
 
 // stored is an add in few bytes.
-type stored struct {
-	number uint64 // of the id's key
-	by     int64
-	tally  uint32
-	other  bool
+type compactAdd struct {
+	idNumber   uint64 // of the id's key
+	amount     int64
+	tallyIndex uint32
+	idInterned bool
 }
 
-func (s *stored) id() idKey { return idKey{s.number, s.other} }
+func (s *compactAdd) id() idKey { return idKey{s.idNumber, s.idInterned} }
 
 // chunkAdds is how many adds are kept in one piece, so that none is copied as an origin's grow.
-const chunkAdds = 1024
+const addsPerChunk = 1024
 
 // sequence is the adds of one origin.
-type sequence struct {
-	index  uint32
-	size   uint64
-	chunks [][]stored
+type originAdds struct {
+	originIndex uint32
+	count       uint64
+	chunks      [][]compactAdd
 }
 
-func (q *sequence) append(add stored) {
+func (q *originAdds) append(add compactAdd) {
 	last := len(q.chunks) - 1
-	if last < 0 || len(q.chunks[last]) == chunkAdds {
+	if last < 0 || len(q.chunks[last]) == addsPerChunk {
 		q.chunks = append(q.chunks, nil)
 		last++
 	}
 	q.chunks[last] = append(q.chunks[last], add)
-	q.size++
+	q.count++
 }
 
-func (q *sequence) at(index uint64) stored { return q.chunks[index/chunkAdds][index%chunkAdds] }
+func (q *originAdds) at(index uint64) compactAdd {
+	return q.chunks[index/addsPerChunk][index%addsPerChunk]
+}
 
 // names gives texts indexes.
-type names struct {
+type stringTable struct {
 	indexes map[string]uint32
-	list    []string
+	values  []string
 }
 
-func newNames() names { return names{indexes: map[string]uint32{}} }
+func newStringTable() stringTable { return stringTable{indexes: map[string]uint32{}} }
 
-func (n *names) intern(name string) uint32 {
+func (n *stringTable) intern(name string) uint32 {
 	index, known := n.indexes[name]
 	if !known {
-		index = uint32(len(n.list))
-		n.list = append(n.list, name)
+		index = uint32(len(n.values))
+		n.values = append(n.values, name)
 		n.indexes[name] = index
 	}
 	return index
@@ -54,29 +56,29 @@
 
 // idKey stands for an id: the number that 16 hex digits spell, or the index of another text.
 type idKey struct {
-	number uint64
-	other  bool
+	number   uint64
+	interned bool
 }
 
 // idDigits is the length of the ids that are kept as numbers.
-const idDigits = 16
+const hexIDDigits = 16
 
 const hexDigits = "0123456789abcdef"
 
 // ids keeps where the add that counts for an id is.
-type ids struct {
-	numbers   map[uint64]position
-	others    names
-	positions map[uint32]position // of others, by index
+type idIndex struct {
+	byNumber map[uint64]location
+	texts    stringTable
+	byText   map[uint32]location // of others, by index
 }
 
-func newIDs() ids {
-	return ids{numbers: map[uint64]position{}, others: newNames(), positions: map[uint32]position{}}
+func newIDIndex() idIndex {
+	return idIndex{byNumber: map[uint64]location{}, texts: newStringTable(), byText: map[uint32]location{}}
 }
 
 // spelt gives the number that an id spells in lower-case hex digits, all 16 of them.
-func spelt(id string) (number uint64, is bool) {
-	if len(id) != idDigits {
+func parseHexID(id string) (number uint64, is bool) {
+	if len(id) != hexIDDigits {
 		return 0, false
 	}
 	for _, digit := range []byte(id) {
@@ -89,53 +91,53 @@
 	return number, true
 }
 
-func spell(number uint64) string {
-	var digits [idDigits]byte
+func formatHexID(number uint64) string {
+	var digits [hexIDDigits]byte
 	for i := range digits {
-		digits[idDigits-1-i] = hexDigits[number&0xf]
+		digits[hexIDDigits-1-i] = hexDigits[number&0xf]
 		number >>= 4
 	}
 	return string(digits[:])
 }
 
 // intern gives an id's key, and makes one.
-func (s *ids) intern(id string) idKey {
-	if number, is := spelt(id); is {
+func (s *idIndex) intern(id string) idKey {
+	if number, is := parseHexID(id); is {
 		return idKey{number: number}
 	}
-	return idKey{uint64(s.others.intern(id)), true}
+	return idKey{uint64(s.texts.intern(id)), true}
 }
 
 // find gives an id's key, if it has one.
-func (s *ids) find(id string) (idKey, bool) {
-	if number, is := spelt(id); is {
+func (s *idIndex) find(id string) (idKey, bool) {
+	if number, is := parseHexID(id); is {
 		return idKey{number: number}, true
 	}
-	index, known := s.others.indexes[id]
+	index, known := s.texts.indexes[id]
 	return idKey{uint64(index), true}, known
 }
 
 // text gives the id of a key.
-func (s *ids) text(key idKey) string {
-	if key.other {
-		return s.others.list[key.number]
+func (s *idIndex) text(key idKey) string {
+	if key.interned {
+		return s.texts.values[key.number]
 	}
-	return spell(key.number)
+	return formatHexID(key.number)
 }
 
-func (s *ids) position(key idKey) (at position, there bool) {
-	if key.other {
-		at, there = s.positions[uint32(key.number)]
+func (s *idIndex) location(key idKey) (at location, there bool) {
+	if key.interned {
+		at, there = s.byText[uint32(key.number)]
 	} else {
-		at, there = s.numbers[key.number]
+		at, there = s.byNumber[key.number]
 	}
 	return at, there
 }
 
-func (s *ids) set(key idKey, at position) {
-	if key.other {
-		s.positions[uint32(key.number)] = at
+func (s *idIndex) set(key idKey, at location) {
+	if key.interned {
+		s.byText[uint32(key.number)] = at
 	} else {
-		s.numbers[key.number] = at
+		s.byNumber[key.number] = at
 	}
 }
--- a/internal/tally/readiness.go
+++ b/internal/tally/readiness.go
@@ -3,21 +3,21 @@
 import "time"
 
 // lostPatience is how much longer a machine whose disk was lost waits for others.
-const lostPatience = 2
+const emptyDiskWaitFactor = 2
 
 // unready tells why reads are not to be answered yet, "" if they are: since its start this machine is to hold what each peer in reach held
 // when it was first heard, and one whose disk was lost is to have learned from a machine that answers reads.
-func (r *Replica) unready(now time.Duration) string {
-	learned, patience := false, r.options.Timing.FirstWait
+func (r *Replica) notReadyReason(now time.Duration) string {
+	learned, patience := false, r.options.Timing.StartupWait
 	if !r.complete {
-		patience *= lostPatience
+		patience *= emptyDiskWaitFactor
 	}
 	for _, p := range r.peers {
-		if p.first != nil && r.holdsAll(p.first) {
+		if p.initialVector != nil && r.covers(p.initialVector) {
 			learned = learned || p.ready
 			continue
 		}
-		if now < r.blind || now-max(p.heard, p.added, r.boot) < patience {
+		if now < r.ignoreSilenceUntil || now-max(p.lastHeard, p.addedAt, r.startedAt) < patience {
 			return "not yet in step with " + p.addr
 		}
 	}
@@ -28,9 +28,9 @@
 }
 
 // holdsAll tells whether all that a vector names is on this disk.
-func (r *Replica) holdsAll(vector Vector) bool {
+func (r *Replica) covers(vector VersionVector) bool {
 	for origin, number := range vector {
-		if r.set.Held(origin) < number {
+		if r.set.LastSequence(origin) < number {
 			return false
 		}
 	}
@@ -40,11 +40,11 @@
 // Flushed tells whether each peer in reach has all that this machine took, so that it may end for good.
 func (r *Replica) Flushed(now time.Duration) bool {
 	for _, p := range r.peers {
-		for origin := range r.own {
-			if r.inReach(now, p) && !p.failed && p.link(origin).known < r.set.Held(origin) {
+		for origin := range r.ownOrigins {
+			if r.reachable(now, p) && !p.diskFailed && p.progressOf(origin).durable < r.set.LastSequence(origin) {
 				return false
 			}
 		}
 	}
-	return r.writing == nil && len(r.queue) == 0
+	return r.inFlight == nil && len(r.queue) == 0
 }
--- a/internal/tally/set.go
+++ b/internal/tally/set.go
@@ -8,25 +8,27 @@
 // Set is the adds that are on this machine's disk, and the totals of what counts among them. It keeps them in few bytes: names and ids by
 // index, and ids of 16 hex digits as the number that they spell.
 type Set struct {
-	sequences map[Origin]*sequence
-	origins   []Origin // by the index that positions name
-	ids       ids
-	names     names
-	totals    []int64 // by the tally's index
-	size      int
+	byOrigin   map[Origin]*originAdds
+	origins    []Origin // by the index that positions name
+	ids        idIndex
+	tallyNames stringTable
+	totals     []int64 // by the tally's index
+	count      int
 
 	duplicates, conflicts uint64
 }
 
 // position is where an add is held: the origin's index and the number there, less one.
-type position struct{ origin, at uint32 }
+type location struct{ origin, index uint32 }
 
 // NewSet makes an empty set.
-func NewSet() *Set { return &Set{sequences: map[Origin]*sequence{}, ids: newIDs(), names: newNames()} }
+func NewSet() *Set {
+	return &Set{byOrigin: map[Origin]*originAdds{}, ids: newIDIndex(), tallyNames: newStringTable()}
+}
 
 // Insert takes a run that follows what is held of its origin; what is held already is passed over. It tells whether there was no gap.
 func (s *Set) Insert(run *Run) bool {
-	held := s.Held(run.Origin)
+	held := s.LastSequence(run.Origin)
 	if run.First > held+1 {
 		return false
 	}
@@ -37,44 +39,44 @@
 }
 
 // sequence gives an origin's adds, and begins them.
-func (s *Set) sequence(origin Origin) *sequence {
-	q := s.sequences[origin]
+func (s *Set) addsOf(origin Origin) *originAdds {
+	q := s.byOrigin[origin]
 	if q == nil {
-		q = &sequence{index: uint32(len(s.origins))}
-		s.sequences[origin] = q
+		q = &originAdds{originIndex: uint32(len(s.origins))}
+		s.byOrigin[origin] = q
 		s.origins = append(s.origins, origin)
 	}
 	return q
 }
 
 func (s *Set) insert(origin Origin, add *Add) {
-	q := s.sequence(origin)
-	at := position{q.index, uint32(q.size)}
-	id, tally := s.ids.intern(add.ID), s.tally(add.Tally)
-	q.append(stored{number: id.number, other: id.other, by: add.By, tally: tally})
-	s.size++
-	counted, seen := s.ids.position(id)
+	q := s.addsOf(origin)
+	at := location{q.originIndex, uint32(q.count)}
+	id, tally := s.ids.intern(add.ID), s.tallyIndex(add.Tally)
+	q.append(compactAdd{idNumber: id.number, idInterned: id.interned, amount: add.Amount, tallyIndex: tally})
+	s.count++
+	counted, seen := s.ids.location(id)
 	if !seen {
 		s.ids.set(id, at)
-		s.totals[tally] += add.By
+		s.totals[tally] += add.Amount
 		return
 	}
 	s.duplicates++
-	earlier := s.add(counted)
+	earlier := s.addAt(counted)
 	if earlier == *add {
 		return
 	}
 	s.conflicts++
-	if add.before(&earlier) {
-		s.totals[s.tally(earlier.Tally)] -= earlier.By
-		s.totals[tally] += add.By
+	if add.precedes(&earlier) {
+		s.totals[s.tallyIndex(earlier.Tally)] -= earlier.Amount
+		s.totals[tally] += add.Amount
 		s.ids.set(id, at)
 	}
 }
 
 // tally gives a tally's index.
-func (s *Set) tally(name string) uint32 {
-	index := s.names.intern(name)
+func (s *Set) tallyIndex(name string) uint32 {
+	index := s.tallyNames.intern(name)
 	if int(index) == len(s.totals) {
 		s.totals = append(s.totals, 0)
 	}
@@ -82,66 +84,66 @@
 }
 
 // add gives the add at a position.
-func (s *Set) add(at position) Add {
-	return s.expand(s.sequences[s.origins[at.origin]].at(uint64(at.at)))
+func (s *Set) addAt(at location) Add {
+	return s.expand(s.byOrigin[s.origins[at.origin]].at(uint64(at.index)))
 }
 
-func (s *Set) expand(held stored) Add {
-	return Add{ID: s.ids.text(held.id()), Tally: s.names.list[held.tally], By: held.by}
+func (s *Set) expand(held compactAdd) Add {
+	return Add{ID: s.ids.text(held.id()), Tally: s.tallyNames.values[held.tallyIndex], Amount: held.amount}
 }
 
 // Counted gives the add that counts for an id.
-func (s *Set) Counted(id string) (add Add, dot Dot, there bool) {
+func (s *Set) Lookup(id string) (add Add, dot Dot, there bool) {
 	key, known := s.ids.find(id)
 	if !known {
 		return Add{}, Dot{}, false
 	}
-	at, there := s.ids.position(key)
+	at, there := s.ids.location(key)
 	if !there {
 		return Add{}, Dot{}, false
 	}
-	return s.add(at), Dot{s.origins[at.origin], uint64(at.at) + 1}, true
+	return s.addAt(at), Dot{s.origins[at.origin], uint64(at.index) + 1}, true
 }
 
 // Held is the highest number held of an origin.
-func (s *Set) Held(origin Origin) uint64 {
-	if q := s.sequences[origin]; q != nil {
-		return q.size
+func (s *Set) LastSequence(origin Origin) uint64 {
+	if q := s.byOrigin[origin]; q != nil {
+		return q.count
 	}
 	return 0
 }
 
 // Holds tells whether an add is held.
-func (s *Set) Holds(dot Dot) bool { return s.Held(dot.Origin) >= dot.Number }
+func (s *Set) Contains(dot Dot) bool { return s.LastSequence(dot.Origin) >= dot.Sequence }
 
 // sorted gives the origins of which adds are held, in an order.
-func (s *Set) sorted() []Origin { return slices.Sorted(maps.Keys(s.sequences)) }
+func (s *Set) sortedOrigins() []Origin { return slices.Sorted(maps.Keys(s.byOrigin)) }
 
 // Vector is what is held.
-func (s *Set) Vector() Vector {
-	vector := make(Vector, len(s.sequences))
-	for origin, q := range s.sequences {
-		vector[origin] = q.size
+func (s *Set) VersionVector() VersionVector {
+	vector := make(VersionVector, len(s.byOrigin))
+	for origin, q := range s.byOrigin {
+		vector[origin] = q.count
 	}
 	return vector
 }
 
 // Total is a tally's total, 0 where no add names it.
 func (s *Set) Total(tally string) int64 {
-	if index, known := s.names.indexes[tally]; known {
+	if index, known := s.tallyNames.indexes[tally]; known {
 		return s.totals[index]
 	}
 	return 0
 }
 
 // Size is how many adds are held.
-func (s *Set) Size() int { return s.size }
+func (s *Set) Len() int { return s.count }
 
 // slice gives the adds of an origin after a number, at most so many.
-func (s *Set) slice(origin Origin, after uint64, most int) Run {
-	q := s.sequences[origin]
+func (s *Set) runAfter(origin Origin, after uint64, most int) Run {
+	q := s.byOrigin[origin]
 	run := Run{Origin: origin, First: after + 1}
-	for at := after; at < q.size && len(run.Adds) < most; at++ {
+	for at := after; at < q.count && len(run.Adds) < most; at++ {
 		run.Adds = append(run.Adds, s.expand(q.at(at)))
 	}
 	return run
--- a/internal/tally/types.go
+++ b/internal/tally/types.go
@@ -10,22 +10,22 @@
 
 // Dot names an add: the disk that took it first and its number there, from 1 on without gaps.
 type Dot struct {
-	Origin Origin
-	Number uint64
+	Origin   Origin
+	Sequence uint64
 }
 
 // Add is a caller's add: counted once by its id.
 type Add struct {
-	_     struct{} `cbor:",toarray"`
-	ID    string
-	Tally string
-	By    int64
+	_      struct{} `cbor:",toarray"`
+	ID     string
+	Tally  string
+	Amount int64
 }
 
 // before orders adds of one id that differ: the least one counts, at all machines.
-func (a *Add) before(b *Add) bool {
-	if a.By != b.By {
-		return a.By < b.By
+func (a *Add) precedes(b *Add) bool {
+	if a.Amount != b.Amount {
+		return a.Amount < b.Amount
 	}
 	return a.Tally < b.Tally
 }
@@ -41,10 +41,10 @@
 func (r *Run) last() uint64 { return r.First + uint64(len(r.Adds)) - 1 }
 
 // Vector is a version vector: the highest number held of each origin.
-type Vector map[Origin]uint64
+type VersionVector map[Origin]uint64
 
 // Covers tells whether all that another vector names is held.
-func (v Vector) Covers(other Vector) bool {
+func (v VersionVector) Covers(other VersionVector) bool {
 	for origin, number := range other {
 		if v[origin] < number {
 			return false
@@ -55,17 +55,17 @@
 
 // Message is what controllers tell each other.
 type Message struct {
-	From   string            `cbor:"1,keyasint"`           // the sender's address
-	Life   uint64            `cbor:"2,keyasint"`           // drawn at each start of the sender
-	Sent   int64             `cbor:"3,keyasint"`           // by the sender's own clock, nanoseconds
-	Echo   int64             `cbor:"4,keyasint,omitempty"` // Sent of the newest message that came from the receiver
-	Held   map[Origin]uint64 `cbor:"5,keyasint,omitempty"` // on the sender's disk: all of it, or what changed
-	Whole  bool              `cbor:"6,keyasint,omitempty"` // Held is all
-	Runs   []Run             `cbor:"7,keyasint,omitempty"`
-	Peers  []string          `cbor:"8,keyasint,omitempty"`  // whom the sender heard lately
-	Ready  bool              `cbor:"9,keyasint,omitempty"`  // the sender answers reads
-	Failed bool              `cbor:"10,keyasint,omitempty"` // the sender's disk takes no more adds
-	Slow   bool              `cbor:"11,keyasint,omitempty"` // the sender's last write took long
+	From        string            `cbor:"1,keyasint"`           // the sender's address
+	Incarnation uint64            `cbor:"2,keyasint"`           // drawn at each start of the sender
+	SentAt      int64             `cbor:"3,keyasint"`           // by the sender's own clock, nanoseconds
+	Echo        int64             `cbor:"4,keyasint,omitempty"` // Sent of the newest message that came from the receiver
+	Durable     map[Origin]uint64 `cbor:"5,keyasint,omitempty"` // on the sender's disk: all of it, or what changed
+	FullVector  bool              `cbor:"6,keyasint,omitempty"` // Held is all
+	Runs        []Run             `cbor:"7,keyasint,omitempty"`
+	Peers       []string          `cbor:"8,keyasint,omitempty"`  // whom the sender heard lately
+	Ready       bool              `cbor:"9,keyasint,omitempty"`  // the sender answers reads
+	DiskFailed  bool              `cbor:"10,keyasint,omitempty"` // the sender's disk takes no more adds
+	DiskSlow    bool              `cbor:"11,keyasint,omitempty"` // the sender's last write took long
 }
 
 // Envelope is a message to an address.
@@ -93,7 +93,7 @@
 )
 
 // Answer is the outcome of the call that came with a token.
-type Answer struct {
+type Result struct {
 	Token   uint64
 	Outcome Outcome
 	Reason  string
@@ -103,7 +103,7 @@
 type Output struct {
 	Write    *Batch // to be followed by Synced or Failed; there is one at a time
 	Messages []Envelope
-	Answers  []Answer
+	Results  []Result
 }
 
 // NotReadyError refuses a read at a machine that has not learned yet what those in reach hold.
--- a/internal/tally/world_test.go
+++ b/internal/tally/world_test.go
@@ -10,13 +10,13 @@
 // A simulated core plays real replicas against disks and links of its own. Time is a number of units, and each event is chosen by the test:
 // messages wait on their links until they are delivered or lost, writes until their sync ends or the power goes.
 
-const unit = time.Millisecond
+const tickInterval = time.Millisecond
 
 // modelTiming is of few units, so that short histories meet each limit.
-func modelTiming() Timing {
+func testTiming() Timing {
 	return Timing{
-		Gossip: unit, Probe: unit, Reach: 3 * unit, Silence: 2 * unit, Forget: time.Hour, Resend: 2 * unit, Relay: 2 * unit,
-		Answer: 4 * unit, Stall: 3 * unit, Slow: 2 * unit, SlowFor: 2 * unit, Pause: 2 * unit, FirstWait: 2 * unit,
+		GossipInterval: tickInterval, ProbeInterval: tickInterval, RoundTripTimeout: 3 * tickInterval, SilenceTimeout: 2 * tickInterval, PeerExpiry: time.Hour, RetransmitTimeout: 2 * tickInterval, RelayDelay: 2 * tickInterval,
+		AddTimeout: 4 * tickInterval, WriteTimeout: 3 * tickInterval, SlowWrite: 2 * tickInterval, SlowDiskBackoff: 2 * tickInterval, PauseThreshold: 2 * tickInterval, StartupWait: 2 * tickInterval,
 	}
 }
 
@@ -24,109 +24,109 @@
 type fault int
 
 const (
-	noFault              fault = iota
-	acknowledgedUnsynced       // a write is reported before it lasts
-	mergedBySum                // an id counts again where it comes from another machine
-	readWhileEmpty             // an empty disk is taken for one that misses nothing
-	dotUsedAgain               // what was sent is lost with the power, and its number given to another add
+	noFault            fault = iota
+	ackBeforeSync            // a write is reported before it lasts
+	countPerOrigin           // an id counts again where it comes from another machine
+	readyWithEmptyDisk       // an empty disk is taken for one that misses nothing
+	reuseDots                // what was sent is lost with the power, and its number given to another add
 )
 
 // call is an add that a caller may send: to a machine, once.
 type call struct {
-	machine int
-	add     Add
+	node int
+	add  Add
 }
 
 // limits bound what happens in a history.
 type limits struct {
-	ticks, powerCuts, lostDisks, lostMessages, twice, adds int
+	ticks, powerLosses, diskLosses, connectionLosses, duplicates, callMask int
 }
 
 // disk is what lasts, and the write that is under way.
 type disk struct {
-	lasting []Batch
+	synced  []Batch
 	pending []*Batch // more than one only where a write is reported too early
 }
 
 type node struct {
-	addr    string
-	disk    disk
-	replica *Replica
-	life    uint64
-	started time.Duration
-	wiped   map[string]bool // acknowledged on enough disks when this disk was lost
-	acked   map[string]bool // acknowledged here in this life
+	addr                string
+	disk                disk
+	replica             *Replica
+	incarnation         uint64
+	startedAt           time.Duration
+	ackedBeforeDiskLoss map[string]bool // acknowledged on enough disks when this disk was lost
+	acked               map[string]bool // acknowledged here in this life
 }
 
 // acknowledged is an add that a caller was told of.
-type acknowledged struct {
-	add    Add
-	by     int
-	disks  int  // that had it then
-	excuse bool // its machine lost its disk since
+type acknowledgement struct {
+	add      Add
+	node     int
+	disks    int  // that had it then
+	diskLost bool // its machine lost its disk since
 }
 
 // core is the simulated machines and all that is on its way.
-type core struct {
-	fault   fault
-	copies  int
-	now     time.Duration
-	nodes   []*node
-	links   map[[2]int][]*Message
-	calls   []call
-	left    limits
-	issued  []Add
-	acked   []acknowledged
-	tokens  map[uint64]call
-	token   uint64
-	origins uint64
-	broken  error
-	cut     map[[2]int]bool // links that lose all that is sent
-	cuts    bool            // there was such a link since all last went well
+type cluster struct {
+	fault        fault
+	remoteCopies int
+	now          time.Duration
+	nodes        []*node
+	links        map[[2]int][]*Message
+	calls        []call
+	remaining    limits
+	issued       []Add
+	acked        []acknowledgement
+	callsByToken map[uint64]call
+	lastToken    uint64
+	lastOrigin   uint64
+	violation    error
+	cutLinks     map[[2]int]bool // links that lose all that is sent
+	disrupted    bool            // there was such a link since all last went well
 }
 
-func newCore(machines, copies int, planted fault, allowed limits, calls ...call) *core {
-	c := &core{fault: planted, copies: copies, links: map[[2]int][]*Message{}, calls: calls, left: allowed, tokens: map[uint64]call{}, cut: map[[2]int]bool{}}
+func newCluster(machines, copies int, planted fault, allowed limits, calls ...call) *cluster {
+	c := &cluster{fault: planted, remoteCopies: copies, links: map[[2]int][]*Message{}, calls: calls, remaining: allowed, callsByToken: map[uint64]call{}, cutLinks: map[[2]int]bool{}}
 	for i := range machines {
 		c.nodes = append(c.nodes, &node{addr: fmt.Sprint("m", i)})
 	}
 	for i := range machines {
-		c.nodes[i].disk.lasting = []Batch{{NewOrigin: c.newOrigin(), Complete: true}}
-		c.boot(i)
+		c.nodes[i].disk.synced = []Batch{{NewOrigin: c.newOrigin(), Complete: true}}
+		c.startNode(i)
 	}
 	return c
 }
 
-func (c *core) newOrigin() Origin {
-	c.origins++
-	return Origin(c.origins)
+func (c *cluster) newOrigin() Origin {
+	c.lastOrigin++
+	return Origin(c.lastOrigin)
 }
 
 // settled is a core in which all have met, and some calls have been answered.
-func (c *core) settled(before ...call) *core {
+func (c *cluster) converge(before ...call) *cluster {
 	for range 4 {
 		c.tick()
 		for range 4 {
-			c.settleDown()
+			c.settle()
 		}
 	}
 	for _, sent := range before {
-		c.send(sent)
+		c.submit(sent)
 		for range 4 {
-			c.settleDown()
+			c.settle()
 		}
 	}
 	return c
 }
 
 // load reads a disk as the log does.
-func (c *core) load(d *disk) Saved {
-	saved := Saved{Set: NewSet()}
-	for i := range d.lasting {
-		b := &d.lasting[i]
+func (c *cluster) load(d *disk) SavedState {
+	saved := SavedState{Set: NewSet()}
+	for i := range d.synced {
+		b := &d.synced[i]
 		for j := range b.Runs {
 			if !saved.Set.Insert(&b.Runs[j]) {
-				c.broken = errors.New("a gap in an origin's numbers on disk")
+				c.violation = errors.New("a gap in an origin's numbers on disk")
 			}
 		}
 		if b.NewOrigin != 0 {
@@ -138,52 +138,52 @@
 }
 
 // boot starts a machine on what is on its disk.
-func (c *core) boot(i int) {
+func (c *cluster) startNode(i int) {
 	n := c.nodes[i]
-	if len(n.disk.lasting) == 0 {
-		n.disk.lasting = []Batch{{NewOrigin: c.newOrigin(), Complete: c.fault == readWhileEmpty}}
+	if len(n.disk.synced) == 0 {
+		n.disk.synced = []Batch{{NewOrigin: c.newOrigin(), Complete: c.fault == readyWithEmptyDisk}}
 	}
-	n.life++
-	n.started, n.acked = c.now, map[string]bool{}
+	n.incarnation++
+	n.startedAt, n.acked = c.now, map[string]bool{}
 	n.replica = New(c.now, Options{
-		Self: n.addr, Life: n.life, ClockBase: clockBase(n.life), Copies: c.copies, MostAdds: 1 << 20,
-		NewOrigin: c.newOrigin, Timing: modelTiming(),
+		Self: n.addr, Incarnation: n.incarnation, ClockBase: clockBase(n.incarnation), RemoteCopies: c.remoteCopies, MaxAdds: 1 << 20,
+		NewOrigin: c.newOrigin, Timing: testTiming(),
 	}, c.load(&n.disk))
 	var addrs []string
 	for _, other := range c.nodes {
 		addrs = append(addrs, other.addr)
 	}
 	n.replica.SetPeers(c.now, addrs)
-	c.perform(i, n.replica.Tick(c.now))
+	c.execute(i, n.replica.Tick(c.now))
 }
 
-func (c *core) indexOf(addr string) int {
+func (c *cluster) nodeIndex(addr string) int {
 	return slices.IndexFunc(c.nodes, func(n *node) bool { return n.addr == addr })
 }
 
-func (c *core) perform(i int, out Output) {
+func (c *cluster) execute(i int, out Output) {
 	n := c.nodes[i]
 	if out.Write != nil {
 		n.disk.pending = append(n.disk.pending, out.Write)
 	}
 	for _, e := range out.Messages {
-		link := [2]int{i, c.indexOf(e.To)}
-		if c.cut[link] {
+		link := [2]int{i, c.nodeIndex(e.To)}
+		if c.cutLinks[link] {
 			continue
 		}
-		c.links[link] = append(c.links[link], c.spoil(i, e.Message))
+		c.links[link] = append(c.links[link], c.injectMessageFault(i, e.Message))
 	}
-	for _, a := range out.Answers {
-		c.answered(i, a)
+	for _, a := range out.Results {
+		c.recordResult(i, a)
 	}
-	if out.Write != nil && (c.fault == acknowledgedUnsynced || c.fault == dotUsedAgain) {
-		c.perform(i, n.replica.Synced(c.now))
+	if out.Write != nil && (c.fault == ackBeforeSync || c.fault == reuseDots) {
+		c.execute(i, n.replica.WriteSucceeded(c.now))
 	}
 }
 
 // spoil plants the faults of messages.
-func (c *core) spoil(i int, m *Message) *Message {
-	if c.fault != mergedBySum {
+func (c *cluster) injectMessageFault(i int, m *Message) *Message {
+	if c.fault != countPerOrigin {
 		return m
 	}
 	spoilt := *m
@@ -198,32 +198,32 @@
 	return &spoilt
 }
 
-func (c *core) answered(i int, a Answer) {
-	sent := c.tokens[a.Token]
+func (c *cluster) recordResult(i int, a Result) {
+	sent := c.callsByToken[a.Token]
 	switch a.Outcome {
 	case Acknowledged:
 		c.nodes[i].acked[sent.add.ID] = true
-		c.acked = append(c.acked, acknowledged{add: sent.add, by: i, disks: c.disksWith(sent.add)})
-		c.checkCopies(i, sent.add)
+		c.acked = append(c.acked, acknowledgement{add: sent.add, node: i, disks: c.countDisksWith(sent.add)})
+		c.checkAcknowledgement(i, sent.add)
 	case Refused:
-		c.checkNothingDone(i, sent.add)
+		c.checkRefusal(i, sent.add)
 	}
 }
 
 // disksWith counts the disks that an add lasts on.
-func (c *core) disksWith(add Add) (count int) {
+func (c *cluster) countDisksWith(add Add) (count int) {
 	for _, n := range c.nodes {
-		if onDisk(&n.disk, add) {
+		if diskContains(&n.disk, add) {
 			count++
 		}
 	}
 	return count
 }
 
-func onDisk(d *disk, add Add) bool {
-	for i := range d.lasting {
-		for j := range d.lasting[i].Runs {
-			if slices.Contains(d.lasting[i].Runs[j].Adds, add) {
+func diskContains(d *disk, add Add) bool {
+	for i := range d.synced {
+		for j := range d.synced[i].Runs {
+			if slices.Contains(d.synced[i].Runs[j].Adds, add) {
 				return true
 			}
 		}
@@ -232,22 +232,22 @@
 }
 
 // checkCopies holds an acknowledgement against the machine's own disk.
-func (c *core) checkCopies(i int, add Add) {
-	if c.fault != dotUsedAgain && !onDisk(&c.nodes[i].disk, add) {
-		c.broken = fmt.Errorf("%s acknowledged %v, which is not on its disk", c.nodes[i].addr, add)
+func (c *cluster) checkAcknowledgement(i int, add Add) {
+	if c.fault != reuseDots && !diskContains(&c.nodes[i].disk, add) {
+		c.violation = fmt.Errorf("%s acknowledged %v, which is not on its disk", c.nodes[i].addr, add)
 	}
 }
 
 // checkNothingDone holds a refusal against the disk: unless another call brought the add, it is not there.
-func (c *core) checkNothingDone(i int, add Add) {
+func (c *cluster) checkRefusal(i int, add Add) {
 	sent := 0
 	for _, other := range c.issued {
 		if other == add {
 			sent++
 		}
 	}
-	if sent == 1 && c.disksWith(add) > 0 {
-		c.broken = fmt.Errorf("%s refused %v, which is on a disk", c.nodes[i].addr, add)
+	if sent == 1 && c.countDisksWith(add) > 0 {
+		c.violation = fmt.Errorf("%s refused %v, which is on a disk", c.nodes[i].addr, add)
 	}
 }
 
@@ -260,9 +260,9 @@
 func (e event) String() string { return fmt.Sprintf("%s %d %d", e.kind, e.a, e.b) }
 
 // events gives all that may happen next.
-func (c *core) events() (all []event) {
+func (c *cluster) possibleEvents() (all []event) {
 	for i := range c.calls {
-		if c.left.adds&(1<<i) != 0 {
+		if c.remaining.callMask&(1<<i) != 0 {
 			all = append(all, event{"add", i, 0})
 		}
 	}
@@ -272,120 +272,120 @@
 				continue
 			}
 			all = append(all, event{"deliver", i, j})
-			if c.left.lostMessages > 0 {
+			if c.remaining.connectionLosses > 0 {
 				all = append(all, event{"lose", i, j})
 			}
-			if c.left.twice > 0 {
+			if c.remaining.duplicates > 0 {
 				all = append(all, event{"twice", i, j})
 			}
 		}
 		if len(c.nodes[i].disk.pending) > 0 {
 			all = append(all, event{"sync", i, 0})
 		}
-		if c.left.powerCuts > 0 {
+		if c.remaining.powerLosses > 0 {
 			all = append(all, event{"power", i, 0})
 			if len(c.nodes[i].disk.pending) > 0 {
 				all = append(all, event{"power, written", i, 0})
 			}
 		}
-		if c.left.lostDisks > 0 {
+		if c.remaining.diskLosses > 0 {
 			all = append(all, event{"disk", i, 0})
 		}
 	}
-	if c.left.ticks > 0 {
+	if c.remaining.ticks > 0 {
 		all = append(all, event{"tick", 0, 0})
 	}
 	return all
 }
 
 // apply lets an event happen.
-func (c *core) apply(e event) {
+func (c *cluster) apply(e event) {
 	link := [2]int{e.a, e.b}
 	switch e.kind {
 	case "add":
-		c.left.adds &^= 1 << e.a
-		c.send(c.calls[e.a])
+		c.remaining.callMask &^= 1 << e.a
+		c.submit(c.calls[e.a])
 	case "deliver":
 		m := c.links[link][0]
 		c.links[link] = c.links[link][1:]
 		c.receive(e.b, m)
 	case "twice":
-		c.left.twice--
+		c.remaining.duplicates--
 		c.receive(e.b, c.links[link][0])
 	case "lose":
-		c.left.lostMessages--
+		c.remaining.connectionLosses--
 		c.links[link] = nil // a connection's end takes all that waits on it
 	case "sync":
-		c.synced(e.a)
+		c.completeSync(e.a)
 	case "power":
-		c.left.powerCuts--
-		c.powerCut(e.a, false)
+		c.remaining.powerLosses--
+		c.losePower(e.a, false)
 	case "power, written":
-		c.left.powerCuts--
-		c.powerCut(e.a, true)
+		c.remaining.powerLosses--
+		c.losePower(e.a, true)
 	case "disk":
-		c.left.lostDisks--
+		c.remaining.diskLosses--
 		c.loseDisk(e.a)
 	case "tick":
-		c.left.ticks--
+		c.remaining.ticks--
 		c.tick()
 	}
 }
 
-func (c *core) send(sent call) {
-	c.token++
-	c.tokens[c.token] = sent
+func (c *cluster) submit(sent call) {
+	c.lastToken++
+	c.callsByToken[c.lastToken] = sent
 	c.issued = append(c.issued, sent.add)
-	c.perform(sent.machine, c.nodes[sent.machine].replica.Add(c.now, c.token, sent.add))
+	c.execute(sent.node, c.nodes[sent.node].replica.Add(c.now, c.lastToken, sent.add))
 }
 
-func (c *core) receive(to int, m *Message) {
-	c.perform(to, c.nodes[to].replica.Receive(c.now, m))
+func (c *cluster) receive(to int, m *Message) {
+	c.execute(to, c.nodes[to].replica.Receive(c.now, m))
 }
 
-func (c *core) synced(i int) {
+func (c *cluster) completeSync(i int) {
 	n := c.nodes[i]
-	n.disk.lasting = append(n.disk.lasting, *n.disk.pending[0])
+	n.disk.synced = append(n.disk.synced, *n.disk.pending[0])
 	n.disk.pending = n.disk.pending[1:]
-	if c.fault != acknowledgedUnsynced && c.fault != dotUsedAgain {
-		c.perform(i, n.replica.Synced(c.now))
+	if c.fault != ackBeforeSync && c.fault != reuseDots {
+		c.execute(i, n.replica.WriteSucceeded(c.now))
 	}
 }
 
 // powerCut ends a machine's process and starts it again; what was not synced may be there all the same.
-func (c *core) powerCut(i int, written bool) {
+func (c *cluster) losePower(i int, written bool) {
 	n := c.nodes[i]
 	if written {
-		n.disk.lasting = append(n.disk.lasting, *n.disk.pending[0])
+		n.disk.synced = append(n.disk.synced, *n.disk.pending[0])
 	}
 	n.disk.pending = nil
 	for j := range c.nodes {
 		c.links[[2]int{i, j}], c.links[[2]int{j, i}] = nil, nil
 	}
-	c.boot(i)
+	c.startNode(i)
 }
 
 // loseDisk starts a machine anew on an empty disk.
-func (c *core) loseDisk(i int) {
+func (c *cluster) loseDisk(i int) {
 	n := c.nodes[i]
 	n.disk = disk{}
-	n.wiped = map[string]bool{}
+	n.ackedBeforeDiskLoss = map[string]bool{}
 	for k := range c.acked {
 		a := &c.acked[k]
-		if a.by == i {
-			a.excuse = true
+		if a.node == i {
+			a.diskLost = true
 		}
-		if a.disks > c.copies {
-			n.wiped[a.add.ID] = true
+		if a.disks > c.remoteCopies {
+			n.ackedBeforeDiskLoss[a.add.ID] = true
 		}
 	}
-	c.powerCut(i, false)
+	c.losePower(i, false)
 }
 
-func (c *core) tick() {
-	c.now += unit
+func (c *cluster) tick() {
+	c.now += tickInterval
 	for i, n := range c.nodes {
-		c.perform(i, n.replica.Tick(c.now))
+		c.execute(i, n.replica.Tick(c.now))
 	}
 }
 
--- a/internal/tallylog/scan.go
+++ b/internal/tallylog/scan.go
@@ -20,12 +20,12 @@
 // A frame is its magic, the payload's length, how many bytes of the file had been synced when it was written, and the checksum of those two
 // and the payload, all big-endian; then the payload, a tally.Batch in CBOR.
 const (
-	frameMagic  = 0x9e71a110
-	headerBytes = 4 + 4 + 8 + 4
-	maxPayload  = 64 << 20
+	frameMagic      = 0x9e71a110
+	headerBytes     = 4 + 4 + 8 + 4
+	maxPayloadBytes = 64 << 20
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 func encodeFrame(synced int64, payload []byte) []byte {
 	frame := make([]byte, headerBytes, headerBytes+len(payload))
@@ -37,31 +37,31 @@
 }
 
 func checksum(header, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(header[4:16], castagnoli), castagnoli, payload)
+	return crc32.Update(crc32.Checksum(header[4:16], crcTable), crcTable, payload)
 }
 
 // DamageError tells that a file cannot be read in a part that was synced once.
-type DamageError struct {
+type CorruptionError struct {
 	Path   string
 	Offset int64
 }
 
-func (e *DamageError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("tally log: %s is damaged at offset %d", e.Path, e.Offset)
 }
 
 // scanned is what a file holds.
-type scanned struct {
-	saved  tally.Saved
-	whole  int64 // bytes of whole frames
-	synced int64 // bytes of which a later frame says that they were synced
-	torn   bool  // something that cannot be read follows
+type scanResult struct {
+	state          tally.SavedState
+	validBytes     int64 // bytes of whole frames
+	confirmedBytes int64 // bytes of which a later frame says that they were synced
+	torn           bool  // something that cannot be read follows
 }
 
 // scan reads a file from its start to its end, or to where it is torn. It fails with a *DamageError where a frame behind what cannot be
 // read says that this was synced.
-func scan(file *os.File) (*scanned, error) {
-	found := &scanned{saved: tally.Saved{Set: tally.NewSet()}}
+func scan(file *os.File) (*scanResult, error) {
+	found := &scanResult{state: tally.SavedState{Set: tally.NewSet()}}
 	reader := bufio.NewReaderSize(file, 64<<10)
 	for {
 		synced, payload, err := readFrame(reader)
@@ -69,7 +69,7 @@
 			return found, nil
 		}
 		if err == nil {
-			err = found.take(payload)
+			err = found.applyBatch(payload)
 		}
 		var unread *fs.PathError
 		if errors.As(err, &unread) { // of the disk, not of what is on it
@@ -77,10 +77,10 @@
 		}
 		if err != nil {
 			found.torn = true
-			return found, found.checkTorn(file)
+			return found, found.checkTornTail(file)
 		}
-		found.whole += int64(headerBytes + len(payload))
-		found.synced = synced
+		found.validBytes += int64(headerBytes + len(payload))
+		found.confirmedBytes = synced
 	}
 }
 
@@ -91,7 +91,7 @@
 		return 0, nil, err
 	}
 	length := binary.BigEndian.Uint32(header[4:])
-	if binary.BigEndian.Uint32(header[:]) != frameMagic || length > maxPayload {
+	if binary.BigEndian.Uint32(header[:]) != frameMagic || length > maxPayloadBytes {
 		return 0, nil, merry.New("no frame")
 	}
 	var body bytes.Buffer
@@ -105,26 +105,26 @@
 }
 
 // take adds a batch to what was found.
-func (f *scanned) take(payload []byte) error {
+func (f *scanResult) applyBatch(payload []byte) error {
 	var batch tally.Batch
 	if err := cbor.Unmarshal(payload, &batch); err != nil {
 		return err
 	}
 	for i := range batch.Runs {
-		if !f.saved.Set.Insert(&batch.Runs[i]) {
+		if !f.state.Set.Insert(&batch.Runs[i]) {
 			return merry.New("a gap in an origin's numbers")
 		}
 	}
 	if batch.NewOrigin != 0 {
-		f.saved.Origins = append(f.saved.Origins, batch.NewOrigin)
+		f.state.Origins = append(f.state.Origins, batch.NewOrigin)
 	}
-	f.saved.Complete = f.saved.Complete || batch.Complete
+	f.state.Complete = f.state.Complete || batch.Complete
 	return nil
 }
 
 // checkTorn looks behind what cannot be read for a frame that was written after it had been synced.
-func (f *scanned) checkTorn(file *os.File) error {
-	if _, err := file.Seek(f.whole, io.SeekStart); err != nil {
+func (f *scanResult) checkTornTail(file *os.File) error {
+	if _, err := file.Seek(f.validBytes, io.SeekStart); err != nil {
 		return merry.Prepend(err, "tally log: read")
 	}
 	rest, err := io.ReadAll(file)
@@ -139,8 +139,8 @@
 		}
 		at += next
 		synced, _, err := readFrame(bufio.NewReader(bytes.NewReader(rest[at:])))
-		if err == nil && synced > f.whole {
-			return &DamageError{file.Name(), f.whole}
+		if err == nil && synced > f.validBytes {
+			return &CorruptionError{file.Name(), f.validBytes}
 		}
 	}
 }
