--- a/internal/tally/acknowledge.go
+++ b/internal/tally/acknowledge.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// settle answers the calls whose adds are on enough disks.
+// acknowledgeReplicated acknowledges the waiting calls whose adds are on enough disks.
 func (r *Replica) acknowledgeReplicated(now time.Duration, out *Output) {
 	for _, dot := range r.waitingDots() {
 		if r.set.Contains(dot) && r.sufficientlyReplicated(now, dot) {
@@ -15,35 +15,36 @@
 	}
 }
 
-// enough tells whether an add that is on this disk is on as many others as it should be, or on all that can be reached. While this
-// machine cannot know who is in reach, it waits; and for a while where others have only just fallen silent, as it may be this machine that
-// does not get to their messages.
+// sufficientlyReplicated reports whether an add that is on the local disk is also on RemoteCopies
+// other disks or, if fewer peers are reachable, on the disk of every reachable peer. It returns false
+// while reachability is unknown, and for up to SuspectWait while peers that lack the add have only
+// recently become unreachable, because the local process may be late in reading their messages.
 func (r *Replica) sufficientlyReplicated(now time.Duration, dot Dot) bool {
-	copies, reachable, copiesInReach, recent := 0, 0, 0, false
+	copies, reachable, reachableCopies, suspected := 0, 0, 0, false
 	for _, p := range r.peers {
-		has := p.contains(dot)
-		if has {
+		stored := p.contains(dot)
+		if stored {
 			copies++
 		}
 		if r.reachable(now, p) && !p.diskFailed {
 			reachable++
-			if has {
-				copiesInReach++
+			if stored {
+				reachableCopies++
 			}
-		} else if !has && p.heardWithin(now, r.options.Timing.SuspectWindow) && !p.diskFailed {
-			recent = true
+		} else if !stored && p.heardWithin(now, r.options.Timing.SuspectWindow) && !p.diskFailed {
+			suspected = true
 		}
 	}
 	if copies >= r.options.RemoteCopies {
 		return true
 	}
-	if recent && now-r.waitingSince(dot) < r.options.Timing.SuspectWait {
+	if suspected && now-r.waitingSince(dot) < r.options.Timing.SuspectWait {
 		return false
 	}
-	return now >= r.ignoreSilenceUntil && reachable < r.options.RemoteCopies && copiesInReach == reachable
+	return now >= r.ignoreSilenceUntil && reachable < r.options.RemoteCopies && reachableCopies == reachable
 }
 
-// waitingSince is when the first call that waits for an add came.
+// waitingSince returns the arrival time of the oldest call that waits for an add, or 0 if there is none.
 func (r *Replica) waitingSince(dot Dot) time.Duration {
 	waiters := r.waiters[dot]
 	if len(waiters) == 0 {
@@ -52,31 +53,32 @@
 	return waiters[0].since
 }
 
-// expire answers the calls that have waited for too long, and those whose adds a failing disk holds up.
+// expireCalls answers Unclear to the calls that have waited for AddTimeout and, while the disk is
+// unavailable, to those whose adds are not on it yet. In the latter case it also refuses the queue.
 func (r *Replica) expireCalls(now time.Duration, out *Output) {
-	fails := r.diskUnavailable(now)
+	diskUnavailable := r.diskUnavailable(now)
 	for _, dot := range r.waitingDots() {
-		if fails && !r.set.Contains(dot) {
+		if diskUnavailable && !r.set.Contains(dot) {
 			r.replyToWaiters(out, dot, Unclear, "the disk takes no writes")
 			continue
 		}
 		r.waiters[dot] = slices.DeleteFunc(r.waiters[dot], func(w waiter) bool {
-			late := now-w.since >= r.options.Timing.AddTimeout
-			if late {
+			expired := now-w.since >= r.options.Timing.AddTimeout
+			if expired {
 				r.reply(out, w.token, Unclear, "not on enough disks in time")
 			}
-			return late
+			return expired
 		})
 		if len(r.waiters[dot]) == 0 {
 			delete(r.waiters, dot)
 		}
 	}
-	if fails {
+	if diskUnavailable {
 		r.refuseQueue(out, "the disk takes no writes")
 	}
 }
 
-// refuseQueue refuses the adds that no write was begun for.
+// refuseQueue refuses the queued adds, which are not part of any write.
 func (r *Replica) refuseQueue(out *Output, reason string) {
 	for _, q := range r.queue {
 		for _, w := range q.waiters {
@@ -86,7 +88,7 @@
 	r.queue = nil
 }
 
-// giveUp answers all calls that wait for an add.
+// replyToWaiters answers all calls that wait for an add.
 func (r *Replica) replyToWaiters(out *Output, dot Dot, outcome Outcome, reason string) {
 	for _, w := range r.waiters[dot] {
 		r.reply(out, w.token, outcome, reason)
@@ -94,7 +96,7 @@
 	delete(r.waiters, dot)
 }
 
-// waitingDots gives the adds that calls wait for, in an order.
+// waitingDots returns the dots of the adds that calls wait for, sorted by origin and sequence number.
 func (r *Replica) waitingDots() []Dot {
 	dots := make([]Dot, 0, len(r.waiters))
 	for dot := range r.waiters {
--- a/internal/tally/checks_test.go
+++ b/internal/tally/checks_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// check gives the rule that is broken, if one is.
+// check returns an error if an invariant is violated. Invariants that the injected fault breaks too early
+// are left out.
 func (c *cluster) check() error {
 	if c.violation != nil {
 		return c.violation
@@ -25,25 +26,26 @@
 	return nil
 }
 
-// checkLasting: what was acknowledged is on a disk, unless it was on too few when its machine lost its own.
+// checkDurability checks that each acknowledged add is on a disk, unless it was on too few disks when the
+// node that acknowledged it lost its own.
 func (c *cluster) checkDurability() error {
 	for _, a := range c.acked {
 		if c.countDisksWith(a.add) == 0 && !(a.diskLost && a.disks <= c.remoteCopies) {
-			return fmt.Errorf("%v was acknowledged by m%d on %d disks and is lost", a.add, a.node, a.disks)
+			return fmt.Errorf("%v, acknowledged by m%d on %d disks: got no copies now, want at least one", a.add, a.node, a.disks)
 		}
 	}
 	return nil
 }
 
-// checkDots: no two machines know different adds under one dot.
+// checkDotsUnique checks that no two replicas have different adds under one dot.
 func (c *cluster) checkDotsUnique() error {
 	seen := map[Dot]Add{}
 	for _, n := range c.nodes {
 		for origin, adds := range n.replica.set.allAdds() {
 			for i, add := range adds {
 				dot := Dot{origin, uint64(i + 1)}
-				if other, there := seen[dot]; there && other != add {
-					return fmt.Errorf("%v names %v and %v", dot, other, add)
+				if other, found := seen[dot]; found && other != add {
+					return fmt.Errorf("dot %v: got two adds, %v and %v, want one", dot, other, add)
 				}
 				seen[dot] = add
 			}
@@ -52,8 +54,9 @@
 	return nil
 }
 
-// checkReads: a read shows no more than what was sent, all that the machine acknowledged in this life and, once its disk was lost, what had
-// been acknowledged on enough disks before.
+// checkReads checks the totals that a node returns, if it answers reads. They must not exceed what was
+// submitted. They must include what the node acknowledged since its last start and, after the loss of its
+// disk, what had been acknowledged on enough disks before.
 func (c *cluster) checkReads(n *node) error {
 	r := n.replica
 	if !r.ready {
@@ -61,24 +64,25 @@
 	}
 	for tally, total := range r.set.totalsByName() {
 		if most := c.maxTotal(tally); total > most {
-			return fmt.Errorf("%s reads %d of %s, at most %d were added", n.addr, total, tally, most)
+			return fmt.Errorf("%s: total of %s: got %d, want at most %d", n.addr, tally, total, most)
 		}
 	}
 	for _, add := range c.issued {
 		if (n.acked[add.ID] || n.ackedBeforeDiskLoss[add.ID] && !c.disrupted) && !r.countsID(add.ID) {
-			return fmt.Errorf("%s reads without %v", n.addr, add)
+			return fmt.Errorf("%s: totals: got none that include %v, want it included", n.addr, add)
 		}
 	}
 	return nil
 }
 
-// counts tells whether an id is part of the totals.
+// countsID reports whether an id is part of the totals.
 func (r *Replica) countsID(id string) bool {
-	_, _, there := r.set.Lookup(id)
-	return there
+	_, _, found := r.set.Lookup(id)
+	return found
 }
 
-// mostOf is what a tally can come to: each id once, with the most that a call named for it.
+// maxTotal returns the highest valid total of a tally: each id counts once, with the highest amount that a
+// call had for it.
 func (c *cluster) maxTotal(tally string) (most int64) {
 	byID := map[string]int64{}
 	for _, add := range c.issued {
@@ -86,17 +90,18 @@
 			byID[add.ID] = max(byID[add.ID], add.Amount)
 		}
 	}
-	for _, by := range byID {
-		most += by
+	for _, amount := range byID {
+		most += amount
 	}
 	return most
 }
 
-// heal lets all go well for so many units, and gives the rule that is broken then: all machines answer alike, with all that is owed.
-func (c *cluster) heal(units int) error {
+// heal runs the cluster without faults for a number of ticks. It returns an error unless all nodes then
+// answer reads with the same totals, which include all adds acknowledged on enough disks.
+func (c *cluster) heal(ticks int) error {
 	c.cutLinks = map[[2]int]bool{}
 	defer func() { c.disrupted = false }()
-	for range units {
+	for range ticks {
 		c.tick()
 		for range 6 {
 			c.settle()
@@ -105,29 +110,29 @@
 			return err
 		}
 	}
-	owed := map[string]bool{}
+	required := map[string]bool{}
 	for _, a := range c.acked {
 		if !a.diskLost || a.disks > c.remoteCopies {
-			owed[a.add.ID] = true
+			required[a.add.ID] = true
 		}
 	}
 	for _, n := range c.nodes {
 		if !n.replica.ready {
-			return fmt.Errorf("%s does not answer reads: %s", n.addr, n.replica.notReadyReason(c.now))
+			return fmt.Errorf("%s after healing: got not ready (%s), want ready", n.addr, n.replica.notReadyReason(c.now))
 		}
-		for id := range owed {
+		for id := range required {
 			if !n.replica.countsID(id) {
-				return fmt.Errorf("%s lacks %s after all healed", n.addr, id)
+				return fmt.Errorf("%s after healing: totals lack the acknowledged id %s", n.addr, id)
 			}
 		}
 		if a, b := fmt.Sprint(n.replica.set.totalsByName()), fmt.Sprint(c.nodes[0].replica.set.totalsByName()); a != b {
-			return fmt.Errorf("%s reads %s, m0 %s", n.addr, a, b)
+			return fmt.Errorf("%s after healing: totals: got %s, want %s as on m0", n.addr, a, b)
 		}
 	}
 	return nil
 }
 
-// settleDown ends all writes and delivers all messages that are on their way.
+// settle completes one pending write of each node and delivers all messages in flight.
 func (c *cluster) settle() {
 	for i := range c.nodes {
 		if len(c.nodes[i].disk.pending) > 0 {
@@ -143,14 +148,16 @@
 	}
 }
 
-// fingerprint tells cores apart; times are told by how long ago they were.
+// fingerprint returns a string that identifies the cluster's state. Times are relative to the current time.
 func (c *cluster) fingerprint() string {
 	var b strings.Builder
 	fmt.Fprint(&b, c.remaining, c.acked, c.issued, c.lastOrigin)
 	for i, n := range c.nodes {
 		r := n.replica
 		fmt.Fprint(&b, "|", n.incarnation, c.now-n.startedAt, n.acked, n.ackedBeforeDiskLoss, n.disk.synced, len(n.disk.pending))
-		fmt.Fprint(&b, r.set.allAdds(), r.origin, r.originUnsaved, r.queue, r.staged, r.reservedSequences, r.ready, r.complete, r.diskFailed, max(0, r.slowUntil-c.now), c.now-r.lastStep, max(0, r.ignoreSilenceUntil-c.now))
+		fmt.Fprint(&b, r.set.allAdds(), r.origin, r.originUnsaved, r.queue, r.staged, r.reservedSequences,
+			r.ready, r.complete, r.diskFailed, max(0, r.slowUntil-c.now),
+			c.now-r.lastStep, max(0, r.ignoreSilenceUntil-c.now))
 		for _, dot := range r.waitingDots() {
 			fmt.Fprint(&b, dot)
 			for _, w := range r.waiters[dot] {
@@ -158,23 +165,26 @@
 			}
 		}
 		for _, p := range r.sortedPeers() {
-			fmt.Fprint(&b, p.addr, p.incarnation, p.lastHeard == never, c.now-p.lastHeard, c.now-p.lastEchoedSend, p.initialVector, p.ready, p.diskFailed, p.acksPending, max(0, p.nextGossip-c.now), p.gossipCount%gossipsPerPeerList)
+			fmt.Fprint(&b, p.addr, p.incarnation, p.lastHeard == never, c.now-p.lastHeard, c.now-p.lastEchoedSend,
+				p.initialVector, p.ready, p.diskFailed, p.acksPending, max(0, p.nextGossip-c.now), p.gossipCount%gossipsPerPeerList)
 			for _, origin := range r.set.sortedOrigins() {
 				if l := p.progress[origin]; l != nil {
-					fmt.Fprint(&b, origin, l.durable, l.sent, c.now-l.lastProgress, l.laggingSince == never, c.now-l.laggingSince, l.relaying)
+					fmt.Fprint(&b, origin, l.durable, l.sent, c.now-l.lastProgress,
+						l.laggingSince == never, c.now-l.laggingSince, l.relaying)
 				}
 			}
 		}
 		for j := range c.nodes {
 			for _, m := range c.links[[2]int{i, j}] {
-				fmt.Fprint(&b, m.Incarnation, m.Durable, m.FullVector, m.Runs, m.Ready, c.now-time.Duration(m.SentAt%int64(time.Hour)), m.Echo)
+				fmt.Fprint(&b, m.Incarnation, m.Durable, m.FullVector, m.Runs, m.Ready,
+					c.now-time.Duration(m.SentAt%int64(time.Hour)), m.Echo)
 			}
 		}
 	}
 	return b.String()
 }
 
-// all gives the adds of each origin.
+// allAdds returns the adds of each origin.
 func (s *Set) allAdds() map[Origin][]Add {
 	all := map[Origin][]Add{}
 	for _, origin := range s.sortedOrigins() {
@@ -183,7 +193,7 @@
 	return all
 }
 
-// byName gives the totals by the tallies' names.
+// totalsByName returns the total of each tally.
 func (s *Set) totalsByName() map[string]int64 {
 	totals := map[string]int64{}
 	for index, total := range s.totals {
--- a/internal/tally/compact.go
+++ b/internal/tally/compact.go
@@ -2,41 +2,43 @@
 
 import "strings"
 
-// stored is an add in few bytes.
+// compactAdd is the in-memory form of an add, with the id and the tally's name replaced by numbers.
 type compactAdd struct {
-	idNumber   uint64 // of the id's key
+	idNumber   uint64 // idKey.number
 	amount     int64
 	tallyIndex uint32
-	idInterned bool
+	idInterned bool // idKey.interned
 }
 
-func (s *compactAdd) id() idKey { return idKey{s.idNumber, s.idInterned} }
+func (c *compactAdd) id() idKey { return idKey{c.idNumber, c.idInterned} }
 
-// chunkAdds is how many adds are kept in one piece, so that none is copied as an origin's grow.
+// addsPerChunk is the number of adds per chunk. Chunks are never reallocated, so appending to an
+// origin doesn't copy its earlier adds.
 const addsPerChunk = 1024
 
-// sequence is the adds of one origin.
+// originAdds stores the adds of one origin in the order of their sequence numbers.
 type originAdds struct {
-	originIndex uint32
+	originIndex uint32 // index in Set.origins
 	count       uint64
 	chunks      [][]compactAdd
 }
 
-func (q *originAdds) append(add compactAdd) {
-	last := len(q.chunks) - 1
-	if last < 0 || len(q.chunks[last]) == addsPerChunk {
-		q.chunks = append(q.chunks, nil)
+func (a *originAdds) append(add compactAdd) {
+	last := len(a.chunks) - 1
+	if last < 0 || len(a.chunks[last]) == addsPerChunk {
+		a.chunks = append(a.chunks, nil)
 		last++
 	}
-	q.chunks[last] = append(q.chunks[last], add)
-	q.count++
+	a.chunks[last] = append(a.chunks[last], add)
+	a.count++
 }
 
-func (q *originAdds) at(index uint64) compactAdd {
-	return q.chunks[index/addsPerChunk][index%addsPerChunk]
+// at returns the add with sequence number index+1.
+func (a *originAdds) at(index uint64) compactAdd {
+	return a.chunks[index/addsPerChunk][index%addsPerChunk]
 }
 
-// names gives texts indexes.
+// stringTable interns strings: it assigns each distinct string an index.
 type stringTable struct {
 	indexes map[string]uint32
 	values  []string
@@ -44,40 +46,42 @@
 
 func newStringTable() stringTable { return stringTable{indexes: map[string]uint32{}} }
 
-func (n *stringTable) intern(name string) uint32 {
-	index, known := n.indexes[name]
+// intern returns the index of a string and assigns one if it is new.
+func (t *stringTable) intern(value string) uint32 {
+	index, known := t.indexes[value]
 	if !known {
-		index = uint32(len(n.values))
-		n.values = append(n.values, name)
-		n.indexes[name] = index
+		index = uint32(len(t.values))
+		t.values = append(t.values, value)
+		t.indexes[value] = index
 	}
 	return index
 }
 
-// idKey stands for an id: the number that 16 hex digits spell, or the index of another text.
+// idKey represents an id: the value of an id of 16 lower-case hex digits, or the index of any other id
+// in the string table.
 type idKey struct {
-	number   uint64
-	interned bool
+	number   uint64 // the value of the hex digits, or the index in the string table
+	interned bool   // number is an index in the string table
 }
 
-// idDigits is the length of the ids that are kept as numbers.
+// hexIDDigits is the length, in hex digits, of the ids that are stored as numbers.
 const hexIDDigits = 16
 
 const hexDigits = "0123456789abcdef"
 
-// ids keeps where the add that counts for an id is.
+// idIndex maps each id to the location of the add that counts for it.
 type idIndex struct {
 	byNumber map[uint64]location
 	texts    stringTable
-	byText   map[uint32]location // of others, by index
+	byText   map[uint32]location // of the ids in texts, by index
 }
 
 func newIDIndex() idIndex {
 	return idIndex{byNumber: map[uint64]location{}, texts: newStringTable(), byText: map[uint32]location{}}
 }
 
-// spelt gives the number that an id spells in lower-case hex digits, all 16 of them.
-func parseHexID(id string) (number uint64, is bool) {
+// parseHexID returns the value of an id of exactly 16 lower-case hex digits; ok is false for other ids.
+func parseHexID(id string) (number uint64, ok bool) {
 	if len(id) != hexIDDigits {
 		return 0, false
 	}
@@ -91,6 +95,7 @@
 	return number, true
 }
 
+// formatHexID is the inverse of parseHexID.
 func formatHexID(number uint64) string {
 	var digits [hexIDDigits]byte
 	for i := range digits {
@@ -100,44 +105,46 @@
 	return string(digits[:])
 }
 
-// intern gives an id's key, and makes one.
-func (s *idIndex) intern(id string) idKey {
-	if number, is := parseHexID(id); is {
+// intern returns the key of an id and creates one if it is new.
+func (x *idIndex) intern(id string) idKey {
+	if number, ok := parseHexID(id); ok {
 		return idKey{number: number}
 	}
-	return idKey{uint64(s.texts.intern(id)), true}
+	return idKey{uint64(x.texts.intern(id)), true}
 }
 
-// find gives an id's key, if it has one.
-func (s *idIndex) find(id string) (idKey, bool) {
-	if number, is := parseHexID(id); is {
+// find returns the key of an id and reports whether it has one, without creating it.
+func (x *idIndex) find(id string) (idKey, bool) {
+	if number, ok := parseHexID(id); ok {
 		return idKey{number: number}, true
 	}
-	index, known := s.texts.indexes[id]
+	index, known := x.texts.indexes[id]
 	return idKey{uint64(index), true}, known
 }
 
-// text gives the id of a key.
-func (s *idIndex) text(key idKey) string {
+// text returns the id that a key represents.
+func (x *idIndex) text(key idKey) string {
 	if key.interned {
-		return s.texts.values[key.number]
+		return x.texts.values[key.number]
 	}
 	return formatHexID(key.number)
 }
 
-func (s *idIndex) location(key idKey) (at location, there bool) {
+// location returns where the add that counts for an id is stored.
+func (x *idIndex) location(key idKey) (at location, found bool) {
 	if key.interned {
-		at, there = s.byText[uint32(key.number)]
+		at, found = x.byText[uint32(key.number)]
 	} else {
-		at, there = s.byNumber[key.number]
+		at, found = x.byNumber[key.number]
 	}
-	return at, there
+	return at, found
 }
 
-func (s *idIndex) set(key idKey, at location) {
+// set records the location of the add that counts for an id.
+func (x *idIndex) set(key idKey, at location) {
 	if key.interned {
-		s.byText[uint32(key.number)] = at
+		x.byText[uint32(key.number)] = at
 	} else {
-		s.byNumber[key.number] = at
+		x.byNumber[key.number] = at
 	}
 }
--- a/internal/tally/explore_test.go
+++ b/internal/tally/explore_test.go
@@ -8,7 +8,8 @@
 	"nettlefold/internal/simtest"
 )
 
-// history is a core as the search knows it: the events that led to it, played anew for each look.
+// searchState adapts a cluster to simtest.World. As a cluster can't be copied, each successor is built by
+// replaying the events that lead to it.
 type searchState struct {
 	newCluster func() *cluster
 	past       []event
@@ -16,9 +17,9 @@
 	events     []event
 }
 
-func newSearchState(make func() *cluster) *searchState {
-	c := make()
-	return &searchState{newCluster: make, cluster: c, events: c.possibleEvents()}
+func newSearchState(create func() *cluster) *searchState {
+	c := create()
+	return &searchState{newCluster: create, cluster: c, events: c.possibleEvents()}
 }
 
 func (h *searchState) Choices() int           { return len(h.events) }
@@ -35,7 +36,7 @@
 	return &searchState{newCluster: h.newCluster, past: past, cluster: c, events: c.possibleEvents()}
 }
 
-// mostStates bounds a search; the shortest histories are seen first.
+// maxStates bounds a search. It is breadth-first, so the shortest histories are covered.
 const maxStates = 60_000
 
 var (
@@ -45,38 +46,40 @@
 	twoAdds           = []call{{0, addA}, {0, addB}}
 )
 
-// orders is a search: what was answered before it, and what may happen in it.
+// searchCase is a search over all event orders: its calls and limits, and the calls that are completed
+// before it.
 type searchCase struct {
-	machines int
-	fault    fault
-	before   []call
-	calls    []call
-	allowed  limits
+	nodes   int
+	fault   fault
+	before  []call // completed before the search
+	calls   []call
+	allowed limits
 }
 
-func (o searchCase) search() simtest.Result {
+func (s searchCase) search() simtest.Result {
 	return simtest.Search(newSearchState(func() *cluster {
-		return newCluster(o.machines, 1, o.fault, o.allowed, o.calls...).converge(o.before...)
+		return newCluster(s.nodes, 1, s.fault, s.allowed, s.calls...).converge(s.before...)
 	}), maxStates)
 }
 
+// TestExhaustiveEventOrders checks the invariants over all orders of a few calls, faults and messages.
 func TestExhaustiveEventOrders(t *testing.T) {
-	const both = 3 // of the calls
-	answered := []call{{0, addB}}
+	const both = 3 // bits of the two calls
+	completed := []call{{0, addB}}
 	for name, o := range map[string]searchCase{
-		"two, one id twice":                {machines: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
-		"two, one id twice, messages lost": {machines: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both, connectionLosses: 1, ticks: 1}},
-		"two, power":                       {machines: 2, calls: twoAdds, allowed: limits{callMask: both, powerLosses: 1, ticks: 1}},
-		"two, power twice":                 {machines: 2, calls: twoAdds[:1], allowed: limits{callMask: 1, powerLosses: 2}},
-		"two, messages twice":              {machines: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both, duplicates: 1}},
-		"two, a disk lost":                 {machines: 2, before: answered, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1, ticks: 2}},
-		"two, a disk lost, power":          {machines: 2, before: answered, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1, powerLosses: 1}},
-		"two, a disk lost and a message":   {machines: 2, before: answered, allowed: limits{diskLosses: 1, connectionLosses: 1, ticks: 3}},
-		"three, one id twice":              {machines: 3, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
-		"three, a message lost":            {machines: 3, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, connectionLosses: 1, ticks: 1}},
-		"three, power":                     {machines: 3, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, powerLosses: 1}},
-		"three, a disk lost":               {machines: 3, before: answered, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1}},
-		"three, a disk lost, power, a cut": {machines: 3, before: answered, allowed: limits{diskLosses: 1, powerLosses: 1, connectionLosses: 1, ticks: 3}},
+		"two nodes, same id twice":                            {nodes: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
+		"two nodes, same id twice, connection loss":           {nodes: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both, connectionLosses: 1, ticks: 1}},
+		"two nodes, power loss":                               {nodes: 2, calls: twoAdds, allowed: limits{callMask: both, powerLosses: 1, ticks: 1}},
+		"two nodes, two power losses":                         {nodes: 2, calls: twoAdds[:1], allowed: limits{callMask: 1, powerLosses: 2}},
+		"two nodes, duplicate message":                        {nodes: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both, duplicates: 1}},
+		"two nodes, disk loss":                                {nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1, ticks: 2}},
+		"two nodes, disk loss, power loss":                    {nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1, powerLosses: 1}},
+		"two nodes, disk loss, connection loss":               {nodes: 2, before: completed, allowed: limits{diskLosses: 1, connectionLosses: 1, ticks: 3}},
+		"three nodes, same id twice":                          {nodes: 3, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
+		"three nodes, connection loss":                        {nodes: 3, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, connectionLosses: 1, ticks: 1}},
+		"three nodes, power loss":                             {nodes: 3, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, powerLosses: 1}},
+		"three nodes, disk loss":                              {nodes: 3, before: completed, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1}},
+		"three nodes, disk loss, power loss, connection loss": {nodes: 3, before: completed, allowed: limits{diskLosses: 1, powerLosses: 1, connectionLosses: 1, ticks: 3}},
 	} {
 		result := o.search()
 		require.NoError(t, result.Broken, "%s: %s", name, result)
@@ -84,13 +87,14 @@
 	}
 }
 
+// TestSearchDetectsInjectedFaults checks that the search finds each injected fault.
 func TestSearchDetectsInjectedFaults(t *testing.T) {
-	const both = 3 // of the calls
+	const both = 3 // bits of the two calls
 	for name, o := range map[string]searchCase{
-		"acknowledged before the sync": {machines: 2, fault: ackBeforeSync, calls: twoAdds, allowed: limits{callMask: both, ticks: 1, powerLosses: 1}},
-		"merged by sum":                {machines: 2, fault: countPerOrigin, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
-		"reads while empty":            {machines: 2, fault: readyWithEmptyDisk, before: twoAdds, allowed: limits{ticks: 2, diskLosses: 1}},
-		"a dot used again":             {machines: 2, fault: reuseDots, calls: twoAdds, allowed: limits{callMask: both, powerLosses: 1}},
+		"acknowledgement before sync": {nodes: 2, fault: ackBeforeSync, calls: twoAdds, allowed: limits{callMask: both, ticks: 1, powerLosses: 1}},
+		"id counted per origin":       {nodes: 2, fault: countPerOrigin, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
+		"ready with empty disk":       {nodes: 2, fault: readyWithEmptyDisk, before: twoAdds, allowed: limits{ticks: 2, diskLosses: 1}},
+		"dot reused":                  {nodes: 2, fault: reuseDots, calls: twoAdds, allowed: limits{callMask: both, powerLosses: 1}},
 	} {
 		result := o.search()
 		require.Error(t, result.Broken, "%s: %s", name, result)
--- a/internal/tally/peer.go
+++ b/internal/tally/peer.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	maxMessageAdds     = 1024               // of an origin, in one message
-	sendWindowAdds     = 4 * maxMessageAdds // of an origin, sent to a peer and not acknowledged by it
-	gossipsPerPeerList = 5                  // one in so many whole vectors comes with the sender's peers
-	peerListMaxAge     = 3 * time.Second    // a peer that was heard within it is named to others
-	never              = time.Duration(-1)
+	maxMessageAdds     = 1024               // of one origin in one message
+	sendWindowAdds     = 4 * maxMessageAdds // of one origin sent to a peer and not acknowledged
+	gossipsPerPeerList = 5                  // one full vector in this many includes the peer list
+	peerListMaxAge     = 3 * time.Second    // peers silent for longer are left out of the peer list
+	never              = time.Duration(-1)  // time of an event that hasn't happened
 )
 
-// peer is what is known of another machine.
+// peer is the state that a replica keeps about another machine. Times are on the replica's clock.
 type peer struct {
 	addr             string
-	permanent        bool // it is a seed, or in the view in force
+	permanent        bool // a seed or a member of the current view; never expires
 	addedAt          time.Duration
 	incarnation      uint64
-	pastIncarnations []uint64      // earlier lives: what they sent may still arrive
-	lastHeard        time.Duration // never: not in this machine's life
-	lastEchoedSend   time.Duration // when the newest message was sent that it has answered
-	latestSentAt     int64         // Sent of its newest message
-	initialVector    VersionVector // what it held when it was first heard of; nil: not known
+	pastIncarnations []uint64      // whose delayed messages are ignored
+	lastHeard        time.Duration // never: not since this replica's start
+	lastEchoedSend   time.Duration // send time of the newest message that it has echoed, or never
+	latestSentAt     int64         // SentAt of its newest message, by its own clock
+	initialVector    VersionVector // the first full vector of this incarnation; nil: none received
 	ready            bool
-	diskFailed       bool // its disk takes no more adds
-	diskSlow         bool // its last write took long
+	diskFailed       bool // its disk accepts no more adds
+	diskSlow         bool // its disk is slow
 	progress         map[Origin]*originProgress
-	acksPending      map[Origin]bool // origins of which it sent adds that were not acknowledged yet
-	nextGossip       time.Duration   // when it is to be sent the whole vector
-	gossipCount      int
+	acksPending      map[Origin]bool // origins of which it sent adds that aren't acknowledged yet
+	nextGossip       time.Duration   // when the next full vector is due
+	gossipCount      int             // full vectors sent
 }
 
-// link is how far a peer has an origin's adds.
+// originProgress tracks how many of an origin's adds a peer has, as sequence numbers.
 type originProgress struct {
-	durable      uint64        // on its disk, by its own word
-	sent         uint64        // to it
-	lastProgress time.Duration // when known grew, or sent did with nothing under way
-	laggingSince time.Duration // since when it lacks some without a sign of progress; never: it does not
-	relaying     bool          // of another machine's adds: this machine passes them on
+	durable      uint64        // on the peer's disk, as it reported
+	sent         uint64        // sent to the peer
+	lastProgress time.Duration // when durable last grew, or sending started with nothing in flight
+	laggingSince time.Duration // since when the peer lacks adds without progress; never: it lacks none
+	relaying     bool          // this replica sends adds of an origin that isn't its own
 }
 
+// progressOf returns the peer's progress for an origin and creates it if needed.
 func (p *peer) progressOf(origin Origin) *originProgress {
 	l := p.progress[origin]
 	if l == nil {
@@ -52,44 +53,46 @@
 	return l
 }
 
-// has tells whether a peer's disk holds an add.
+// contains reports whether the peer's disk is known to have an add.
 func (p *peer) contains(dot Dot) bool {
 	l := p.progress[dot.Origin]
 	return l != nil && l.durable >= dot.Sequence
 }
 
-// holds notes that a peer's disk holds an origin's adds up to a number.
-func (p *peer) recordDurable(now time.Duration, origin Origin, number uint64) {
+// recordDurable records that the peer's disk has an origin's adds up to a sequence number.
+func (p *peer) recordDurable(now time.Duration, origin Origin, sequence uint64) {
 	l := p.progressOf(origin)
-	if number <= l.durable {
+	if sequence <= l.durable {
 		return
 	}
-	if number > l.sent {
-		l.sent, l.relaying = number, false // others send it
+	if sequence > l.sent {
+		l.sent, l.relaying = sequence, false // it got adds from another replica
 	}
-	l.durable, l.lastProgress = number, now
+	l.durable, l.lastProgress = sequence, now
 	if l.laggingSince != never {
 		l.laggingSince = now
 	}
 }
 
-// live begins to hear of a peer's life anew; false for an earlier one.
-func (p *peer) acceptIncarnation(life uint64) bool {
-	if p.incarnation == life {
+// acceptIncarnation resets the peer's state if the incarnation is new. It returns false for an earlier
+// one, whose messages must be ignored.
+func (p *peer) acceptIncarnation(incarnation uint64) bool {
+	if p.incarnation == incarnation {
 		return true
 	}
-	if slices.Contains(p.pastIncarnations, life) {
+	if slices.Contains(p.pastIncarnations, incarnation) {
 		return false
 	}
 	if p.incarnation != 0 {
 		p.pastIncarnations = append(p.pastIncarnations, p.incarnation)
 	}
-	p.incarnation, p.initialVector, p.nextGossip, p.latestSentAt = life, nil, 0, 0 // its clock begins elsewhere
+	// latestSentAt is reset because a new incarnation's clock may start earlier.
+	p.incarnation, p.initialVector, p.nextGossip, p.latestSentAt = incarnation, nil, 0, 0
 	p.progress, p.acksPending = map[Origin]*originProgress{}, map[Origin]bool{}
 	return true
 }
 
-// SetPeers names the peers that are not forgotten: the seeds and the members of the view.
+// SetPeers sets the peers that never expire: the seeds and the members of the view.
 func (r *Replica) SetPeers(now time.Duration, addrs []string) {
 	for _, p := range r.peers {
 		p.permanent = false
@@ -101,20 +104,24 @@
 	}
 }
 
-// peer gives the peer at an address, and gets to know it; nil for this machine itself.
+// ensurePeer returns the peer at an address and creates it if needed. It returns nil for this machine's
+// own address and for an empty one.
 func (r *Replica) ensurePeer(now time.Duration, addr string) *peer {
 	if addr == r.options.Self || addr == "" {
 		return nil
 	}
 	p := r.peers[addr]
 	if p == nil {
-		p = &peer{addr: addr, addedAt: now, lastHeard: never, lastEchoedSend: never, progress: map[Origin]*originProgress{}, acksPending: map[Origin]bool{}}
+		p = &peer{
+			addr: addr, addedAt: now, lastHeard: never, lastEchoedSend: never,
+			progress: map[Origin]*originProgress{}, acksPending: map[Origin]bool{},
+		}
 		r.peers[addr] = p
 	}
 	return p
 }
 
-// forget drops peers that nobody names and that were silent for long.
+// expirePeers removes peers that aren't permanent and have been silent for PeerExpiry.
 func (r *Replica) expirePeers(now time.Duration) {
 	for addr, p := range r.peers {
 		if !p.permanent && now-max(p.lastHeard, p.addedAt) > r.options.Timing.PeerExpiry {
@@ -123,18 +130,19 @@
 	}
 }
 
-// heardWithin tells whether a peer was heard since so long ago.
+// heardWithin reports whether a message of the peer arrived less than limit ago.
 func (p *peer) heardWithin(now, limit time.Duration) bool {
 	return p.lastHeard != never && now-p.lastHeard < limit
 }
 
-// inReach tells whether messages go to a peer and come back.
+// reachable reports whether a peer was heard recently and messages to it have recently been echoed.
 func (r *Replica) reachable(now time.Duration, p *peer) bool {
 	timing := &r.options.Timing
-	return p.heardWithin(now, timing.SilenceTimeout) && p.lastEchoedSend != never && now-p.lastEchoedSend < timing.RoundTripTimeout
+	return p.heardWithin(now, timing.SilenceTimeout) &&
+		p.lastEchoedSend != never && now-p.lastEchoedSend < timing.RoundTripTimeout
 }
 
-// Receive takes a message of a peer.
+// Receive processes a message of a peer. Messages of its earlier incarnations are ignored.
 func (r *Replica) Receive(now time.Duration, m *Message) Output {
 	out := Output{}
 	r.advance(now)
@@ -159,10 +167,10 @@
 	return out
 }
 
-// hear notes what a message tells of its sender.
+// observe updates the sender's state from a message.
 func (r *Replica) observe(now time.Duration, p *peer, m *Message) {
 	if !p.heardWithin(now, r.options.Timing.SilenceTimeout) {
-		p.nextGossip = now // it is told at once that it is heard again
+		p.nextGossip = now // so that it learns at once that its messages arrive again
 	}
 	p.lastHeard = now
 	p.latestSentAt = max(p.latestSentAt, m.SentAt)
@@ -170,8 +178,8 @@
 	if sent := time.Duration(m.Echo - r.options.ClockBase); m.Echo != 0 && sent >= 0 && sent <= now {
 		p.lastEchoedSend = max(p.lastEchoedSend, sent)
 	}
-	for origin, number := range m.Durable {
-		p.recordDurable(now, origin, number)
+	for origin, sequence := range m.Durable {
+		p.recordDurable(now, origin, sequence)
 	}
 	if m.FullVector && p.initialVector == nil {
 		p.initialVector = VersionVector(m.Durable)
@@ -180,11 +188,12 @@
 		}
 	}
 	if m.Durable[r.origin] > max(r.set.LastSequence(r.origin), r.reservedSequences[r.origin]) {
-		r.startNewOrigin() // this disk has lost what it had synced
+		r.startNewOrigin() // the local disk has lost synced adds; their sequence numbers must not be reused
 	}
 }
 
-// stage takes the part of a run that is not held, nor under way to the disk, for the next batch.
+// stage queues the part of a peer's run that is neither on disk nor part of a write for the next batch.
+// It drops the run if there is a gap before it, the disk has failed or the set is at capacity.
 func (r *Replica) stage(run *Run) {
 	next := max(r.set.LastSequence(run.Origin), r.reservedSequences[run.Origin]) + 1
 	if run.Origin == r.origin || run.First > next || len(run.Adds) == 0 || run.last() < next || r.diskFailed {
@@ -198,29 +207,32 @@
 	r.staged = append(r.staged, rest)
 }
 
-// message begins a message to a peer.
+// newMessage returns a message to a peer with the fields that all messages have.
 func (r *Replica) newMessage(now time.Duration, p *peer) *Message {
 	return &Message{
-		From: r.options.Self, Incarnation: r.options.Incarnation, SentAt: r.options.ClockBase + int64(now), Echo: p.latestSentAt, Ready: r.ready, DiskFailed: r.diskUnavailable(now) || r.atCapacity(), DiskSlow: now < r.slowUntil,
+		From: r.options.Self, Incarnation: r.options.Incarnation,
+		SentAt: r.options.ClockBase + int64(now), Echo: p.latestSentAt, Ready: r.ready,
+		DiskFailed: r.diskUnavailable(now) || r.atCapacity(), DiskSlow: now < r.slowUntil,
 	}
 }
 
-// gossip tells peers what is held here, from time to time.
+// gossipToAll sends the full version vector to each peer for which it is due.
 func (r *Replica) gossipToAll(now time.Duration, out *Output) {
 	for _, p := range r.sortedPeers() {
 		r.gossipTo(now, p, out)
 	}
 }
 
+// gossipTo sends the full version vector to a peer if it is due.
 func (r *Replica) gossipTo(now time.Duration, p *peer, out *Output) {
 	if now < p.nextGossip {
 		return
 	}
-	pause := r.options.Timing.ProbeInterval
+	interval := r.options.Timing.ProbeInterval
 	if p.heardWithin(now, r.options.Timing.SilenceTimeout) {
-		pause = r.options.Timing.GossipInterval
+		interval = r.options.Timing.GossipInterval
 	}
-	p.nextGossip = now + pause
+	p.nextGossip = now + interval
 	m := r.newMessage(now, p)
 	m.Durable, m.FullVector = r.set.VersionVector(), true
 	if p.gossipCount%gossipsPerPeerList == 0 {
@@ -230,52 +242,55 @@
 	out.Messages = append(out.Messages, Envelope{p.addr, m})
 }
 
-// heardLately names the peers that were heard a short time ago, but for one.
-func (r *Replica) recentPeers(now time.Duration, but *peer) (addrs []string) {
+// recentPeers returns the addresses of the peers heard within peerListMaxAge, except one.
+func (r *Replica) recentPeers(now time.Duration, except *peer) (addrs []string) {
 	for _, p := range r.sortedPeers() {
-		if p != but && p.heardWithin(now, peerListMaxAge) {
+		if p != except && p.heardWithin(now, peerListMaxAge) {
 			addrs = append(addrs, p.addr)
 		}
 	}
 	return addrs
 }
 
-// acknowledge tells peers that sent adds how far they are on disk here.
+// acknowledgeAll sends the pending acknowledgements to all peers.
 func (r *Replica) acknowledgeAll(now time.Duration, out *Output) {
 	for _, p := range r.sortedPeers() {
 		r.acknowledgeTo(now, p, out)
 	}
 }
 
+// acknowledgeTo sends a peer the durable sequence numbers of the origins of which it sent adds. Origins
+// with adds that are still being written are left for later.
 func (r *Replica) acknowledgeTo(now time.Duration, p *peer, out *Output) {
-	held := map[Origin]uint64{}
+	durable := map[Origin]uint64{}
 	for origin := range p.acksPending {
 		if r.set.LastSequence(origin) < r.reservedSequences[origin] {
-			continue // when it is on disk
+			continue // acknowledged once all staged adds are on disk
 		}
-		held[origin] = r.set.LastSequence(origin)
+		durable[origin] = r.set.LastSequence(origin)
 		delete(p.acksPending, origin)
 	}
-	if len(held) == 0 {
+	if len(durable) == 0 {
 		return
 	}
 	m := r.newMessage(now, p)
-	m.Durable = held
+	m.Durable = durable
 	out.Messages = append(out.Messages, Envelope{p.addr, m})
 }
 
-// send sends peers in reach what they lack.
+// sendToAll sends each peer the adds that it lacks.
 func (r *Replica) sendToAll(now time.Duration, out *Output) {
 	for _, p := range r.sortedPeers() {
 		r.sendTo(now, p, out)
 	}
 }
 
+// sendTo sends a peer the adds that it lacks, if the peer is reachable or suspected and its disk works.
 func (r *Replica) sendTo(now time.Duration, p *peer, out *Output) {
-	reached := r.reachable(now, p) || p.heardWithin(now, r.options.Timing.SuspectWindow)
+	eligible := r.reachable(now, p) || p.heardWithin(now, r.options.Timing.SuspectWindow)
 	for _, origin := range r.set.sortedOrigins() {
-		held, l := r.set.LastSequence(origin), p.progressOf(origin)
-		if !reached || p.diskFailed || l.durable >= held {
+		last, l := r.set.LastSequence(origin), p.progressOf(origin)
+		if !eligible || p.diskFailed || l.durable >= last {
 			l.laggingSince, l.relaying = never, false
 			continue
 		}
@@ -289,8 +304,9 @@
 	}
 }
 
-// mayServe tells whether this machine is to send an origin's adds to a peer: its own ones at once, and others that the peer has lacked for
-// a while. Machines wait for different times, so that mostly one of them sends.
+// shouldSend reports whether this replica should send an origin's adds to a peer: adds of its own
+// origins at once, others once the peer has lacked them for RelayDelay plus a stagger. The stagger
+// differs between replicas, so that usually only one of them relays.
 func (r *Replica) shouldSend(now time.Duration, p *peer, origin Origin, l *originProgress) bool {
 	if r.ownOrigins[origin] || l.relaying {
 		return true
@@ -299,7 +315,7 @@
 	return l.relaying
 }
 
-// stagger is a part of the relay's time that differs between machines.
+// relayStagger returns an extra delay below RelayDelay that depends on the addresses of both machines.
 func (r *Replica) relayStagger(addr string) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte(r.options.Self + "/" + addr))
@@ -307,12 +323,14 @@
 	return r.options.Timing.RelayDelay * time.Duration(h.Sum32()%steps) / steps
 }
 
+// sendRuns sends an origin's adds to a peer as far as the send window allows, and restarts behind the
+// last acknowledged add after RetransmitTimeout without progress.
 func (r *Replica) sendRuns(now time.Duration, p *peer, origin Origin, l *originProgress, out *Output) {
 	if l.sent > l.durable && now-l.lastProgress >= r.options.Timing.RetransmitTimeout {
 		l.sent = l.durable
 	}
-	held := r.set.LastSequence(origin)
-	for l.sent < held && l.sent-l.durable < sendWindowAdds {
+	last := r.set.LastSequence(origin)
+	for l.sent < last && l.sent-l.durable < sendWindowAdds {
 		if l.sent == l.durable {
 			l.lastProgress = now
 		}
--- a/internal/tally/readiness.go
+++ b/internal/tally/readiness.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// lostPatience is how much longer a machine whose disk was lost waits for others.
+// emptyDiskWaitFactor multiplies StartupWait on a machine whose disk was lost.
 const emptyDiskWaitFactor = 2
 
-// unready tells why reads are not to be answered yet, "" if they are: since its start this machine is to hold what each peer in reach held
-// when it was first heard, and one whose disk was lost is to have learned from a machine that answers reads.
+// notReadyReason returns why reads can't be answered yet, or "" if they can. A replica becomes ready
+// once its disk has everything that each peer had when it first sent its version vector after this
+// replica's start. Peers that stay silent for StartupWait are left out. A replica whose disk was lost
+// must also have caught up with at least one peer that answers reads.
 func (r *Replica) notReadyReason(now time.Duration) string {
-	learned, patience := false, r.options.Timing.StartupWait
+	caughtUp, wait := false, r.options.Timing.StartupWait
 	if !r.complete {
-		patience *= emptyDiskWaitFactor
+		wait *= emptyDiskWaitFactor
 	}
 	for _, p := range r.peers {
 		if p.initialVector != nil && r.covers(p.initialVector) {
-			learned = learned || p.ready
+			caughtUp = caughtUp || p.ready
 			continue
 		}
-		if now < r.ignoreSilenceUntil || now-max(p.lastHeard, p.addedAt, r.startedAt) < patience {
+		if now < r.ignoreSilenceUntil || now-max(p.lastHeard, p.addedAt, r.startedAt) < wait {
 			return "not yet in step with " + p.addr
 		}
 	}
-	if !r.complete && !learned {
+	if !r.complete && !caughtUp {
 		return "the disk was empty, and no other machine told yet what it holds"
 	}
 	return ""
 }
 
-// holdsAll tells whether all that a vector names is on this disk.
+// covers reports whether the local disk has all adds that a version vector includes.
 func (r *Replica) covers(vector VersionVector) bool {
-	for origin, number := range vector {
-		if r.set.LastSequence(origin) < number {
+	for origin, sequence := range vector {
+		if r.set.LastSequence(origin) < sequence {
 			return false
 		}
 	}
 	return true
 }
 
-// Flushed tells whether each peer in reach has all that this machine took, so that it may end for good.
+// Flushed reports whether each reachable peer has all adds that this machine accepted and no write is
+// pending, so that the machine may be removed for good.
 func (r *Replica) Flushed(now time.Duration) bool {
 	for _, p := range r.peers {
 		for origin := range r.ownOrigins {
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// Timing is the replica's times.
+// Timing holds the intervals and timeouts of a replica.
 type Timing struct {
-	GossipInterval    time.Duration // between messages to a peer that is in reach
-	ProbeInterval     time.Duration // between messages to one that is not
-	RoundTripTimeout  time.Duration // a peer without a round trip for so long is out of reach
-	SilenceTimeout    time.Duration // and so is one of which nothing was heard for so long
-	PeerExpiry        time.Duration // a peer that nobody names is forgotten after such a silence
-	RetransmitTimeout time.Duration // what a peer did not acknowledge for so long is sent again
-	RelayDelay        time.Duration // what a peer lacks of another machine's adds for so long is passed on
-	SuspectWindow     time.Duration // a peer out of reach that was heard within it may still be there
-	SuspectWait       time.Duration // so long a call waits for such peers, before the disks in reach are enough
-	AddTimeout        time.Duration // an add that is not on enough disks by then is unclear
-	WriteTimeout      time.Duration // a write that takes longer counts as a failing disk
-	SlowWrite         time.Duration // after a write that took longer, callers are turned to other machines' disks
-	SlowDiskBackoff   time.Duration // until the next add tries the disk
-	PauseThreshold    time.Duration // without a step for so long, this machine itself stood still
-	StartupWait       time.Duration // for peers that did not answer since the start
+	GossipInterval    time.Duration // between full vectors to a peer that was heard within SilenceTimeout
+	ProbeInterval     time.Duration // between full vectors to other peers
+	RoundTripTimeout  time.Duration // a peer that has echoed no message sent within it is unreachable
+	SilenceTimeout    time.Duration // and so is a peer that has sent nothing for this long
+	PeerExpiry        time.Duration // silence after which a peer that isn't permanent is removed
+	RetransmitTimeout time.Duration // adds that a peer hasn't acknowledged by then are sent again
+	RelayDelay        time.Duration // adds of another origin that a peer lacks for this long are relayed
+	SuspectWindow     time.Duration // an unreachable peer that was heard within it is only suspected
+	SuspectWait       time.Duration // how long a call waits for suspected peers before the reachable ones suffice
+	AddTimeout        time.Duration // an add that isn't on enough disks by then is answered Unclear
+	WriteTimeout      time.Duration // a write that takes longer counts as a disk failure
+	SlowWrite         time.Duration // after a write that took longer, adds are refused if a peer's disk is healthy
+	SlowDiskBackoff   time.Duration // how long adds are refused after a slow write
+	PauseThreshold    time.Duration // a longer gap between events means that this process was paused
+	StartupWait       time.Duration // for peers that have sent nothing since the start
 }
 
-// DefaultTiming fits callers that turn elsewhere after a second, and merges within three.
+// DefaultTiming returns values for callers that try another machine after one second; replicas merge
+// within three seconds.
 func DefaultTiming() Timing {
 	return Timing{
 		GossipInterval:    200 * time.Millisecond,
@@ -46,28 +47,29 @@
 	}
 }
 
-// Options are what a replica is made with.
+// Options configures a replica.
 type Options struct {
-	Self         string // this machine's address
-	ClockBase    int64  // drawn at this start; echoes of an earlier one's messages lie elsewhere
-	Incarnation  uint64 // drawn at this start
-	RemoteCopies int    // other disks that an add is to be on, where they can be reached
-	MaxAdds      int    // that are held; own adds are refused some before that
+	Self         string // address of this machine
+	ClockBase    int64  // random at each start, nanoseconds; tells echoes of earlier starts apart
+	Incarnation  uint64 // random at each start
+	RemoteCopies int    // disks besides the local one that an add must be on, if reachable
+	MaxAdds      int    // capacity of the set, in adds; callers' adds are refused at ownAddsLimitPercent of it
 	NewOrigin    func() Origin
 	Timing       Timing
 }
 
-// Saved is what a disk holds.
+// SavedState is the state read from a disk.
 type SavedState struct {
 	Set      *Set
-	Origins  []Origin // that this disk gave numbers of, the newest last
-	Complete bool     // the disk misses nothing that was lost with an earlier one
+	Origins  []Origin // of this disk's own adds, the newest last
+	Complete bool     // the disk has caught up with all that an earlier, lost one had
 }
 
-// fullShare is the part of what can be held, in percent, from which own adds are refused; the rest is for those of other machines.
+// ownAddsLimitPercent is the share of MaxAdds from which callers' adds are refused. The rest is reserved
+// for adds of other machines.
 const ownAddsLimitPercent = 80
 
-// queued is an add that waits for the next batch, and the calls that wait for it.
+// queuedAdd is an add that waits for the next batch, with the calls that wait for it.
 type queuedAdd struct {
 	add     Add
 	waiters []waiter
@@ -79,46 +81,49 @@
 	since time.Duration
 }
 
-// Replica is one machine's part.
+// Replica is one machine's replica of the tallies. It isn't safe for concurrent use. Times are durations on
+// a monotonic clock of the caller.
 type Replica struct {
 	options       Options
 	set           *Set
 	ownOrigins    map[Origin]bool
-	origin        Origin // of adds that are taken here
-	originUnsaved bool   // the origin is not on disk yet
+	origin        Origin // of adds that are accepted here
+	originUnsaved bool   // the origin isn't on disk yet
 
-	queue             []queuedAdd    // not yet part of a batch
-	staged            []Run          // of other machines, likewise
-	reservedSequences VersionVector  // highest numbers that are staged, or part of the batch that is being written
-	inFlight          *Batch         // nil: none
-	inFlightDots      map[string]Dot // adds of that batch that were taken here, by id
-	writeStarted      time.Duration  // when it was handed out
-	diskFailed        bool           // the last write failed
+	queue             []queuedAdd    // callers' adds that aren't part of a batch yet
+	staged            []Run          // peers' adds that aren't part of a batch yet
+	reservedSequences VersionVector  // highest sequence numbers staged or handed out for writing
+	inFlight          *Batch         // the batch that is being written; nil: none
+	inFlightDots      map[string]Dot // callers' adds in that batch, by id
+	writeStarted      time.Duration  // when that write started
+	diskFailed        bool           // a write failed since the last DiskRecovered
 
 	waiters            map[Dot][]waiter
 	peers              map[string]*peer
 	ready              bool          // reads are answered
-	complete           bool          // the disk misses nothing that was lost with an earlier one
-	completeSaved      bool          // and says so
-	diskFull           bool          // the disk has no room for adds
-	slowUntil          time.Duration // until then the disk counts as slow: a write took long
+	complete           bool          // the disk has caught up with all that an earlier, lost one had
+	completeSaved      bool          // and complete is recorded on disk
+	diskFull           bool          // the disk has no room for callers' adds
+	slowUntil          time.Duration // end of the period in which the disk counts as slow
 	lastStep           time.Duration
-	ignoreSilenceUntil time.Duration // until then silence tells nothing of others
+	ignoreSilenceUntil time.Duration // until then the silence of peers is no evidence of a partition
 	startedAt          time.Duration
 	draining           bool
 	counters           Counters
 }
 
-// Counters count what was done since the start.
+// Counters counts calls, outcomes and merged adds since the start.
 type Counters struct {
 	Adds, Acknowledged, Refused, Unclear, Conflicts, Merged uint64
 }
 
-// New makes a replica of what its disk holds.
+// New creates a replica from the state on its disk.
 func New(now time.Duration, options Options, saved SavedState) *Replica {
 	r := &Replica{
-		options: options, set: saved.Set, ownOrigins: map[Origin]bool{}, reservedSequences: VersionVector{}, waiters: map[Dot][]waiter{},
-		inFlightDots: map[string]Dot{}, peers: map[string]*peer{}, startedAt: now, lastStep: now, ignoreSilenceUntil: now + options.Timing.StartupWait,
+		options: options, set: saved.Set, ownOrigins: map[Origin]bool{}, reservedSequences: VersionVector{},
+		waiters:      map[Dot][]waiter{},
+		inFlightDots: map[string]Dot{}, peers: map[string]*peer{},
+		startedAt: now, lastStep: now, ignoreSilenceUntil: now + options.Timing.StartupWait,
 	}
 	for _, origin := range saved.Origins {
 		r.ownOrigins[origin], r.origin = true, origin
@@ -130,13 +135,13 @@
 	return r
 }
 
-// renewOrigin has this machine's adds numbered anew, under another origin.
+// startNewOrigin switches to a new origin for the adds accepted here.
 func (r *Replica) startNewOrigin() {
 	r.origin, r.originUnsaved = r.options.NewOrigin(), true
 	r.ownOrigins[r.origin] = true
 }
 
-// Add takes a caller's add. Its answer comes with this step or a later one.
+// Add processes a caller's add. The result is in the returned output or in that of a later event.
 func (r *Replica) Add(now time.Duration, token uint64, add Add) Output {
 	out := Output{}
 	r.advance(now)
@@ -163,9 +168,10 @@
 	return out
 }
 
-// join has a call wait for the same add that is under way already.
+// joinPending makes a call wait for an add with the same id that is queued or being written, and reports
+// whether there was one. If it has another tally or amount, the call is answered Conflicting.
 func (r *Replica) joinPending(out *Output, add Add, w waiter) bool {
-	if dot, under := r.inFlightDots[add.ID]; under {
+	if dot, pending := r.inFlightDots[add.ID]; pending {
 		if r.inFlightAdd(dot) != add {
 			r.reply(out, w.token, Conflicting, "the id is under way with another tally or amount")
 			return true
@@ -188,7 +194,7 @@
 	return false
 }
 
-// writtenAdd gives an add of the batch that is being written.
+// inFlightAdd returns an add of the batch that is being written.
 func (r *Replica) inFlightAdd(dot Dot) Add {
 	for i := range r.inFlight.Runs {
 		run := &r.inFlight.Runs[i]
@@ -199,7 +205,7 @@
 	return Add{}
 }
 
-// refusal tells why no add can be taken now, "" if one can.
+// refusalReason returns why adds are refused now, or "" if they are accepted.
 func (r *Replica) refusalReason(now time.Duration) string {
 	switch {
 	case r.draining:
@@ -214,7 +220,8 @@
 	return ""
 }
 
-// otherDiskWorks tells whether a caller that is turned away finds a better disk at a machine in reach.
+// hasHealthyPeer reports whether a reachable peer's disk is neither failed nor slow, so that a refused
+// caller can turn to it.
 func (r *Replica) hasHealthyPeer(now time.Duration) bool {
 	for _, p := range r.peers {
 		if r.reachable(now, p) && !p.diskFailed && !p.diskSlow {
@@ -224,21 +231,21 @@
 	return false
 }
 
-// noRoom tells whether no more adds of any machine can be held.
+// atCapacity reports whether no more adds of any machine fit.
 func (r *Replica) atCapacity() bool { return r.set.Len() >= r.options.MaxAdds }
 
-// diskFails tells whether the last write failed, or one takes too long.
+// diskUnavailable reports whether a write has failed or exceeds WriteTimeout.
 func (r *Replica) diskUnavailable(now time.Duration) bool {
 	return r.diskFailed || r.inFlight != nil && now-r.writeStarted > r.options.Timing.WriteTimeout
 }
 
-// write hands out a batch of all that waits, if none is being written.
+// startWrite starts writing a batch of all queued and staged adds, if no write is in flight.
 func (r *Replica) startWrite(now time.Duration, out *Output) {
-	note := r.complete && !r.completeSaved
-	if r.inFlight != nil || r.diskFailed || len(r.queue)+len(r.staged) == 0 && !note {
+	saveComplete := r.complete && !r.completeSaved
+	if r.inFlight != nil || r.diskFailed || len(r.queue)+len(r.staged) == 0 && !saveComplete {
 		return
 	}
-	batch := &Batch{Runs: r.staged, Complete: note}
+	batch := &Batch{Runs: r.staged, Complete: saveComplete}
 	r.staged = nil
 	if len(r.queue) > 0 {
 		batch.Runs = append(batch.Runs, r.assignSequences(batch))
@@ -247,7 +254,7 @@
 	out.Write = batch
 }
 
-// number gives the queued adds their numbers.
+// assignSequences assigns sequence numbers to the queued adds and returns them as a run.
 func (r *Replica) assignSequences(batch *Batch) Run {
 	if r.originUnsaved {
 		batch.NewOrigin, r.originUnsaved = r.origin, false
@@ -264,7 +271,7 @@
 	return run
 }
 
-// Synced says that the batch which was handed out is on disk.
+// WriteSucceeded reports that the batch of Output.Write is durable.
 func (r *Replica) WriteSucceeded(now time.Duration) Output {
 	out := Output{}
 	r.advance(now)
@@ -288,7 +295,8 @@
 	return out
 }
 
-// Failed says that the batch which was handed out may be on disk or not. Nothing is written until Recovered.
+// WriteFailed reports that the batch of Output.Write may or may not be on disk. Nothing is written until
+// DiskRecovered.
 func (r *Replica) WriteFailed(now time.Duration) Output {
 	out := Output{}
 	r.advance(now)
@@ -301,7 +309,8 @@
 	return out
 }
 
-// Recovered says that the disk works again and holds what was synced before, nothing else. The numbers of what failed are not used again.
+// DiskRecovered reports that the disk works again and has exactly what was synced before. The sequence
+// numbers of the failed batch aren't reused, because a new origin is started.
 func (r *Replica) DiskRecovered(now time.Duration) Output {
 	r.advance(now)
 	r.diskFailed = false
@@ -309,13 +318,13 @@
 	return Output{}
 }
 
-// SetFull says whether the disk has no room left for adds that are taken here.
+// SetDiskFull sets whether the disk has no room left for callers' adds.
 func (r *Replica) SetDiskFull(full bool) { r.diskFull = full }
 
-// Leave says that this machine is about to end: no add is taken any more.
+// Drain makes the replica refuse all further adds, because this machine is about to be removed.
 func (r *Replica) Drain() { r.draining = true }
 
-// Read gives a tally's total.
+// Total returns a tally's total, or a *NotReadyError while reads can't be answered.
 func (r *Replica) Total(now time.Duration, tally string) (int64, error) {
 	r.advance(now)
 	if !r.ready {
@@ -324,7 +333,7 @@
 	return r.set.Total(tally), nil
 }
 
-// Tick lets time pass.
+// Tick handles everything that is due at a time: gossip, retransmissions, timeouts and writes.
 func (r *Replica) Tick(now time.Duration) Output {
 	out := Output{}
 	r.advance(now)
@@ -337,11 +346,11 @@
 	return out
 }
 
-// step notes that this machine works at a time, and looks whether reads may be answered. After a pause of its own, the others' silence
-// says nothing for a while.
+// advance records the time of an event and updates readiness. If this process was paused, the silence of
+// peers is ignored for SilenceTimeout, as their messages may be waiting to be read.
 func (r *Replica) advance(now time.Duration) {
 	if pause := now - r.lastStep; pause > r.options.Timing.PauseThreshold {
-		r.writeStarted += pause // nor is it the disk's
+		r.writeStarted += pause // the pause doesn't count as write time
 		r.ignoreSilenceUntil = max(r.ignoreSilenceUntil, now+r.options.Timing.SilenceTimeout)
 	}
 	r.lastStep = now
@@ -350,6 +359,7 @@
 	}
 }
 
+// reply appends the result of a call and counts its outcome.
 func (r *Replica) reply(out *Output, token uint64, outcome Outcome, reason string) {
 	switch outcome {
 	case Acknowledged:
@@ -364,7 +374,7 @@
 	out.Results = append(out.Results, Result{token, outcome, reason})
 }
 
-// sortedPeers gives the peers in the order of their addresses, so that equal inputs lead to equal outputs.
+// sortedPeers returns the peers ordered by address, which keeps the state machine deterministic.
 func (r *Replica) sortedPeers() []*peer {
 	all := make([]*peer, 0, len(r.peers))
 	for _, p := range r.peers {
--- a/internal/tally/replica_test.go
+++ b/internal/tally/replica_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outcome gives the outcome of an add that is answered at once.
+// immediateOutcome submits an add and returns its outcome, or -1 if it isn't answered immediately.
 func (c *cluster) immediateOutcome(i int, add Add) Outcome {
 	out := c.nodes[i].replica.Add(c.now, 1<<40, add)
 	c.execute(i, Output{Write: out.Write, Messages: out.Messages})
@@ -18,14 +18,15 @@
 	return out.Results[0].Outcome
 }
 
-// TestASlowDiskIsTriedAgain: after a long write callers are turned to others, but not for good where no other write comes.
+// TestSlowDiskBackoff checks that adds are refused after a slow write, but only for SlowDiskBackoff: without
+// further writes the disk would otherwise count as slow forever.
 func TestSlowDiskBackoff(t *testing.T) {
 	c := newCluster(3, 1, noFault, limits{}).converge()
 	c.submit(call{0, addA})
 	for range 3 {
 		c.tick()
 	}
-	c.settle() // the write took three units
+	c.settle() // the write took three ticks
 	c.tick()
 	c.settle()
 	require.Equal(t, Refused, c.immediateOutcome(0, addB))
@@ -34,7 +35,8 @@
 	require.NotEqual(t, Refused, c.immediateOutcome(0, addB))
 }
 
-// TestAFailingDiskRefusesAtOnce: an add that no write was begun for is refused, the one in the write is unclear.
+// TestWriteFailure checks that a failed write answers its adds Unclear and the queued ones Refused, and
+// that the replica continues with a new origin after the recovery.
 func TestWriteFailure(t *testing.T) {
 	c := newCluster(3, 1, noFault, limits{}).converge()
 	r := c.nodes[0].replica
@@ -48,7 +50,8 @@
 	require.NotNil(t, r.Add(c.now, 4, addB).Write.NewOrigin)
 }
 
-// TestAStalledDiskRefusesAtOnce: while a write takes too long no add is taken, and the one in it is unclear.
+// TestStalledWrite checks that adds are refused while a write exceeds WriteTimeout, and that the adds in
+// that write are answered Unclear.
 func TestStalledWrite(t *testing.T) {
 	c := newCluster(3, 1, noFault, limits{}).converge()
 	r := c.nodes[0].replica
@@ -61,19 +64,20 @@
 	require.Equal(t, Refused, r.Add(stalled+tickInterval, 2, addB).Results[0].Outcome)
 }
 
-// TestAfterAPauseSilenceTellsNothing: a machine that stood still does not take the others for cut off, and waits for them.
+// TestProcessPause checks that a replica whose process was paused waits for SilenceTimeout before it
+// considers its peers unreachable.
 func TestProcessPause(t *testing.T) {
 	c := newCluster(3, 1, noFault, limits{}).converge()
-	c.now += time.Second // only machine 0 is stepped
+	c.now += time.Second // only node 0 gets events
 	r := c.nodes[0].replica
 	r.Add(c.now, 1, addA)
-	require.Empty(t, r.WriteSucceeded(c.now).Results, "no other disk has it, and nobody is known to be cut off")
+	require.Empty(t, r.WriteSucceeded(c.now).Results, "add answered before a peer is known to be unreachable")
 	later := c.now + testTiming().SilenceTimeout
 	r.Tick(later - tickInterval)
-	require.Equal(t, []Result{{1, Acknowledged, ""}}, r.Tick(later).Results, "now they are")
+	require.Equal(t, []Result{{1, Acknowledged, ""}}, r.Tick(later).Results, "add after SilenceTimeout: want it acknowledged without the silent peers")
 }
 
-// TestWithoutRoomAddsAreRefused: own adds first, so that those of others still find room.
+// TestCapacityLimits checks that callers' adds are refused near MaxAdds and while the disk is full.
 func TestCapacityLimits(t *testing.T) {
 	c := newCluster(2, 1, noFault, limits{}).converge()
 	r := c.nodes[0].replica
@@ -86,7 +90,8 @@
 	require.Empty(t, r.Add(c.now, 3, addA).Results)
 }
 
-// TestPeersThatHaveOnlyJustFallenSilentAreWaitedFor: a machine that does not get to the messages of others must not take that for a cut at once.
+// TestSuspectedPeerWait checks that a call waits SuspectWait for a peer that has only just fallen silent:
+// the local process may be late in reading the peer's messages, which isn't a partition.
 func TestSuspectedPeerWait(t *testing.T) {
 	timing := DefaultTiming()
 	now := timing.StartupWait
@@ -103,7 +108,7 @@
 	require.NotNil(t, r.Add(now, 7, addA).Write)
 	out := r.WriteSucceeded(now)
 	require.Empty(t, out.Results)
-	require.True(t, slices.ContainsFunc(out.Messages, func(e Envelope) bool { return len(e.Message.Runs) > 0 }), "the add is sent all the same")
+	require.True(t, slices.ContainsFunc(out.Messages, func(e Envelope) bool { return len(e.Message.Runs) > 0 }), "messages to the suspected peer: want one with the add")
 	added := now
 	for ; now < added+timing.SuspectWait; now += timing.PauseThreshold / 2 {
 		require.Empty(t, r.Tick(now).Results)
--- a/internal/tally/restart_test.go
+++ b/internal/tally/restart_test.go
@@ -7,26 +7,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPeerEchoesNothingOfAnEarlierLife restarts a machine whose new clock is behind that of the life before: the other one has to answer
-// what the new life sends, or it stays out of reach for the new life, which then acknowledges adds alone and passes none on.
+// TestRestartWithEarlierClock restarts a machine with a clock that starts earlier than before. Its peer must
+// echo the messages of the new incarnation. If it kept echoing the old clock, it would stay unreachable for
+// the new incarnation, which would then acknowledge adds alone and send none to the peer.
 func TestRestartWithEarlierClock(t *testing.T) {
 	origins := uint64(0)
-	start := func(self string, life uint64, clockBase time.Duration) *Replica {
+	start := func(self string, incarnation uint64, clockBase time.Duration) *Replica {
 		return New(0, Options{
-			Self: self, Incarnation: life, ClockBase: int64(clockBase), RemoteCopies: 1, MaxAdds: 1 << 10, Timing: testTiming(),
+			Self: self, Incarnation: incarnation, ClockBase: int64(clockBase), RemoteCopies: 1, MaxAdds: 1 << 10, Timing: testTiming(),
 			NewOrigin: func() Origin { origins++; return Origin(origins) },
 		}, SavedState{Set: NewSet(), Complete: true})
 	}
 	exchange := func(from, until time.Duration, a, b *Replica) {
-		named := map[string]*Replica{"a": a, "b": b}
+		replicas := map[string]*Replica{"a": a, "b": b}
 		for now := from; now <= until; now += tickInterval {
-			for addr, r := range named {
+			for addr, r := range replicas {
 				r.SetPeers(now, []string{"a", "b"})
 				for _, e := range r.Tick(now).Messages {
-					other := named[e.To]
+					other := replicas[e.To]
 					require.NotNil(t, other, "%s sends to %s", addr, e.To)
-					for _, back := range other.Receive(now, e.Message).Messages {
-						r.Receive(now, back.Message)
+					for _, reply := range other.Receive(now, e.Message).Messages {
+						r.Receive(now, reply.Message)
 					}
 				}
 			}
@@ -38,6 +39,6 @@
 	require.True(t, first.reachable(10*tickInterval, first.peers["a"]))
 	again := start("b", 3, time.Minute)
 	exchange(11*tickInterval, 21*tickInterval, a, again)
-	require.True(t, again.reachable(21*tickInterval, again.peers["a"]), "the new life is out of touch")
+	require.True(t, again.reachable(21*tickInterval, again.peers["a"]), "peer of the new incarnation: got unreachable, want reachable")
 	require.True(t, a.reachable(21*tickInterval, a.peers["b"]))
 }
--- a/internal/tally/set.go
+++ b/internal/tally/set.go
@@ -5,55 +5,59 @@
 	"slices"
 )
 
-// Set is the adds that are on this machine's disk, and the totals of what counts among them. It keeps them in few bytes: names and ids by
-// index, and ids of 16 hex digits as the number that they spell.
+// Set holds the adds that are on the local disk and the totals of those that count. To save memory,
+// names and ids are interned, and ids of 16 hex digits are stored as numbers.
 type Set struct {
 	byOrigin   map[Origin]*originAdds
-	origins    []Origin // by the index that positions name
+	origins    []Origin // by location.origin
 	ids        idIndex
 	tallyNames stringTable
-	totals     []int64 // by the tally's index
+	totals     []int64 // by index in tallyNames
 	count      int
 
 	duplicates, conflicts uint64
 }
 
-// position is where an add is held: the origin's index and the number there, less one.
+// location is where an add is stored: the index of its origin in Set.origins and its sequence number
+// less one.
 type location struct{ origin, index uint32 }
 
-// NewSet makes an empty set.
+// NewSet returns an empty set.
 func NewSet() *Set {
 	return &Set{byOrigin: map[Origin]*originAdds{}, ids: newIDIndex(), tallyNames: newStringTable()}
 }
 
-// Insert takes a run that follows what is held of its origin; what is held already is passed over. It tells whether there was no gap.
+// Insert adds a run to the adds of its origin and skips those that are already in the set. It returns
+// false, and changes nothing, if sequence numbers are missing before the run.
 func (s *Set) Insert(run *Run) bool {
-	held := s.LastSequence(run.Origin)
-	if run.First > held+1 {
+	last := s.LastSequence(run.Origin)
+	if run.First > last+1 {
 		return false
 	}
-	for i := held + 1 - run.First; i < uint64(len(run.Adds)); i++ {
+	for i := last + 1 - run.First; i < uint64(len(run.Adds)); i++ {
 		s.insert(run.Origin, &run.Adds[i])
 	}
 	return true
 }
 
-// sequence gives an origin's adds, and begins them.
+// addsOf returns the adds of an origin and creates an empty list for a new one.
 func (s *Set) addsOf(origin Origin) *originAdds {
-	q := s.byOrigin[origin]
-	if q == nil {
-		q = &originAdds{originIndex: uint32(len(s.origins))}
-		s.byOrigin[origin] = q
+	adds := s.byOrigin[origin]
+	if adds == nil {
+		adds = &originAdds{originIndex: uint32(len(s.origins))}
+		s.byOrigin[origin] = adds
 		s.origins = append(s.origins, origin)
 	}
-	return q
+	return adds
 }
 
+// insert appends an add to its origin and updates the total of its tally. Of several adds with the same
+// id only the least one, by Add.precedes, counts.
 func (s *Set) insert(origin Origin, add *Add) {
-	q := s.addsOf(origin)
-	at := location{q.originIndex, uint32(q.count)}
+	adds := s.addsOf(origin)
+	at := location{adds.originIndex, uint32(adds.count)}
 	id, tally := s.ids.intern(add.ID), s.tallyIndex(add.Tally)
-	q.append(compactAdd{idNumber: id.number, idInterned: id.interned, amount: add.Amount, tallyIndex: tally})
+	adds.append(compactAdd{idNumber: id.number, idInterned: id.interned, amount: add.Amount, tallyIndex: tally})
 	s.count++
 	counted, seen := s.ids.location(id)
 	if !seen {
@@ -74,7 +78,7 @@
 	}
 }
 
-// tally gives a tally's index.
+// tallyIndex returns the index of a tally and creates one, with total 0, for a new name.
 func (s *Set) tallyIndex(name string) uint32 {
 	index := s.tallyNames.intern(name)
 	if int(index) == len(s.totals) {
@@ -83,52 +87,53 @@
 	return index
 }
 
-// add gives the add at a position.
+// addAt returns the add at a location.
 func (s *Set) addAt(at location) Add {
 	return s.expand(s.byOrigin[s.origins[at.origin]].at(uint64(at.index)))
 }
 
-func (s *Set) expand(held compactAdd) Add {
-	return Add{ID: s.ids.text(held.id()), Tally: s.tallyNames.values[held.tallyIndex], Amount: held.amount}
+// expand converts an add from its in-memory form.
+func (s *Set) expand(add compactAdd) Add {
+	return Add{ID: s.ids.text(add.id()), Tally: s.tallyNames.values[add.tallyIndex], Amount: add.amount}
 }
 
-// Counted gives the add that counts for an id.
-func (s *Set) Lookup(id string) (add Add, dot Dot, there bool) {
+// Lookup returns the add that counts for an id, and its dot.
+func (s *Set) Lookup(id string) (add Add, dot Dot, found bool) {
 	key, known := s.ids.find(id)
 	if !known {
 		return Add{}, Dot{}, false
 	}
-	at, there := s.ids.location(key)
-	if !there {
+	at, found := s.ids.location(key)
+	if !found {
 		return Add{}, Dot{}, false
 	}
 	return s.addAt(at), Dot{s.origins[at.origin], uint64(at.index) + 1}, true
 }
 
-// Held is the highest number held of an origin.
+// LastSequence returns the highest sequence number in the set for an origin, or 0.
 func (s *Set) LastSequence(origin Origin) uint64 {
-	if q := s.byOrigin[origin]; q != nil {
-		return q.count
+	if adds := s.byOrigin[origin]; adds != nil {
+		return adds.count
 	}
 	return 0
 }
 
-// Holds tells whether an add is held.
+// Contains reports whether the set has the add with a dot.
 func (s *Set) Contains(dot Dot) bool { return s.LastSequence(dot.Origin) >= dot.Sequence }
 
-// sorted gives the origins of which adds are held, in an order.
+// sortedOrigins returns the origins in the set in ascending order.
 func (s *Set) sortedOrigins() []Origin { return slices.Sorted(maps.Keys(s.byOrigin)) }
 
-// Vector is what is held.
+// VersionVector returns the highest sequence number of each origin.
 func (s *Set) VersionVector() VersionVector {
 	vector := make(VersionVector, len(s.byOrigin))
-	for origin, q := range s.byOrigin {
-		vector[origin] = q.count
+	for origin, adds := range s.byOrigin {
+		vector[origin] = adds.count
 	}
 	return vector
 }
 
-// Total is a tally's total, 0 where no add names it.
+// Total returns a tally's total, or 0 if no add names it.
 func (s *Set) Total(tally string) int64 {
 	if index, known := s.tallyNames.indexes[tally]; known {
 		return s.totals[index]
@@ -136,15 +141,15 @@
 	return 0
 }
 
-// Size is how many adds are held.
+// Len returns the number of adds, including those whose id is in the set more than once.
 func (s *Set) Len() int { return s.count }
 
-// slice gives the adds of an origin after a number, at most so many.
-func (s *Set) runAfter(origin Origin, after uint64, most int) Run {
-	q := s.byOrigin[origin]
+// runAfter returns up to limit adds of an origin that follow the sequence number after.
+func (s *Set) runAfter(origin Origin, after uint64, limit int) Run {
+	adds := s.byOrigin[origin]
 	run := Run{Origin: origin, First: after + 1}
-	for at := after; at < q.count && len(run.Adds) < most; at++ {
-		run.Adds = append(run.Adds, s.expand(q.at(at)))
+	for at := after; at < adds.count && len(run.Adds) < limit; at++ {
+		run.Adds = append(run.Adds, s.expand(adds.at(at)))
 	}
 	return run
 }
--- a/internal/tally/status.go
+++ b/internal/tally/status.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Status is where a replica stands, for operators.
+// Status describes a replica for operators.
 type Status struct {
 	Ready           bool   // reads are answered
-	NotReadyReason  string // why not
+	NotReadyReason  string // empty if Ready
 	DiskUnavailable bool
 	DiskSlow        bool
-	Adds            int // held, with those of one id that came twice
+	Adds            int // on disk, repeated ids included
 	Origins         int
-	Behind          uint64 // adds that a peer holds and this machine does not
-	Duplicates      uint64 // ids that came again under another number
-	Conflicts       uint64 // of them, with another tally or amount
+	Behind          uint64 // most adds that a single peer has and this replica lacks
+	Duplicates      uint64 // adds whose id was already stored under another dot
+	Conflicts       uint64 // duplicates with another tally or amount
 	Counters        Counters
 	Peers           []PeerStatus
 }
 
-// PeerStatus is what a replica knows of another machine.
+// PeerStatus describes a peer as a replica sees it.
 type PeerStatus struct {
 	Addr       string
 	Reachable  bool
-	Heard      bool          // in this machine's life
-	Silent     time.Duration // since it was last heard, or since its address is known
+	Heard      bool          // since this replica started
+	Silent     time.Duration // since its last message or, if there was none, since its address became known
 	DiskFailed bool
-	Behind     uint64 // adds held here that it lacks
-	Ahead      uint64 // adds that it holds and this machine lacks
+	Behind     uint64 // adds that this replica has and the peer lacks
+	Ahead      uint64 // adds that the peer has and this replica lacks
 }
 
-// Status tells where the replica stands.
+// Status returns the replica's state.
 func (r *Replica) Status(now time.Duration) Status {
 	s := Status{
-		Ready: r.ready, DiskUnavailable: r.diskUnavailable(now), DiskSlow: now < r.slowUntil, Adds: r.set.Len(), Origins: len(r.set.byOrigin),
+		Ready: r.ready, DiskUnavailable: r.diskUnavailable(now), DiskSlow: now < r.slowUntil,
+		Adds: r.set.Len(), Origins: len(r.set.byOrigin),
 		Duplicates: r.set.duplicates, Conflicts: r.set.conflicts, Counters: r.counters,
 	}
 	if !r.ready {
@@ -46,13 +47,16 @@
 }
 
 func (r *Replica) peerStatus(now time.Duration, p *peer) PeerStatus {
-	s := PeerStatus{Addr: p.addr, Reachable: r.reachable(now, p), Heard: p.lastHeard != never, Silent: now - max(p.lastHeard, p.addedAt), DiskFailed: p.diskFailed}
+	s := PeerStatus{
+		Addr: p.addr, Reachable: r.reachable(now, p),
+		Heard: p.lastHeard != never, Silent: now - max(p.lastHeard, p.addedAt), DiskFailed: p.diskFailed,
+	}
 	for origin, l := range p.progress {
-		held := r.set.LastSequence(origin)
-		if l.durable < held {
-			s.Behind += held - l.durable
+		last := r.set.LastSequence(origin)
+		if l.durable < last {
+			s.Behind += last - l.durable
 		} else {
-			s.Ahead += l.durable - held
+			s.Ahead += l.durable - last
 		}
 	}
 	return s
--- a/internal/tally/types.go
+++ b/internal/tally/types.go
@@ -1,20 +1,23 @@
-// Package tally keeps named totals as a grow-only set of adds that the controllers merge, a state-based CRDT with deltas. Each add counts
-// once by its id, at whichever machine it arrives. The package is a pure state machine: calls, messages and finished writes go in, with
-// the time; messages, batches to write and answers come out. docs/tallies.md has the design.
+// Package tally keeps named totals as a grow-only set of adds that the controllers merge: a delta-state
+// CRDT. Each add counts once by its id, no matter at which machines it arrives. The package is a pure
+// state machine: its inputs are calls, messages, completed writes and the time, its outputs are messages,
+// batches to write and results. docs/tallies.md describes the design.
 package tally
 
 import "fmt"
 
-// Origin names one disk's sequence of adds. A disk that is empty, was cut off or has failed gets another one.
+// Origin identifies one disk's sequence of adds. A disk that is empty, whose log had a torn end, or
+// that has failed gets a new one, so that no sequence number is used twice.
 type Origin uint64
 
-// Dot names an add: the disk that took it first and its number there, from 1 on without gaps.
+// Dot identifies one accepted add: the origin that accepted it and its sequence number there, which
+// starts at 1 and has no gaps.
 type Dot struct {
 	Origin   Origin
 	Sequence uint64
 }
 
-// Add is a caller's add: counted once by its id.
+// Add is a caller's request to add an amount to a tally. It counts once by its id.
 type Add struct {
 	_      struct{} `cbor:",toarray"`
 	ID     string
@@ -22,7 +25,8 @@
 	Amount int64
 }
 
-// before orders adds of one id that differ: the least one counts, at all machines.
+// precedes orders adds that have the same id but another tally or amount. The least one counts, so that
+// all replicas agree.
 func (a *Add) precedes(b *Add) bool {
 	if a.Amount != b.Amount {
 		return a.Amount < b.Amount
@@ -30,83 +34,84 @@
 	return a.Tally < b.Tally
 }
 
-// Run is adds of one origin with successive numbers.
+// Run is a range of adds of one origin with consecutive sequence numbers, starting at First.
 type Run struct {
 	Origin Origin `cbor:"1,keyasint"`
 	First  uint64 `cbor:"2,keyasint"`
 	Adds   []Add  `cbor:"3,keyasint"`
 }
 
-// last is the number of the run's last add.
+// last returns the sequence number of the run's last add.
 func (r *Run) last() uint64 { return r.First + uint64(len(r.Adds)) - 1 }
 
-// Vector is a version vector: the highest number held of each origin.
+// VersionVector maps each origin to the highest sequence number known of it.
 type VersionVector map[Origin]uint64
 
-// Covers tells whether all that another vector names is held.
+// Covers reports whether v includes all adds that other includes.
 func (v VersionVector) Covers(other VersionVector) bool {
-	for origin, number := range other {
-		if v[origin] < number {
+	for origin, sequence := range other {
+		if v[origin] < sequence {
 			return false
 		}
 	}
 	return true
 }
 
-// Message is what controllers tell each other.
+// Message is a message between controllers.
 type Message struct {
-	From        string            `cbor:"1,keyasint"`           // the sender's address
-	Incarnation uint64            `cbor:"2,keyasint"`           // drawn at each start of the sender
-	SentAt      int64             `cbor:"3,keyasint"`           // by the sender's own clock, nanoseconds
-	Echo        int64             `cbor:"4,keyasint,omitempty"` // Sent of the newest message that came from the receiver
-	Durable     map[Origin]uint64 `cbor:"5,keyasint,omitempty"` // on the sender's disk: all of it, or what changed
-	FullVector  bool              `cbor:"6,keyasint,omitempty"` // Held is all
+	From        string            `cbor:"1,keyasint"`           // address of the sender
+	Incarnation uint64            `cbor:"2,keyasint"`           // random, new at each start of the sender
+	SentAt      int64             `cbor:"3,keyasint"`           // nanoseconds of the sender's clock
+	Echo        int64             `cbor:"4,keyasint,omitempty"` // SentAt of the newest message received from the destination
+	Durable     map[Origin]uint64 `cbor:"5,keyasint,omitempty"` // highest sequence numbers on the sender's disk
+	FullVector  bool              `cbor:"6,keyasint,omitempty"` // Durable has all origins
 	Runs        []Run             `cbor:"7,keyasint,omitempty"`
-	Peers       []string          `cbor:"8,keyasint,omitempty"`  // whom the sender heard lately
+	Peers       []string          `cbor:"8,keyasint,omitempty"`  // addresses that the sender recently received messages from
 	Ready       bool              `cbor:"9,keyasint,omitempty"`  // the sender answers reads
-	DiskFailed  bool              `cbor:"10,keyasint,omitempty"` // the sender's disk takes no more adds
-	DiskSlow    bool              `cbor:"11,keyasint,omitempty"` // the sender's last write took long
+	DiskFailed  bool              `cbor:"10,keyasint,omitempty"` // the sender's disk accepts no more adds
+	DiskSlow    bool              `cbor:"11,keyasint,omitempty"` // the sender's disk is slow
 }
 
-// Envelope is a message to an address.
+// Envelope is a message with its destination address.
 type Envelope struct {
 	To      string
 	Message *Message
 }
 
-// Batch is what one write makes durable, as a whole or not at all.
+// Batch is the unit of writing: it becomes durable as a whole or not at all.
 type Batch struct {
-	NewOrigin Origin `cbor:"1,keyasint,omitempty"` // this disk's own from here on, 0: as before
+	NewOrigin Origin `cbor:"1,keyasint,omitempty"` // origin of this disk's adds from here on; 0: unchanged
 	Runs      []Run  `cbor:"2,keyasint,omitempty"`
-	Complete  bool   `cbor:"3,keyasint,omitempty"` // the disk misses nothing that was lost with an earlier one
+	Complete  bool   `cbor:"3,keyasint,omitempty"` // the disk has caught up with all that an earlier, lost one had
 }
 
-// Outcome is what became of an add.
+// Outcome is the outcome of a call to Add.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a call.
 const (
-	Acknowledged Outcome = iota
-	Conflicting          // the id is known with another tally or amount
-	Refused              // nothing was done
-	Unclear              // it may count or not
+	Acknowledged Outcome = iota // the add is on enough disks
+	Conflicting                 // the id is known with another tally or amount
+	Refused                     // the add was not stored and won't count
+	Unclear                     // it is unknown whether the add counts
 )
 
-// Answer is the outcome of the call that came with a token.
+// Result is the outcome of the call that Token identifies. Reason is empty if it was acknowledged.
 type Result struct {
 	Token   uint64
 	Outcome Outcome
 	Reason  string
 }
 
-// Output is what a step wants done: the write first, messages and answers in any order.
+// Output is what the caller must do after an event: start the write first, then send the messages and
+// deliver the results in any order.
 type Output struct {
-	Write    *Batch // to be followed by Synced or Failed; there is one at a time
+	Write    *Batch // completed by WriteSucceeded or WriteFailed; one at a time, nil: none
 	Messages []Envelope
 	Results  []Result
 }
 
-// NotReadyError refuses a read at a machine that has not learned yet what those in reach hold.
+// NotReadyError is returned for reads before the replica has caught up with its reachable peers.
 type NotReadyError struct{ Reason string }
 
 func (e *NotReadyError) Error() string {
--- a/internal/tally/walk_test.go
+++ b/internal/tally/walk_test.go
@@ -10,33 +10,35 @@
 	"pgregory.net/rapid"
 )
 
-// More walks than CI has time for: go test ./internal/tally -run RandomWalks -timeout 0 -walks 20000 -first 1000.
+// To run more walks than CI has time for:
+//
+//	go test ./internal/tally -run RandomWalks -timeout 0 -walks 20000 -first 1000
 var (
-	walkCount = flag.Uint64("walks", 150, "random walks to go")
-	firstSeed = flag.Uint64("first", 1, "the first one's seed")
+	walkCount = flag.Uint64("walks", 150, "number of random walks")
+	firstSeed = flag.Uint64("first", 1, "seed of the first random walk")
 )
 
 const (
-	walkRounds     = 3  // of trouble, each followed by a time in which all goes well
-	eventsPerRound = 60 // of a round
-	healTicks      = 24 // in which all merges
-	distinctIDs    = 12
-	conflictOneIn  = 20 // one add in so many has another amount
+	walkRounds     = 3  // rounds with faults, each followed by a heal
+	eventsPerRound = 60 // events in a round
+	healTicks      = 24 // ticks after which all replicas must have merged
+	distinctIDs    = 12 // ids that the adds choose from
+	conflictOneIn  = 20 // one add in this many has a conflicting amount
 )
 
-// walk is a random history of a core.
+// walk is a random history of a cluster.
 type walk struct {
 	*cluster
 	random     *rand.Rand
-	diskLosses int // since all last went well
-	trace      []string
+	diskLosses int      // since the last heal
+	trace      []string // events so far
 }
 
-func newWalk(seed uint64, planted fault) *walk {
+func newWalk(seed uint64, injected fault) *walk {
 	random := rand.New(rand.NewPCG(seed, seed))
 	copies := 1 + random.IntN(2)
-	machines := 2*copies + 1
-	return &walk{cluster: newCluster(machines, copies, planted, limits{}).converge(), random: random}
+	nodes := 2*copies + 1
+	return &walk{cluster: newCluster(nodes, copies, injected, limits{}).converge(), random: random}
 }
 
 func (w *walk) randomNode() int { return w.random.IntN(len(w.nodes)) }
@@ -45,7 +47,7 @@
 	w.trace = append(w.trace, fmt.Sprintf(format, args...))
 }
 
-// step lets something happen.
+// step executes a random event.
 func (w *walk) step() {
 	i, j := w.randomNode(), w.randomNode()
 	switch n := w.random.IntN(100); {
@@ -60,26 +62,26 @@
 		}
 	case n < 85:
 		w.record("tick")
-		w.disrupted = true // whatever waits for longer is as good as cut off
+		w.disrupted = true // messages in flight over a tick are as late as if cut off
 		w.tick()
 	case n < 88:
 		w.record("cut %d %d", i, j)
 		w.disrupted, w.cutLinks[[2]int{i, j}], w.cutLinks[[2]int{j, i}] = true, true, true
 	case n < 90:
-		w.record("all links are well")
+		w.record("restore all links")
 		w.cutLinks = map[[2]int]bool{}
 	case n < 94:
 		w.record("settle")
 		w.settle()
 	case n < 97:
-		written := w.random.IntN(2) == 0 && len(w.nodes[i].disk.pending) > 0
-		w.record("power %d, written: %v", i, written)
-		w.losePower(i, written)
+		writeKept := w.random.IntN(2) == 0 && len(w.nodes[i].disk.pending) > 0
+		w.record("power loss %d, write kept: %v", i, writeKept)
+		w.losePower(i, writeKept)
 	case n < 98:
 		w.failWrite(i)
 	case w.diskLosses < w.remoteCopies:
 		w.diskLosses++
-		w.record("disk %d", i)
+		w.record("disk loss %d", i)
 		w.loseDisk(i)
 	}
 }
@@ -104,19 +106,19 @@
 	w.receive(j, m)
 }
 
-// diskFails has a machine's write fail; the disk works again at once, without what was to be written.
+// failWrite makes a node's pending write fail. The disk recovers immediately, without that batch.
 func (w *walk) failWrite(i int) {
 	n := w.nodes[i]
 	if len(n.disk.pending) == 0 {
 		return
 	}
-	w.record("the disk of %d fails", i)
+	w.record("write failure %d", i)
 	n.disk.pending = nil
 	w.execute(i, n.replica.WriteFailed(w.now))
 	w.execute(i, n.replica.DiskRecovered(w.now))
 }
 
-// run goes the whole walk, and gives the rule that is broken, if one is.
+// run executes the whole walk and returns an error if an invariant is violated.
 func (w *walk) run() error {
 	for range walkRounds {
 		for range eventsPerRound {
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// addsAreCopied: while all goes well, an add at any machine is acknowledged soon, and on enough disks.
+// checkReplication checks that, without faults, an add at any node is acknowledged soon and on enough disks.
 func (w *walk) checkReplication() error {
 	for i := range w.nodes {
 		add := Add{ID: fmt.Sprint("well ", w.lastToken), Tally: "t", Amount: 1}
@@ -147,17 +149,18 @@
 			w.settle()
 		}
 		if len(w.acked) != before+1 {
-			return fmt.Errorf("m%d did not acknowledge %v", i, add)
+			return fmt.Errorf("m%d: add %v: got no acknowledgement, want one", i, add)
 		}
 		if last := w.acked[before]; last.disks <= w.remoteCopies {
-			return fmt.Errorf("m%d acknowledged %v on %d disks", i, add, last.disks)
+			return fmt.Errorf("m%d: add %v: acknowledged on %d disks, want more than %d", i, add, last.disks, w.remoteCopies)
 		}
 	}
 	return nil
 }
 
-// TestRandomWalks: adds, some repeated at other machines and some in conflict, while links are cut, power and disks are lost, and writes
-// fail; in between all goes well for a while, and all machines come to the same totals.
+// TestRandomWalks submits adds, some of them repeated at other nodes or in conflict, while links are cut,
+// power and disks are lost and writes fail. After each round the cluster heals, and all nodes must have
+// the same totals.
 func TestRandomWalks(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*walkCount; seed++ {
 		w := newWalk(seed, noFault)
@@ -165,19 +168,21 @@
 	}
 }
 
+// TestRandomWalksDetectInjectedFaults checks that some walk finds each injected fault.
 func TestRandomWalksDetectInjectedFaults(t *testing.T) {
-	for name, planted := range map[string]fault{
-		"acknowledged before the sync": ackBeforeSync, "merged by sum": countPerOrigin, "a dot used again": reuseDots,
+	for name, injected := range map[string]fault{
+		"acknowledgement before sync": ackBeforeSync, "id counted per origin": countPerOrigin, "dot reused": reuseDots,
 	} {
 		found := false
 		for seed := uint64(1); seed <= *walkCount && !found; seed++ {
-			found = newWalk(seed, planted).run() != nil
+			found = newWalk(seed, injected).run() != nil
 		}
-		require.True(t, found, name)
+		require.True(t, found, "walks that detect %s: got none of %d, want at least one", name, *walkCount)
 	}
 }
 
-// TestMergesInAnyOrderComeToTheSame: sets that took the same runs in other orders, some of them twice, hold and count the same.
+// TestSetMergeOrderIndependence checks that sets into which the same runs were inserted in different orders,
+// some of them twice, have the same adds and totals.
 func TestSetMergeOrderIndependence(t *testing.T) {
 	ids := []string{"a", "0000000000000001", "5c0e7a21d94b36f8", "5C0E7A21D94B36F8", "000000000000000g"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -197,23 +202,23 @@
 			order := rapid.Permutation(append(runs, runs...)).Draw(t, "order")
 			for i := range order {
 				if !set.Insert(&order[i]) {
-					t.Fatal("a gap")
+					t.Fatal("insert run: got a gap, want none")
 				}
 			}
 		}
 		for _, tally := range []string{"t", "u"} {
 			if sets[0].Total(tally) != sets[1].Total(tally) {
-				t.Fatalf("%s: %d and %d", tally, sets[0].Total(tally), sets[1].Total(tally))
+				t.Fatalf("total of %s: got %d and %d, want equal", tally, sets[0].Total(tally), sets[1].Total(tally))
 			}
 		}
 		if fmt.Sprint(sets[0].allAdds()) != fmt.Sprint(sets[1].allAdds()) {
-			t.Fatalf("%v and %v", sets[0].allAdds(), sets[1].allAdds())
+			t.Fatalf("adds: got %v and %v, want equal", sets[0].allAdds(), sets[1].allAdds())
 		}
 		for _, id := range ids {
 			one, _, _ := sets[0].Lookup(id)
 			other, _, _ := sets[1].Lookup(id)
 			if one != other {
-				t.Fatalf("%s: %v and %v", id, one, other)
+				t.Fatalf("add that counts for %s: got %v and %v, want equal", id, one, other)
 			}
 		}
 	})
--- a/internal/tally/world_test.go
+++ b/internal/tally/world_test.go
@@ -7,66 +7,72 @@
 	"time"
 )
 
-// A simulated core plays real replicas against disks and links of its own. Time is a number of units, and each event is chosen by the test:
-// messages wait on their links until they are delivered or lost, writes until their sync ends or the power goes.
+// The simulation in this file runs real replicas on simulated disks and links. The test chooses each
+// event: messages stay on their links until they are delivered or lost, and writes stay pending until
+// their sync completes or power is lost.
 
+// tickInterval is the unit of simulated time.
 const tickInterval = time.Millisecond
 
-// modelTiming is of few units, so that short histories meet each limit.
+// testTiming returns timeouts of few ticks, so that short histories reach each of them.
 func testTiming() Timing {
 	return Timing{
-		GossipInterval: tickInterval, ProbeInterval: tickInterval, RoundTripTimeout: 3 * tickInterval, SilenceTimeout: 2 * tickInterval, PeerExpiry: time.Hour, RetransmitTimeout: 2 * tickInterval, RelayDelay: 2 * tickInterval,
-		AddTimeout: 4 * tickInterval, WriteTimeout: 3 * tickInterval, SlowWrite: 2 * tickInterval, SlowDiskBackoff: 2 * tickInterval, PauseThreshold: 2 * tickInterval, StartupWait: 2 * tickInterval,
+		GossipInterval: tickInterval, ProbeInterval: tickInterval,
+		RoundTripTimeout: 3 * tickInterval, SilenceTimeout: 2 * tickInterval, PeerExpiry: time.Hour,
+		RetransmitTimeout: 2 * tickInterval, RelayDelay: 2 * tickInterval,
+		AddTimeout: 4 * tickInterval, WriteTimeout: 3 * tickInterval, SlowWrite: 2 * tickInterval,
+		SlowDiskBackoff: 2 * tickInterval, PauseThreshold: 2 * tickInterval, StartupWait: 2 * tickInterval,
 	}
 }
 
-// fault is planted to show that the checks find it.
+// fault is injected to verify that the checks detect it.
 type fault int
 
 const (
 	noFault            fault = iota
-	ackBeforeSync            // a write is reported before it lasts
-	countPerOrigin           // an id counts again where it comes from another machine
-	readyWithEmptyDisk       // an empty disk is taken for one that misses nothing
-	reuseDots                // what was sent is lost with the power, and its number given to another add
+	ackBeforeSync            // a write is reported before it is synced
+	countPerOrigin           // an id counts once per origin
+	readyWithEmptyDisk       // an empty disk is treated as complete
+	reuseDots                // adds are sent before their sync, and their dots are reused after a power loss
 )
 
-// call is an add that a caller may send: to a machine, once.
+// call is an add that a caller may send once, to a node given by index.
 type call struct {
 	node int
 	add  Add
 }
 
-// limits bound what happens in a history.
+// limits holds the numbers of events that may still happen. Bit i of callMask allows call i.
 type limits struct {
 	ticks, powerLosses, diskLosses, connectionLosses, duplicates, callMask int
 }
 
-// disk is what lasts, and the write that is under way.
+// disk is a simulated disk.
 type disk struct {
 	synced  []Batch
-	pending []*Batch // more than one only where a write is reported too early
+	pending []*Batch // more than one only if a fault reports writes before their sync
 }
 
+// node is a simulated machine.
 type node struct {
 	addr                string
 	disk                disk
 	replica             *Replica
 	incarnation         uint64
 	startedAt           time.Duration
-	ackedBeforeDiskLoss map[string]bool // acknowledged on enough disks when this disk was lost
-	acked               map[string]bool // acknowledged here in this life
+	ackedBeforeDiskLoss map[string]bool // ids of adds acknowledged on enough disks when this disk was lost
+	acked               map[string]bool // ids of adds acknowledged here since the last start
 }
 
-// acknowledged is an add that a caller was told of.
+// acknowledgement records that an add was acknowledged by a node, given by index.
 type acknowledgement struct {
 	add      Add
 	node     int
-	disks    int  // that had it then
-	diskLost bool // its machine lost its disk since
+	disks    int  // number of disks that had the add at that time
+	diskLost bool // the node has lost its disk since
 }
 
-// core is the simulated machines and all that is on its way.
+// cluster is the state of the simulation: the nodes and the messages in flight.
 type cluster struct {
 	fault        fault
 	remoteCopies int
@@ -81,16 +87,19 @@
 	lastToken    uint64
 	lastOrigin   uint64
 	violation    error
-	cutLinks     map[[2]int]bool // links that lose all that is sent
-	disrupted    bool            // there was such a link since all last went well
+	cutLinks     map[[2]int]bool // directed links that lose all messages
+	disrupted    bool            // messages were cut off or late since the last heal
 }
 
-func newCluster(machines, copies int, planted fault, allowed limits, calls ...call) *cluster {
-	c := &cluster{fault: planted, remoteCopies: copies, links: map[[2]int][]*Message{}, calls: calls, remaining: allowed, callsByToken: map[uint64]call{}, cutLinks: map[[2]int]bool{}}
-	for i := range machines {
+func newCluster(nodes, remoteCopies int, injected fault, allowed limits, calls ...call) *cluster {
+	c := &cluster{
+		fault: injected, remoteCopies: remoteCopies, links: map[[2]int][]*Message{}, calls: calls, remaining: allowed,
+		callsByToken: map[uint64]call{}, cutLinks: map[[2]int]bool{},
+	}
+	for i := range nodes {
 		c.nodes = append(c.nodes, &node{addr: fmt.Sprint("m", i)})
 	}
-	for i := range machines {
+	for i := range nodes {
 		c.nodes[i].disk.synced = []Batch{{NewOrigin: c.newOrigin(), Complete: true}}
 		c.startNode(i)
 	}
@@ -102,7 +111,8 @@
 	return Origin(c.lastOrigin)
 }
 
-// settled is a core in which all have met, and some calls have been answered.
+// converge runs the cluster until all nodes have exchanged messages, then submits the given calls and lets
+// each complete.
 func (c *cluster) converge(before ...call) *cluster {
 	for range 4 {
 		c.tick()
@@ -119,14 +129,14 @@
 	return c
 }
 
-// load reads a disk as the log does.
+// load returns the state on a disk, as tallylog.Open does.
 func (c *cluster) load(d *disk) SavedState {
 	saved := SavedState{Set: NewSet()}
 	for i := range d.synced {
 		b := &d.synced[i]
 		for j := range b.Runs {
 			if !saved.Set.Insert(&b.Runs[j]) {
-				c.violation = errors.New("a gap in an origin's numbers on disk")
+				c.violation = errors.New("load disk: gap in the sequence numbers of an origin")
 			}
 		}
 		if b.NewOrigin != 0 {
@@ -137,7 +147,7 @@
 	return saved
 }
 
-// boot starts a machine on what is on its disk.
+// startNode starts a node with the state on its disk.
 func (c *cluster) startNode(i int) {
 	n := c.nodes[i]
 	if len(n.disk.synced) == 0 {
@@ -161,6 +171,7 @@
 	return slices.IndexFunc(c.nodes, func(n *node) bool { return n.addr == addr })
 }
 
+// execute applies a replica's output: it starts the write, sends the messages and records the results.
 func (c *cluster) execute(i int, out Output) {
 	n := c.nodes[i]
 	if out.Write != nil {
@@ -181,23 +192,24 @@
 	}
 }
 
-// spoil plants the faults of messages.
+// injectMessageFault returns a message with the injected fault, if that concerns messages.
 func (c *cluster) injectMessageFault(i int, m *Message) *Message {
 	if c.fault != countPerOrigin {
 		return m
 	}
-	spoilt := *m
-	spoilt.Runs = nil
+	faulty := *m
+	faulty.Runs = nil
 	for _, run := range m.Runs {
 		adds := slices.Clone(run.Adds)
 		for j := range adds {
 			adds[j].ID = fmt.Sprint(adds[j].ID, "@", run.Origin)
 		}
-		spoilt.Runs = append(spoilt.Runs, Run{Origin: run.Origin, First: run.First, Adds: adds})
+		faulty.Runs = append(faulty.Runs, Run{Origin: run.Origin, First: run.First, Adds: adds})
 	}
-	return &spoilt
+	return &faulty
 }
 
+// recordResult records and checks the result of a call.
 func (c *cluster) recordResult(i int, a Result) {
 	sent := c.callsByToken[a.Token]
 	switch a.Outcome {
@@ -210,7 +222,7 @@
 	}
 }
 
-// disksWith counts the disks that an add lasts on.
+// countDisksWith returns the number of disks that have synced an add.
 func (c *cluster) countDisksWith(add Add) (count int) {
 	for _, n := range c.nodes {
 		if diskContains(&n.disk, add) {
@@ -220,6 +232,7 @@
 	return count
 }
 
+// diskContains reports whether a disk has synced an add.
 func diskContains(d *disk, add Add) bool {
 	for i := range d.synced {
 		for j := range d.synced[i].Runs {
@@ -231,14 +244,14 @@
 	return false
 }
 
-// checkCopies holds an acknowledgement against the machine's own disk.
+// checkAcknowledgement checks that an acknowledged add is on the node's own disk.
 func (c *cluster) checkAcknowledgement(i int, add Add) {
 	if c.fault != reuseDots && !diskContains(&c.nodes[i].disk, add) {
-		c.violation = fmt.Errorf("%s acknowledged %v, which is not on its disk", c.nodes[i].addr, add)
+		c.violation = fmt.Errorf("%s acknowledged %v: got no copy on its disk, want one", c.nodes[i].addr, add)
 	}
 }
 
-// checkNothingDone holds a refusal against the disk: unless another call brought the add, it is not there.
+// checkRefusal checks that a refused add is on no disk, unless another call sent the same add.
 func (c *cluster) checkRefusal(i int, add Add) {
 	sent := 0
 	for _, other := range c.issued {
@@ -247,11 +260,11 @@
 		}
 	}
 	if sent == 1 && c.countDisksWith(add) > 0 {
-		c.violation = fmt.Errorf("%s refused %v, which is on a disk", c.nodes[i].addr, add)
+		c.violation = fmt.Errorf("%s refused %v: got a copy on a disk, want none", c.nodes[i].addr, add)
 	}
 }
 
-// event is one thing that may happen.
+// event is an event of the simulation. What a and b mean depends on the kind.
 type event struct {
 	kind string
 	a, b int
@@ -259,7 +272,7 @@
 
 func (e event) String() string { return fmt.Sprintf("%s %d %d", e.kind, e.a, e.b) }
 
-// events gives all that may happen next.
+// possibleEvents returns all events that may happen next.
 func (c *cluster) possibleEvents() (all []event) {
 	for i := range c.calls {
 		if c.remaining.callMask&(1<<i) != 0 {
@@ -273,23 +286,23 @@
 			}
 			all = append(all, event{"deliver", i, j})
 			if c.remaining.connectionLosses > 0 {
-				all = append(all, event{"lose", i, j})
+				all = append(all, event{"lose connection", i, j})
 			}
 			if c.remaining.duplicates > 0 {
-				all = append(all, event{"twice", i, j})
+				all = append(all, event{"deliver duplicate", i, j})
 			}
 		}
 		if len(c.nodes[i].disk.pending) > 0 {
 			all = append(all, event{"sync", i, 0})
 		}
 		if c.remaining.powerLosses > 0 {
-			all = append(all, event{"power", i, 0})
+			all = append(all, event{"power loss", i, 0})
 			if len(c.nodes[i].disk.pending) > 0 {
-				all = append(all, event{"power, written", i, 0})
+				all = append(all, event{"power loss, write kept", i, 0})
 			}
 		}
 		if c.remaining.diskLosses > 0 {
-			all = append(all, event{"disk", i, 0})
+			all = append(all, event{"disk loss", i, 0})
 		}
 	}
 	if c.remaining.ticks > 0 {
@@ -298,7 +311,7 @@
 	return all
 }
 
-// apply lets an event happen.
+// apply executes an event.
 func (c *cluster) apply(e event) {
 	link := [2]int{e.a, e.b}
 	switch e.kind {
@@ -309,21 +322,21 @@
 		m := c.links[link][0]
 		c.links[link] = c.links[link][1:]
 		c.receive(e.b, m)
-	case "twice":
+	case "deliver duplicate":
 		c.remaining.duplicates--
 		c.receive(e.b, c.links[link][0])
-	case "lose":
+	case "lose connection":
 		c.remaining.connectionLosses--
-		c.links[link] = nil // a connection's end takes all that waits on it
+		c.links[link] = nil // a closed connection loses all its messages
 	case "sync":
 		c.completeSync(e.a)
-	case "power":
+	case "power loss":
 		c.remaining.powerLosses--
 		c.losePower(e.a, false)
-	case "power, written":
+	case "power loss, write kept":
 		c.remaining.powerLosses--
 		c.losePower(e.a, true)
-	case "disk":
+	case "disk loss":
 		c.remaining.diskLosses--
 		c.loseDisk(e.a)
 	case "tick":
@@ -332,6 +345,7 @@
 	}
 }
 
+// submit sends a call to its node.
 func (c *cluster) submit(sent call) {
 	c.lastToken++
 	c.callsByToken[c.lastToken] = sent
@@ -339,10 +353,12 @@
 	c.execute(sent.node, c.nodes[sent.node].replica.Add(c.now, c.lastToken, sent.add))
 }
 
+// receive delivers a message to a node.
 func (c *cluster) receive(to int, m *Message) {
 	c.execute(to, c.nodes[to].replica.Receive(c.now, m))
 }
 
+// completeSync completes a node's oldest pending write.
 func (c *cluster) completeSync(i int) {
 	n := c.nodes[i]
 	n.disk.synced = append(n.disk.synced, *n.disk.pending[0])
@@ -352,10 +368,10 @@
 	}
 }
 
-// powerCut ends a machine's process and starts it again; what was not synced may be there all the same.
-func (c *cluster) losePower(i int, written bool) {
+// losePower restarts a node. Its pending writes are lost, except that the oldest one may be on disk.
+func (c *cluster) losePower(i int, writeKept bool) {
 	n := c.nodes[i]
-	if written {
+	if writeKept {
 		n.disk.synced = append(n.disk.synced, *n.disk.pending[0])
 	}
 	n.disk.pending = nil
@@ -365,7 +381,7 @@
 	c.startNode(i)
 }
 
-// loseDisk starts a machine anew on an empty disk.
+// loseDisk restarts a node with an empty disk.
 func (c *cluster) loseDisk(i int) {
 	n := c.nodes[i]
 	n.disk = disk{}
@@ -382,6 +398,7 @@
 	c.losePower(i, false)
 }
 
+// tick advances the time by one tick on all nodes.
 func (c *cluster) tick() {
 	c.now += tickInterval
 	for i, n := range c.nodes {
@@ -389,11 +406,12 @@
 	}
 }
 
-// clockBase is where a life's clock begins, before or behind those of the lives before: it is drawn in the program.
-func clockBase(life uint64) int64 {
-	const lives = 1 << 20
-	if life%2 == 0 {
-		return int64(lives-life) * int64(time.Hour)
+// clockBase returns the start of an incarnation's clock, which may be earlier or later than that of the
+// previous one. In production it is random.
+func clockBase(incarnation uint64) int64 {
+	const offset = 1 << 20
+	if incarnation%2 == 0 {
+		return int64(offset-incarnation) * int64(time.Hour)
 	}
-	return int64(lives+life) * int64(time.Hour)
+	return int64(offset+incarnation) * int64(time.Hour)
 }
--- a/internal/tallylog/log.go
+++ b/internal/tallylog/log.go
@@ -1,6 +1,7 @@
-// Package tallylog keeps the tallies' adds on disk: one file that only grows, of checksummed frames. A frame is one batch, there as a whole
-// or not at all. What was being written when the power went is cut off at the next open; damage to what was synced is told from that, and
-// the file is set aside.
+// Package tallylog implements the write-ahead log of the tallies: an append-only file of checksummed
+// frames, each of which holds one batch. A torn frame at the end, left by a power loss during a write, is
+// truncated at the next open. Corruption of synced frames is told apart from it; the corrupt file is
+// renamed and a new one is created.
 package tallylog
 
 import (
@@ -20,24 +21,26 @@
 	quarantineFileName = "damaged-tallies.log"
 )
 
-// fsync makes a file's contents lasting; tests have it fail.
+// fsync flushes a file to disk. Tests replace it to simulate failures.
 var fsync = (*os.File).Sync
 
-// Log is the open file of one directory.
+// Log is the open log of one directory. It isn't safe for concurrent use.
 type Log struct {
 	file        *os.File
-	syncedBytes int64 // of what was synced
-	writeFailed bool  // a write failed since the last recovery
+	syncedBytes int64 // length of the synced part, where the next frame is written
+	writeFailed bool  // an append failed since the last successful Recover
 }
 
-// Options say what a new file begins with.
+// Options configures new files.
 type Options struct {
-	// Complete says that an empty disk misses nothing: the whole system starts for the first time, or has kept no tallies before.
-	Complete  bool
+	// Complete means that an empty disk lacks nothing, because the whole system starts for the first time
+	// or has kept no tallies before.
+	Complete bool
+	// NewOrigin returns an origin that no disk has used.
 	NewOrigin func() tally.Origin
 }
 
-// Prepare makes a directory's file if there is none.
+// Init creates a directory's log if there is none.
 func Init(dir string, options Options) error {
 	if _, err := os.Stat(filepath.Join(dir, logFileName)); err == nil {
 		return nil
@@ -50,19 +53,20 @@
 	return nil
 }
 
-// Open opens a directory's file, makes one where there is none, and gives what it holds, which lasts. A damaged file is set aside for
-// whoever wants to look at it: then the error is a *DamageError beside a log that starts anew and misses what the other held.
+// Open opens a directory's log, or creates it, and returns its durable state. A corrupt file is kept
+// under another name for inspection. In this case Open returns a usable new log whose state isn't
+// complete, together with a *CorruptionError.
 func Open(dir string, options Options) (*Log, tally.SavedState, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, tally.SavedState{}, merry.Prepend(err, "tally log: make directory")
+		return nil, tally.SavedState{}, merry.Prepend(err, "tallylog: create directory")
 	}
 	path := filepath.Join(dir, logFileName)
 	l, saved, err := openFile(path, options)
-	var damage *CorruptionError
+	var corruption *CorruptionError
 	switch {
-	case errors.As(err, &damage):
+	case errors.As(err, &corruption):
 		if err := os.Rename(path, filepath.Join(dir, quarantineFileName)); err != nil {
-			return nil, tally.SavedState{}, merry.Prepend(err, "tally log: set aside")
+			return nil, tally.SavedState{}, merry.Prepend(err, "tallylog: rename corrupt log")
 		}
 		options.Complete = false
 		l, saved, err = create(path, options)
@@ -71,25 +75,24 @@
 			l.Close()
 		}
 		if _, err := os.Stat(filepath.Join(dir, quarantineFileName)); err == nil {
-			options.Complete = false // the power went between setting it aside and beginning anew
+			options.Complete = false // power was lost after the rename and before the new file was created
 		}
 		l, saved, err = create(path, options)
 	}
 	if err != nil {
 		return nil, tally.SavedState{}, err
 	}
-	if damage != nil {
-		return l, saved, damage
+	if corruption != nil {
+		return l, saved, corruption
 	}
 	return l, saved, nil
 }
 
-// openFile opens a file as it was left. What a killed process may have written without a sync is written once more before the sync: after
-// one that failed, the kernel may take it for written.
+// openFile opens an existing file, truncates a torn end and makes the rest durable.
 func openFile(path string, options Options) (*Log, tally.SavedState, error) {
 	file, err := os.OpenFile(path, os.O_RDWR, 0o644)
 	if err != nil {
-		return nil, tally.SavedState{}, merry.Prepend(err, "tally log: open")
+		return nil, tally.SavedState{}, merry.Prepend(err, "tallylog: open log")
 	}
 	found, err := scan(file)
 	if err == nil {
@@ -110,8 +113,9 @@
 	return l, found.state, nil
 }
 
-// renewOrigin begins another origin behind a torn end, before anything else: what was cut off may have been told to others, and its numbers
-// are not to be given to other adds, also by a later start that finds the file whole.
+// appendNewOrigin starts a new origin after a torn end, before anything else is appended. The truncated
+// adds may have been sent to peers, so their sequence numbers must not be reused, not even by a later
+// start that finds no torn end.
 func (l *Log) appendNewOrigin(found *scanResult, options Options) error {
 	batch := tally.Batch{NewOrigin: options.NewOrigin()}
 	if err := l.Append(&batch); err != nil {
@@ -121,28 +125,29 @@
 	return nil
 }
 
-// lasting cuts off what is torn and makes the rest last.
+// makeDurable truncates a torn end and syncs the rest. It first rewrites the frames that no later frame
+// confirms as synced: after a failed fsync of a killed process, the kernel may consider them written.
 func makeDurable(file *os.File, found *scanResult) error {
 	if found.torn {
 		if err := file.Truncate(found.validBytes); err != nil {
-			return merry.Prepend(err, "tally log: cut off")
+			return merry.Prepend(err, "tallylog: truncate torn end")
 		}
 	}
 	rest := make([]byte, found.validBytes-found.confirmedBytes)
 	if _, err := file.ReadAt(rest, found.confirmedBytes); err != nil {
-		return merry.Prepend(err, "tally log: read the end")
+		return merry.Prepend(err, "tallylog: read unconfirmed frames")
 	}
 	if _, err := file.WriteAt(rest, found.confirmedBytes); err != nil {
-		return merry.Prepend(err, "tally log: write the end")
+		return merry.Prepend(err, "tallylog: rewrite unconfirmed frames")
 	}
-	return merry.Prepend(fsync(file), "tally log: sync")
+	return merry.Prepend(fsync(file), "tallylog: sync log")
 }
 
-// create makes a file whose first frame names the disk's origin; it lasts when create returns.
+// create creates a log whose first frame has the disk's origin. The file is durable when create returns.
 func create(path string, options Options) (*Log, tally.SavedState, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644)
 	if err != nil {
-		return nil, tally.SavedState{}, merry.Prepend(err, "tally log: create")
+		return nil, tally.SavedState{}, merry.Prepend(err, "tallylog: create log")
 	}
 	l := &Log{file: file}
 	first := tally.Batch{NewOrigin: options.NewOrigin(), Complete: options.Complete}
@@ -154,60 +159,65 @@
 		file.Close()
 		return nil, tally.SavedState{}, err
 	}
-	return l, tally.SavedState{Set: tally.NewSet(), Origins: []tally.Origin{first.NewOrigin}, Complete: first.Complete}, nil
+	return l, tally.SavedState{
+		Set: tally.NewSet(), Origins: []tally.Origin{first.NewOrigin}, Complete: first.Complete,
+	}, nil
 }
 
+// syncDirectory makes the creation of files in a directory durable.
 func syncDirectory(dir string) error {
-	d, err := os.Open(dir)
+	directory, err := os.Open(dir)
 	if err != nil {
-		return merry.Prepend(err, "tally log: sync directory")
+		return merry.Prepend(err, "tallylog: open directory")
 	}
-	defer d.Close()
-	return merry.Prepend(fsync(d), "tally log: sync directory")
+	defer directory.Close()
+	return merry.Prepend(fsync(directory), "tallylog: sync directory")
 }
 
-// Append makes a batch last. After an error the batch may be there or not, and nothing more is taken until Recover.
+// Append writes a batch and syncs it. After a failed write or sync the batch may or may not be on disk, and
+// Append fails until Recover succeeds.
 func (l *Log) Append(batch *tally.Batch) error {
 	if l.writeFailed {
-		return merry.New("tally log: an earlier write failed")
+		return merry.New("tallylog: append batch: an earlier write failed")
 	}
 	payload, err := cbor.Marshal(batch)
 	if err != nil {
-		return merry.Prepend(err, "tally log: encode")
+		return merry.Prepend(err, "tallylog: encode batch")
 	}
 	frame := encodeFrame(l.syncedBytes, payload)
 	if _, err := l.file.WriteAt(frame, l.syncedBytes); err != nil {
 		l.writeFailed = true
-		return merry.Prepend(err, "tally log: write")
+		return merry.Prepend(err, "tallylog: write batch")
 	}
 	if err := fsync(l.file); err != nil {
 		l.writeFailed = true
-		return merry.Prepend(err, "tally log: sync")
+		return merry.Prepend(err, "tallylog: sync batch")
 	}
 	l.syncedBytes += int64(len(frame))
 	return nil
 }
 
-// probeBytes are written to see whether the disk takes writes again.
+// probeBytes is the number of bytes that Recover writes to test whether the disk works again.
 const probeBytes = 64 << 10
 
-// Recover takes back what a failed write may have left. Without an error the log holds what was synced before, and can be written again.
+// Recover removes what a failed write may have left. If it succeeds, the log has exactly what was synced
+// before, and Append works again.
 func (l *Log) Recover() error {
 	if _, err := l.file.WriteAt(make([]byte, probeBytes), l.syncedBytes); err != nil {
-		return merry.Prepend(err, "tally log: recover")
+		return merry.Prepend(err, "tallylog: recover: probe disk")
 	}
 	if err := l.file.Truncate(l.syncedBytes); err != nil {
-		return merry.Prepend(err, "tally log: recover")
+		return merry.Prepend(err, "tallylog: recover: truncate log")
 	}
 	if err := fsync(l.file); err != nil {
-		return merry.Prepend(err, "tally log: recover")
+		return merry.Prepend(err, "tallylog: recover: sync log")
 	}
 	l.writeFailed = false
 	return nil
 }
 
-// Size is how many bytes the file holds.
+// Size returns the length of the log in bytes.
 func (l *Log) Size() int64 { return l.syncedBytes }
 
-// Close closes the file; nothing is lost by not doing so.
+// Close closes the file. Appended batches are durable without it.
 func (l *Log) Close() { l.file.Close() }
--- a/internal/tallylog/log_test.go
+++ b/internal/tallylog/log_test.go
@@ -17,7 +17,7 @@
 	nextOrigin  = tally.Origin(8)
 )
 
-// options are those of a first start, or of a later one where the directory has a log.
+// testOptions returns the options of a first start or, if the directory has a log, of a later one.
 func testOptions(dir string) Options {
 	origin := firstOrigin
 	if _, err := os.Stat(filepath.Join(dir, logFileName)); err == nil {
@@ -26,11 +26,13 @@
 	return Options{Complete: true, NewOrigin: func() tally.Origin { return origin }}
 }
 
-// batch has one add of this disk's own.
-func singleAddBatch(number uint64) *tally.Batch {
-	return &tally.Batch{Runs: []tally.Run{{Origin: firstOrigin, First: number, Adds: []tally.Add{{ID: fmt.Sprint("id", number), Tally: "t", Amount: 1}}}}}
+// singleAddBatch returns a batch with one add of amount 1 and the given sequence number.
+func singleAddBatch(sequence uint64) *tally.Batch {
+	adds := []tally.Add{{ID: fmt.Sprint("id", sequence), Tally: "t", Amount: 1}}
+	return &tally.Batch{Runs: []tally.Run{{Origin: firstOrigin, First: sequence, Adds: adds}}}
 }
 
+// openLog opens a log that isn't corrupt.
 func openLog(t *testing.T, dir string) (*Log, tally.SavedState) {
 	t.Helper()
 	l, saved, err := Open(dir, testOptions(dir))
@@ -39,8 +41,9 @@
 	return l, saved
 }
 
-// written gives the file of a log of so many adds, and the size that it had after each.
-func writeLog(t *testing.T, adds int) (text []byte, sizes []int64) {
+// writeLog returns the contents of a log with the given number of adds, and its sizes in bytes before the
+// first and after each of them.
+func writeLog(t *testing.T, adds int) (contents []byte, sizes []int64) {
 	t.Helper()
 	dir := t.TempDir()
 	l, _ := openLog(t, dir)
@@ -49,18 +52,18 @@
 		require.NoError(t, l.Append(singleAddBatch(uint64(n+1))))
 		sizes = append(sizes, l.Size())
 	}
-	text, err := os.ReadFile(filepath.Join(dir, logFileName))
+	contents, err := os.ReadFile(filepath.Join(dir, logFileName))
 	require.NoError(t, err)
-	return text, sizes
+	return contents, sizes
 }
 
-// reopened opens a directory whose log has a text. Nothing needs to last, so nothing is synced.
-func reopen(t *testing.T, text []byte) (tally.SavedState, error) {
+// reopen opens a log with the given contents, without fsync, as nothing has to be durable.
+func reopen(t *testing.T, contents []byte) (tally.SavedState, error) {
 	t.Helper()
 	fsync = func(*os.File) error { return nil }
 	defer func() { fsync = (*os.File).Sync }()
 	dir := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(dir, logFileName), text, 0o644))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, logFileName), contents, 0o644))
 	l, saved, err := Open(dir, testOptions(dir))
 	require.NotNil(t, l)
 	l.Close()
@@ -68,72 +71,74 @@
 }
 
 func TestAppendAndReopen(t *testing.T) {
-	text, _ := writeLog(t, 3)
-	saved, err := reopen(t, text)
+	contents, _ := writeLog(t, 3)
+	saved, err := reopen(t, contents)
 	require.NoError(t, err)
 	require.Equal(t, int64(3), saved.Set.Total("t"))
 	require.Equal(t, []tally.Origin{firstOrigin}, saved.Origins)
 	require.True(t, saved.Complete)
 }
 
-// TestPowerLostAtEveryByteOfAnAppend: whatever is left of the last write, all before it is read, and the numbers of a torn one are not
-// gone on with.
+// TestTornAppendAtEveryByte cuts the last frame at every byte, or fills it with zeros up to there. The
+// frames before it must be read, and its sequence numbers must not be reused.
 func TestTornAppendAtEveryByte(t *testing.T) {
-	text, sizes := writeLog(t, 3)
+	contents, sizes := writeLog(t, 3)
 	for end := sizes[2]; end < sizes[3]; end++ {
-		for _, hole := range []bool{false, true} {
-			left := text[:end]
-			if hole {
-				left = append(append([]byte{}, text[:sizes[2]]...), make([]byte, end-sizes[2])...)
+		for _, zeroed := range []bool{false, true} {
+			remaining := contents[:end]
+			if zeroed {
+				remaining = append(append([]byte{}, contents[:sizes[2]]...), make([]byte, end-sizes[2])...)
 			}
-			saved, err := reopen(t, left)
-			require.NoError(t, err, "%d bytes", end)
+			saved, err := reopen(t, remaining)
+			require.NoError(t, err, "open log torn at byte %d", end)
 			require.Equal(t, int64(2), saved.Set.Total("t"))
 			require.Equal(t, end > sizes[2], hasNewOrigin(saved))
 		}
 	}
 }
 
-// TestDamageIsToldFromATornEnd: each bit of what was synced before the last write, flipped, is damage; the log starts anew and knows that
-// it misses what there was.
+// TestCorruptionBeforeLastFrame flips each bit that was synced before the last write. Open must report
+// corruption rather than a torn end, and return an empty log that isn't complete.
 func TestCorruptionBeforeLastFrame(t *testing.T) {
-	text, sizes := writeLog(t, 3)
+	contents, sizes := writeLog(t, 3)
 	for at := range sizes[2] {
 		for bit := range 8 {
-			damaged := append([]byte{}, text...)
-			damaged[at] ^= 1 << bit
-			saved, err := reopen(t, damaged)
-			var damage *CorruptionError
-			require.ErrorAs(t, err, &damage, "bit %d of byte %d", bit, at)
+			corrupted := append([]byte{}, contents...)
+			corrupted[at] ^= 1 << bit
+			saved, err := reopen(t, corrupted)
+			var corruption *CorruptionError
+			require.ErrorAs(t, err, &corruption, "bit %d of byte %d", bit, at)
 			require.Zero(t, saved.Set.Len())
 			require.False(t, saved.Complete)
 		}
 	}
 }
 
-// TestDamageOfTheLastWriteIsCutOff: nothing tells it from a torn end, but its numbers are not used again.
+// TestCorruptionOfLastFrame flips a bit in each byte of the last frame. This can't be told from a torn end,
+// so the frame is truncated, and its sequence numbers must not be reused.
 func TestCorruptionOfLastFrame(t *testing.T) {
-	text, sizes := writeLog(t, 3)
+	contents, sizes := writeLog(t, 3)
 	for at := sizes[2]; at < sizes[3]; at++ {
-		damaged := append([]byte{}, text...)
-		damaged[at] ^= 1
-		saved, err := reopen(t, damaged)
+		corrupted := append([]byte{}, contents...)
+		corrupted[at] ^= 1
+		saved, err := reopen(t, corrupted)
 		require.NoError(t, err)
 		require.Equal(t, int64(2), saved.Set.Total("t"))
 		require.True(t, hasNewOrigin(saved))
 	}
 }
 
-// TestAFailedSyncIsTakenBack: nothing is appended behind a write that failed, and what it left is gone once the log has recovered.
+// TestRecoverAfterFailedSync checks that nothing is appended behind a failed write and that Recover removes
+// what that write left.
 func TestRecoverAfterFailedSync(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir)
 	require.NoError(t, l.Append(singleAddBatch(1)))
-	fails := errors.New("no")
-	fsync = func(*os.File) error { return fails }
+	errSync := errors.New("simulated fsync failure")
+	fsync = func(*os.File) error { return errSync }
 	t.Cleanup(func() { fsync = (*os.File).Sync })
-	require.ErrorIs(t, l.Append(singleAddBatch(2)), fails)
-	require.ErrorIs(t, l.Recover(), fails)
+	require.ErrorIs(t, l.Append(singleAddBatch(2)), errSync)
+	require.ErrorIs(t, l.Recover(), errSync)
 	require.Error(t, l.Append(singleAddBatch(2)))
 	fsync = (*os.File).Sync
 	require.NoError(t, l.Recover())
@@ -143,18 +148,20 @@
 	require.False(t, hasNewOrigin(saved))
 }
 
-// TestWhatAKilledProcessLeftIsSyncedBeforeItIsRead: the end, of which no later write says that it was synced, is written and synced once more.
+// TestOpenSyncsUnconfirmedTail checks that Open syncs the last frame, which no later frame confirms as
+// synced, and errSync if it can't: a killed process may have left it without an fsync.
 func TestOpenSyncsUnconfirmedTail(t *testing.T) {
-	text, _ := writeLog(t, 2)
+	contents, _ := writeLog(t, 2)
 	dir := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(dir, logFileName), text, 0o644))
-	fails := errors.New("no")
-	fsync = func(*os.File) error { return fails }
+	require.NoError(t, os.WriteFile(filepath.Join(dir, logFileName), contents, 0o644))
+	errSync := errors.New("simulated fsync failure")
+	fsync = func(*os.File) error { return errSync }
 	t.Cleanup(func() { fsync = (*os.File).Sync })
 	_, _, err := Open(dir, testOptions(dir))
-	require.ErrorIs(t, err, fails)
+	require.ErrorIs(t, err, errSync)
 }
 
+// TestCompletePersists checks that an incomplete log stays incomplete over restarts until a batch completes it.
 func TestCompletePersists(t *testing.T) {
 	dir := t.TempDir()
 	missing := testOptions(dir)
@@ -164,13 +171,14 @@
 	require.False(t, saved.Complete)
 	l.Close()
 	l, saved = openLog(t, dir)
-	require.False(t, saved.Complete, "also after another start")
+	require.False(t, saved.Complete, "complete after a restart: got true, want false")
 	require.NoError(t, l.Append(&tally.Batch{Complete: true}))
 	_, saved = openLog(t, dir)
 	require.True(t, saved.Complete)
 }
 
-// TestSetAsideAndNotBegunAnew: a start after the power went in between still knows that something is missing.
+// TestOpenAfterInterruptedQuarantine opens a directory in which power was lost after a corrupt log was
+// renamed and before the new one was created. The new log must not be complete.
 func TestOpenAfterInterruptedQuarantine(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, quarantineFileName), []byte("damaged"), 0o644))
@@ -178,16 +186,17 @@
 	require.False(t, saved.Complete)
 }
 
-// renewed tells whether adds are taken under another origin than the file's first.
+// hasNewOrigin reports whether new adds get another origin than the log's first.
 func hasNewOrigin(saved tally.SavedState) bool {
 	return saved.Origins[len(saved.Origins)-1] != firstOrigin
 }
 
-// TestATornEndIsNotForgottenByTheNextStart: the numbers of what was cut off are not used again, also where nothing was written between two starts.
+// TestNewOriginAfterTornTailPersists checks that the sequence numbers of a truncated frame aren't reused by
+// the second start either, when nothing was written in between.
 func TestNewOriginAfterTornTailPersists(t *testing.T) {
-	text, _ := writeLog(t, 3)
+	contents, _ := writeLog(t, 3)
 	dir := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(dir, logFileName), text[:len(text)-1], 0o644))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, logFileName), contents[:len(contents)-1], 0o644))
 	for range 2 {
 		l, saved := openLog(t, dir)
 		require.True(t, hasNewOrigin(saved))
--- a/internal/tallylog/scan.go
+++ b/internal/tallylog/scan.go
@@ -17,8 +17,11 @@
 	"nettlefold/internal/tally"
 )
 
-// A frame is its magic, the payload's length, how many bytes of the file had been synced when it was written, and the checksum of those two
-// and the payload, all big-endian; then the payload, a tally.Batch in CBOR.
+// A frame has a header of four big-endian fields, followed by the payload, a tally.Batch in CBOR:
+//   - the magic number, 4 bytes,
+//   - the length of the payload, 4 bytes,
+//   - the length of the synced part of the file when the frame was written, 8 bytes,
+//   - the CRC-32C of the two lengths and the payload, 4 bytes.
 const (
 	frameMagic      = 0x9e71a110
 	headerBytes     = 4 + 4 + 8 + 4
@@ -27,6 +30,7 @@
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
+// encodeFrame returns a frame that is written behind the given number of synced bytes.
 func encodeFrame(synced int64, payload []byte) []byte {
 	frame := make([]byte, headerBytes, headerBytes+len(payload))
 	binary.BigEndian.PutUint32(frame, frameMagic)
@@ -36,30 +40,31 @@
 	return append(frame, payload...)
 }
 
+// checksum returns the checksum of the two lengths in a header and the payload.
 func checksum(header, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header[4:16], crcTable), crcTable, payload)
 }
 
-// DamageError tells that a file cannot be read in a part that was synced once.
+// CorruptionError reports a log that can't be read at an offset that had been synced.
 type CorruptionError struct {
 	Path   string
-	Offset int64
+	Offset int64 // of the unreadable frame, in bytes
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("tally log: %s is damaged at offset %d", e.Path, e.Offset)
+	return fmt.Sprintf("tallylog: read %s: corrupt frame at offset %d", e.Path, e.Offset)
 }
 
-// scanned is what a file holds.
+// scanResult is the result of reading a file.
 type scanResult struct {
 	state          tally.SavedState
-	validBytes     int64 // bytes of whole frames
-	confirmedBytes int64 // bytes of which a later frame says that they were synced
-	torn           bool  // something that cannot be read follows
+	validBytes     int64 // length of the valid frames
+	confirmedBytes int64 // length of the part that a later frame confirms as synced
+	torn           bool  // the file has an unreadable frame behind the valid ones
 }
 
-// scan reads a file from its start to its end, or to where it is torn. It fails with a *DamageError where a frame behind what cannot be
-// read says that this was synced.
+// scan reads a file up to its end or its first unreadable frame. It fails with a *CorruptionError if a
+// later frame confirms that the unreadable one had been synced.
 func scan(file *os.File) (*scanResult, error) {
 	found := &scanResult{state: tally.SavedState{Set: tally.NewSet()}}
 	reader := bufio.NewReaderSize(file, 64<<10)
@@ -71,9 +76,9 @@
 		if err == nil {
 			err = found.applyBatch(payload)
 		}
-		var unread *fs.PathError
-		if errors.As(err, &unread) { // of the disk, not of what is on it
-			return nil, merry.Prepend(err, "tally log: read")
+		var pathError *fs.PathError
+		if errors.As(err, &pathError) { // the read itself failed, which isn't corruption
+			return nil, merry.Prepend(err, "tallylog: read log")
 		}
 		if err != nil {
 			found.torn = true
@@ -84,7 +89,8 @@
 	}
 }
 
-// readFrame reads one frame: io.EOF at the end of the file, another error where there is none.
+// readFrame reads one frame. It returns io.EOF at the end of the file and another error if there is no
+// valid frame.
 func readFrame(reader *bufio.Reader) (synced int64, payload []byte, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -92,19 +98,19 @@
 	}
 	length := binary.BigEndian.Uint32(header[4:])
 	if binary.BigEndian.Uint32(header[:]) != frameMagic || length > maxPayloadBytes {
-		return 0, nil, merry.New("no frame")
+		return 0, nil, merry.New("read frame: invalid header")
 	}
 	var body bytes.Buffer
 	if n, err := io.CopyN(&body, reader, int64(length)); err != nil {
-		return 0, nil, merry.Prependf(err, "%d of %d bytes", n, length)
+		return 0, nil, merry.Prependf(err, "read frame: got %d of %d payload bytes", n, length)
 	}
 	if checksum(header[:], body.Bytes()) != binary.BigEndian.Uint32(header[16:]) {
-		return 0, nil, merry.New("the checksum does not hold")
+		return 0, nil, merry.New("read frame: checksum mismatch")
 	}
 	return int64(binary.BigEndian.Uint64(header[8:])), body.Bytes(), nil
 }
 
-// take adds a batch to what was found.
+// applyBatch decodes a batch and applies it to the state.
 func (f *scanResult) applyBatch(payload []byte) error {
 	var batch tally.Batch
 	if err := cbor.Unmarshal(payload, &batch); err != nil {
@@ -112,7 +118,7 @@
 	}
 	for i := range batch.Runs {
 		if !f.state.Set.Insert(&batch.Runs[i]) {
-			return merry.New("a gap in an origin's numbers")
+			return merry.New("apply batch: gap in the sequence numbers of an origin")
 		}
 	}
 	if batch.NewOrigin != 0 {
@@ -122,14 +128,15 @@
 	return nil
 }
 
-// checkTorn looks behind what cannot be read for a frame that was written after it had been synced.
+// checkTornTail searches the data behind the first unreadable frame for a valid frame that was written
+// after that one had been synced, and returns a *CorruptionError if there is one.
 func (f *scanResult) checkTornTail(file *os.File) error {
 	if _, err := file.Seek(f.validBytes, io.SeekStart); err != nil {
-		return merry.Prepend(err, "tally log: read")
+		return merry.Prepend(err, "tallylog: read torn end")
 	}
 	rest, err := io.ReadAll(file)
 	if err != nil {
-		return merry.Prepend(err, "tally log: read")
+		return merry.Prepend(err, "tallylog: read torn end")
 	}
 	magic := binary.BigEndian.AppendUint32(nil, frameMagic)
 	for at := 0; ; at++ {
--- a/internal/tallylog/size_test.go
+++ b/internal/tallylog/size_test.go
@@ -12,13 +12,13 @@
 	"nettlefold/internal/tally"
 )
 
-// BenchmarkReading reads a log of adds that came one in a batch, as calls that are far apart leave it. It tells the bytes that one takes on
-// disk and in memory.
+// BenchmarkOpen opens a log with one add per batch, as calls that are far apart leave it. It reports the
+// bytes per add on disk and in memory.
 func BenchmarkOpen(b *testing.B) {
 	const adds = 100_000
-	unsynced := fsync
+	original := fsync
 	fsync = func(*os.File) error { return nil }
-	defer func() { fsync = unsynced }()
+	defer func() { fsync = original }()
 	dir := b.TempDir()
 	fillLog(b, dir, adds)
 	for b.Loop() {
@@ -37,7 +37,7 @@
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/adds, "us/add")
 }
 
-// fill writes a log of adds with ids of 16 hex digits.
+// fillLog writes a log of adds with ids of 16 hex digits, one add per batch.
 func fillLog(b *testing.B, dir string, adds int) {
 	b.Helper()
 	l, _, err := Open(dir, testOptions(dir))
