--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -27,76 +27,81 @@
 
 const (
 	platformInstances = 326
-	platformPage      = 50
-	platformPages     = (platformInstances + platformPage - 1) / platformPage
-	// platformLatency is how long a call to the platform takes.
-	platformLatency = 2 * time.Millisecond
-	platformHost    = "platform"
-	fleetController = "10.9.9.9"
-	fleetPort       = 7340
-	// membersToldAfter is how long after an agent's end the controllers tell the others that it is gone.
-	membersToldAfter = 3 * time.Second
+	platformPageSize  = 50
+	platformPageCount = (platformInstances + platformPageSize - 1) / platformPageSize
+	// platformLatency is the duration of a call to the platform.
+	platformLatency   = 2 * time.Millisecond
+	platformHostName  = "platform"
+	fleetControllerIP = "10.9.9.9"
+	fleetPort         = 7340
+	// memberRemovalDelay is the time from an agent's crash until the controllers remove it from the
+	// members.
+	memberRemovalDelay = 3 * time.Second
 )
 
-// platform serves a list whose first entry states the time at which it was read, and refuses calls above its rate.
-type platform struct {
-	limit   *rate.Limiter
-	start   time.Time
-	engines bool // its backends keep prompts
-	perPage int  // parts that each of them reads anew between two pages of its events
+// fakePlatform serves an instance list and rejects calls above its rate. The first entry's Slots is
+// the time of the read in milliseconds since the platform's start. It also serves the cache events
+// of backends.
+type fakePlatform struct {
+	limit         *rate.Limiter
+	start         time.Time
+	prefixCaches  bool // the backends have prefix caches
+	eventsPerPage int  // parts that each backend caches between two of its event pages
 
-	mu      sync.Mutex
-	down    bool
-	calls   map[int64]int // by second since the start, refused ones too
-	refused int
+	mu       sync.Mutex
+	down     bool
+	calls    map[int64]int // by second since the start, including rejected calls
+	rejected int
 }
 
-// platformBurst is one part in so many of a second's calls that are answered at once.
-const platformBurst = 10
+// platformBurstDivisor is the divisor of a second's calls that gives the number of calls answered
+// in a burst.
+const platformBurstDivisor = 10
 
-func newPlatform(callsPerSecond int) *platform {
-	return &platform{
-		limit: rate.NewLimiter(rate.Limit(callsPerSecond), callsPerSecond/platformBurst), start: time.Now(), calls: map[int64]int{},
+func newFakePlatform(callsPerSecond int) *fakePlatform {
+	return &fakePlatform{
+		limit: rate.NewLimiter(rate.Limit(callsPerSecond), callsPerSecond/platformBurstDivisor), start: time.Now(), calls: map[int64]int{},
 	}
 }
 
-// backendParts is how many parts of prompts a backend keeps from the first.
-const backendParts = 20
+// minBackendParts is the number of prompt parts that a backend has cached from the start.
+const minBackendParts = 20
 
-// events is a backend's page of kept prompts: some more with each call, under names that repeat.
-func events(backend, since string, each int) (*http.Response, error) {
+// eventsResponse returns a page of a backend's cache events: some more with each call, with part
+// names that repeat.
+func eventsResponse(backend, since string, perPage int) (*http.Response, error) {
 	next, _ := strconv.Atoi(since)
-	news := []any{}
-	for i := next; i < next+max(1, each) || i < backendParts; i++ {
-		part := i % (10 * backendParts)
-		news = append(news, []any{i, "+", "v1", fmt.Sprint(backend, "/", part), 1 + i*7919%3000, "m"})
+	events := []any{}
+	for i := next; i < next+max(1, perPage) || i < minBackendParts; i++ {
+		part := i % (10 * minBackendParts)
+		events = append(events, []any{i, "+", "v1", fmt.Sprint(backend, "/", part), 1 + i*7919%3000, "m"})
 	}
-	body, err := json.Marshal(map[string]any{"epoch": 1, "next_page_token": next + len(news), "events": news})
-	return answer(http.StatusOK, body), err
+	body, err := json.Marshal(map[string]any{"epoch": 1, "next_page_token": next + len(events), "events": events})
+	return newResponse(http.StatusOK, body), err
 }
 
-// RoundTrip answers GET /instances, and a backend's GET /v1/kv-events.
-func (p *platform) RoundTrip(request *http.Request) (*http.Response, error) {
+// RoundTrip handles GET /instances of the platform and GET /v1/kv-events of backends.
+func (p *fakePlatform) RoundTrip(request *http.Request) (*http.Response, error) {
 	time.Sleep(platformLatency)
-	if request.URL.Host != platformHost {
-		return events(request.URL.Host, request.URL.Query().Get("since"), p.perPage)
+	if request.URL.Host != platformHostName {
+		return eventsResponse(request.URL.Host, request.URL.Query().Get("since"), p.eventsPerPage)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	second := int64(time.Since(p.start) / time.Second)
 	p.calls[second]++
 	if p.down {
-		return answer(http.StatusServiceUnavailable, nil), nil
+		return newResponse(http.StatusServiceUnavailable, nil), nil
 	}
 	if !p.limit.Allow() {
-		p.refused++
-		return answer(http.StatusTooManyRequests, nil), nil
+		p.rejected++
+		return newResponse(http.StatusTooManyRequests, nil), nil
 	}
 	first, _ := strconv.Atoi(request.URL.Query().Get("page_token"))
 	page := instancePage{}
-	for i := first; i < min(first+platformPage, platformInstances); i++ {
+	for i := first; i < min(first+platformPageSize, platformInstances); i++ {
 		entry := instance{ID: fmt.Sprintf("i-%04d", i), Service: "s", Address: fmt.Sprintf("10.7.%d.%d:80", i/200, i%200), Zone: "z0"}
-		if p.engines {
+		if p.prefixCaches {
 			entry.Models = append(entry.Models, modelVersion{"m", 1})
 		}
 		if i == 0 {
@@ -104,35 +109,37 @@
 		}
 		page.Instances = append(page.Instances, entry)
 	}
-	if next := first + platformPage; next < platformInstances {
+	if next := first + platformPageSize; next < platformInstances {
 		token := strconv.Itoa(next)
 		page.Next = &token
 	}
 	body, err := json.Marshal(page)
-	return answer(http.StatusOK, body), err
+	return newResponse(http.StatusOK, body), err
 }
 
-func answer(status int, body []byte) *http.Response {
+// newResponse returns a response with a status and a body.
+func newResponse(status int, body []byte) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(bytes.NewReader(body))}
 }
 
-// busiest is the most calls in a second from a second on.
-func (p *platform) busiest(from time.Duration) (most int) {
+// busiestSecond returns the maximum number of calls in one second, counted from a time after the
+// start.
+func (p *fakePlatform) busiestSecond(from time.Duration) (maxCalls int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for second, calls := range p.calls {
 		if second >= int64(from/time.Second) {
-			most = max(most, calls)
+			maxCalls = max(maxCalls, calls)
 		}
 	}
-	return most
+	return maxCalls
 }
 
-// fleet is agents that run in a bubble, with one controller that tells them of each other.
+// fleet is a set of agents in a synctest bubble with one controller that distributes the members.
 type fleet struct {
 	t        *testing.T
 	network  *simtest.Network
-	platform *platform
+	platform *fakePlatform
 	agents   []*Agent
 	stops    map[*Agent]context.CancelFunc
 	running  sync.WaitGroup
@@ -141,19 +148,19 @@
 	members *distribute.MemberSet
 }
 
-// playFleet starts agents of some zones all at once and plays with them.
-func playFleet(t *testing.T, zones, each, callsPerSecond int, play func(f *fleet)) {
+// runFleet starts agents in several zones at once and runs a test with them.
+func runFleet(t *testing.T, zones, agentsPerZone, callsPerSecond int, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
 			t: t, network: simtest.NewNetwork(), stops: map[*Agent]context.CancelFunc{}, members: &distribute.MemberSet{Digest: 1},
-			platform: newPlatform(callsPerSecond),
+			platform: newFakePlatform(callsPerSecond),
 		}
-		listener, err := f.network.Host(fleetController).Listen(fmt.Sprintf("%s:%d", fleetController, fleetPort))
+		listener, err := f.network.Host(fleetControllerIP).Listen(fmt.Sprintf("%s:%d", fleetControllerIP, fleetPort))
 		require.NoError(t, err)
 		go rpc.Serve(listener, func(_ context.Context, _ string, body []byte) (any, error) { return f.watch(body) })
 		for zone := range zones {
-			for i := range each {
+			for i := range agentsPerZone {
 				f.add(fmt.Sprint("z", zone), fmt.Sprintf("127.%d.0.%d", zone, i+1))
 			}
 		}
@@ -161,52 +168,56 @@
 			f.run(a)
 		}
 		defer func() {
-			f.end()
+			f.stopAll()
 			listener.Close()
-			f.network.CloseHost(fleetController)
+			f.network.CloseHost(fleetControllerIP)
 			time.Sleep(simtest.Settled)
 		}()
-		play(f)
+		test(f)
 	})
 }
 
-func (f *fleet) end() {
+// stopAll stops all agents and waits until they have stopped.
+func (f *fleet) stopAll() {
 	for _, a := range f.agents {
 		f.kill(a)
 	}
 	f.running.Wait()
 }
 
-// add makes an agent that does not run yet, and has the controller tell of it.
-func (f *fleet) add(zone, ip string) *Agent { return f.member(f.make(zone, ip)) }
+// add creates an agent without starting it, and adds it to the members.
+func (f *fleet) add(zone, ip string) *Agent { return f.register(f.newAgent(zone, ip)) }
 
-// addOwner makes one to whom the list's duty falls: which life's that is is drawn by lot.
+// addOwner adds an agent that is the list reader. Agent IDs are random, so it creates agents until
+// one is.
 func (f *fleet) addOwner(zone, ip string) *Agent {
-	const lives = 10_000
+	const maxAttempts = 10_000
 	f.mu.Lock()
 	var others []string
 	for _, m := range f.members.Agents {
 		others = append(others, m.ID)
 	}
 	f.mu.Unlock()
-	for range lives {
-		if a := f.make(zone, ip); rendezvous.Owner(listDuty, append(others, a.self.ID)) == a.self.ID {
-			return f.member(a)
+	for range maxAttempts {
+		if a := f.newAgent(zone, ip); rendezvous.Owner(listReaderKey, append(others, a.self.ID)) == a.self.ID {
+			return f.register(a)
 		}
 	}
-	require.FailNow(f.t, "no life is the owner's")
+	require.FailNow(f.t, "no generated agent ID is the list reader")
 	return nil
 }
 
-func (f *fleet) make(zone, ip string) *Agent {
+// newAgent returns an agent on the fleet's network.
+func (f *fleet) newAgent(zone, ip string) *Agent {
 	settings := &local.Settings{
-		NodeName: "f-" + ip, IP: ip, Zone: zone, FirstPort: fleetPort, Seeds: []string{fleetController + ":8783"},
-		LinkMbps: 10, CloudAddr: platformHost, CloudRate: float64(f.platform.limit.Limit()),
+		NodeName: "f-" + ip, IP: ip, Zone: zone, FirstPort: fleetPort, Seeds: []string{fleetControllerIP + ":8783"},
+		LinkMbps: 10, CloudAddr: platformHostName, CloudRate: float64(f.platform.limit.Limit()),
 	}
-	return newOn(f.network.Host(ip), &http.Client{Transport: f.platform}, settings, zerolog.Nop())
+	return newAgent(f.network.Host(ip), &http.Client{Transport: f.platform}, settings, zerolog.Nop())
 }
 
-func (f *fleet) member(a *Agent) *Agent {
+// register adds an agent to the fleet and to the members.
+func (f *fleet) register(a *Agent) *Agent {
 	f.agents = append(f.agents, a)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -214,6 +225,7 @@
 	return a
 }
 
+// run starts an agent.
 func (f *fleet) run(a *Agent) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stops[a] = stop
@@ -224,7 +236,7 @@
 	})
 }
 
-// kill ends an agent without a word, as a loss of power does.
+// kill stops an agent without closing its connections in order, like a power failure.
 func (f *fleet) kill(a *Agent) {
 	if f.stops[a] == nil {
 		return
@@ -235,27 +247,27 @@
 	f.network.CloseHost(a.settings.IP)
 }
 
-// lose kills agents, and has the others told some time later.
-func (f *fleet) lose(agents ...*Agent) {
-	gone := map[string]bool{}
+// crash kills agents. The members are updated memberRemovalDelay later.
+func (f *fleet) crash(agents ...*Agent) {
+	crashed := map[string]bool{}
 	for _, a := range agents {
 		f.kill(a)
-		gone[a.self.ID] = true
+		crashed[a.self.ID] = true
 	}
-	time.AfterFunc(membersToldAfter, func() {
+	time.AfterFunc(memberRemovalDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		left := &distribute.MemberSet{Digest: f.members.Digest + 1}
+		members := &distribute.MemberSet{Digest: f.members.Digest + 1}
 		for _, m := range f.members.Agents {
-			if !gone[m.ID] {
-				left.Agents = append(left.Agents, m)
+			if !crashed[m.ID] {
+				members.Agents = append(members.Agents, m)
 			}
 		}
-		f.members = left
+		f.members = members
 	})
 }
 
-// watch answers an agent's session: with the members if it lacks them, else after a while.
+// watch answers a watch call: at once with the members if the agent has others, else after a delay.
 func (f *fleet) watch(body []byte) (any, error) {
 	request := new(distribute.WatchRequest)
 	if err := cbor.Unmarshal(body, request); err != nil {
@@ -276,41 +288,42 @@
 	return reply, nil
 }
 
-// oldest is the age of the oldest list among the agents that run, from its reading at the platform.
-func (f *fleet) oldest() (oldest time.Duration) {
+// oldestListAge returns the age of the oldest list among the running agents, since its read at the
+// platform.
+func (f *fleet) oldestListAge() (oldest time.Duration) {
 	now := time.Since(f.platform.start)
 	for _, a := range f.agents {
 		if f.stops[a] == nil {
 			continue
 		}
-		read := time.Duration(0) // it has none
-		require.NoError(f.t, a.ask(context.Background(), func() {
-			if len(a.list) > 0 {
-				read = time.Duration(a.list[0].Slots) * time.Millisecond
+		readAt := time.Duration(0) // the agent has no list yet
+		require.NoError(f.t, a.runInLoop(context.Background(), func() {
+			if len(a.backends) > 0 {
+				readAt = time.Duration(a.backends[0].Slots) * time.Millisecond
 			}
 		}))
-		oldest = max(oldest, now-read)
+		oldest = max(oldest, now-readAt)
 	}
 	return oldest
 }
 
-// watchAges looks at the agents for a while, and gives the age of the oldest list that one had.
-func (f *fleet) watchAges(span time.Duration) (oldest time.Duration) {
-	const look = 100 * time.Millisecond
-	for began := time.Now(); time.Since(began) < span; time.Sleep(look) {
-		oldest = max(oldest, f.oldest())
+// maxListAge samples the agents' list ages for a while and returns the maximum.
+func (f *fleet) maxListAge(span time.Duration) (oldest time.Duration) {
+	const sampleInterval = 100 * time.Millisecond
+	for start := time.Now(); time.Since(start) < span; time.Sleep(sampleInterval) {
+		oldest = max(oldest, f.oldestListAge())
 	}
 	return oldest
 }
 
-// find gives an agent that runs and of which something holds.
-func (f *fleet) find(holds func(a *Agent) bool) (found *Agent) {
+// find returns a running agent that satisfies a condition.
+func (f *fleet) find(matches func(a *Agent) bool) (found *Agent) {
 	for _, a := range f.agents {
 		if f.stops[a] == nil {
 			continue
 		}
-		require.NoError(f.t, a.ask(context.Background(), func() {
-			if holds(a) {
+		require.NoError(f.t, a.runInLoop(context.Background(), func() {
+			if matches(a) {
 				found = a
 			}
 		}))
@@ -318,15 +331,17 @@
 	return found
 }
 
-// owner is the agent whose duty the list is.
-func (f *fleet) owner() *Agent { return f.find(func(a *Agent) bool { return a.owns(listDuty) }) }
+// listReader returns the agent that reads the platform's list.
+func (f *fleet) listReader() *Agent {
+	return f.find(func(a *Agent) bool { return a.ownsKey(listReaderKey) })
+}
 
-// hub is the hub of a zone.
+// hub returns the hub of a zone.
 func (f *fleet) hub(zone string) *Agent {
-	return f.find(func(a *Agent) bool { return a.settings.Zone == zone && a.news.hub(zone) == a.self.Addr })
+	return f.find(func(a *Agent) bool { return a.settings.Zone == zone && a.gossip.hubAddr(zone) == a.self.Addr })
 }
 
-func (p *platform) setDown(down bool) {
+func (p *fakePlatform) setDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
