--- a/internal/tally/checks_test.go
+++ b/internal/tally/checks_test.go
@@ -154,7 +154,8 @@
 	fmt.Fprint(&b, c.remaining, c.acked, c.issued, c.lastOrigin)
 	for i, n := range c.nodes {
 		r := n.replica
-		fmt.Fprint(&b, "|", n.incarnation, c.now-n.startedAt, n.acked, n.ackedBeforeDiskLoss, n.disk.synced, len(n.disk.pending))
+		fmt.Fprint(&b, "|", n.incarnation, c.now-n.startedAt, n.acked, n.ackedBeforeDiskLoss,
+			n.disk.synced, len(n.disk.pending))
 		fmt.Fprint(&b, r.set.allAdds(), r.origin, r.originUnsaved, r.queue, r.staged, r.reservedSequences,
 			r.ready, r.complete, r.diskFailed, max(0, r.slowUntil-c.now),
 			c.now-r.lastStep, max(0, r.ignoreSilenceUntil-c.now))
@@ -165,8 +166,9 @@
 			}
 		}
 		for _, p := range r.sortedPeers() {
-			fmt.Fprint(&b, p.addr, p.incarnation, p.lastHeard == never, c.now-p.lastHeard, c.now-p.lastEchoedSend,
-				p.initialVector, p.ready, p.diskFailed, p.acksPending, max(0, p.nextGossip-c.now), p.gossipCount%gossipsPerPeerList)
+			fmt.Fprint(&b, p.addr, p.incarnation, p.lastHeard == never, c.now-p.lastHeard,
+				c.now-p.lastEchoedSend, p.initialVector, p.ready, p.diskFailed, p.acksPending,
+				max(0, p.nextGossip-c.now), p.gossipCount%gossipsPerPeerList)
 			for _, origin := range r.set.sortedOrigins() {
 				if l := p.progress[origin]; l != nil {
 					fmt.Fprint(&b, origin, l.durable, l.sent, c.now-l.lastProgress,
--- a/internal/tally/explore_test.go
+++ b/internal/tally/explore_test.go
@@ -22,18 +22,18 @@
 	return &searchState{newCluster: create, cluster: c, events: c.possibleEvents()}
 }
 
-func (h *searchState) Choices() int           { return len(h.events) }
-func (h *searchState) Name(choice int) string { return h.events[choice].String() }
-func (h *searchState) Fingerprint() string    { return h.cluster.fingerprint() }
-func (h *searchState) Check() error           { return h.cluster.check() }
+func (s *searchState) Choices() int           { return len(s.events) }
+func (s *searchState) Name(choice int) string { return s.events[choice].String() }
+func (s *searchState) Fingerprint() string    { return s.cluster.fingerprint() }
+func (s *searchState) Check() error           { return s.cluster.check() }
 
-func (h *searchState) Next(choice int) simtest.World {
-	past := append(append([]event{}, h.past...), h.events[choice])
-	c := h.newCluster()
+func (s *searchState) Next(choice int) simtest.World {
+	past := append(append([]event{}, s.past...), s.events[choice])
+	c := s.newCluster()
 	for _, e := range past {
 		c.apply(e)
 	}
-	return &searchState{newCluster: h.newCluster, past: past, cluster: c, events: c.possibleEvents()}
+	return &searchState{newCluster: s.newCluster, past: past, cluster: c, events: c.possibleEvents()}
 }
 
 // maxStates bounds a search. It is breadth-first, so the shortest histories are covered.
@@ -62,26 +62,66 @@
 	}), maxStates)
 }
 
-// TestExhaustiveEventOrders checks the invariants over all orders of a few calls, faults and messages.
+// TestExhaustiveEventOrders checks the invariants over all orders of a few calls, faults and
+// messages, up to maxStates states.
 func TestExhaustiveEventOrders(t *testing.T) {
-	const both = 3 // bits of the two calls
+	const bothCalls = 3 // call mask
 	completed := []call{{0, addB}}
-	for name, o := range map[string]searchCase{
-		"two nodes, same id twice":                            {nodes: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
-		"two nodes, same id twice, connection loss":           {nodes: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both, connectionLosses: 1, ticks: 1}},
-		"two nodes, power loss":                               {nodes: 2, calls: twoAdds, allowed: limits{callMask: both, powerLosses: 1, ticks: 1}},
-		"two nodes, two power losses":                         {nodes: 2, calls: twoAdds[:1], allowed: limits{callMask: 1, powerLosses: 2}},
-		"two nodes, duplicate message":                        {nodes: 2, calls: sameAddAtTwoNodes, allowed: limits{callMask: both, duplicates: 1}},
-		"two nodes, disk loss":                                {nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1, ticks: 2}},
-		"two nodes, disk loss, power loss":                    {nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1, powerLosses: 1}},
-		"two nodes, disk loss, connection loss":               {nodes: 2, before: completed, allowed: limits{diskLosses: 1, connectionLosses: 1, ticks: 3}},
-		"three nodes, same id twice":                          {nodes: 3, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
-		"three nodes, connection loss":                        {nodes: 3, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, connectionLosses: 1, ticks: 1}},
-		"three nodes, power loss":                             {nodes: 3, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, powerLosses: 1}},
-		"three nodes, disk loss":                              {nodes: 3, before: completed, calls: sameAddAtTwoNodes[:1], allowed: limits{callMask: 1, diskLosses: 1}},
-		"three nodes, disk loss, power loss, connection loss": {nodes: 3, before: completed, allowed: limits{diskLosses: 1, powerLosses: 1, connectionLosses: 1, ticks: 3}},
+	for name, test := range map[string]searchCase{
+		"two nodes, same id twice": {
+			nodes: 2, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls},
+		},
+		"two nodes, same id twice, connection loss": {
+			nodes: 2, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls, connectionLosses: 1, ticks: 1},
+		},
+		"two nodes, power loss": {
+			nodes: 2, calls: twoAdds,
+			allowed: limits{callMask: bothCalls, powerLosses: 1, ticks: 1},
+		},
+		"two nodes, two power losses": {
+			nodes: 2, calls: twoAdds[:1],
+			allowed: limits{callMask: 1, powerLosses: 2},
+		},
+		"two nodes, duplicate message": {
+			nodes: 2, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls, duplicates: 1},
+		},
+		"two nodes, disk loss": {
+			nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, diskLosses: 1, ticks: 2},
+		},
+		"two nodes, disk loss, power loss": {
+			nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, diskLosses: 1, powerLosses: 1},
+		},
+		"two nodes, disk loss, connection loss": {
+			nodes: 2, before: completed,
+			allowed: limits{diskLosses: 1, connectionLosses: 1, ticks: 3},
+		},
+		"three nodes, same id twice": {
+			nodes: 3, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls},
+		},
+		"three nodes, connection loss": {
+			nodes: 3, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, connectionLosses: 1, ticks: 1},
+		},
+		"three nodes, power loss": {
+			nodes: 3, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, powerLosses: 1},
+		},
+		"three nodes, disk loss": {
+			nodes: 3, before: completed, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, diskLosses: 1},
+		},
+		"three nodes, disk loss, power loss, connection loss": {
+			nodes: 3, before: completed,
+			allowed: limits{diskLosses: 1, powerLosses: 1, connectionLosses: 1, ticks: 3},
+		},
 	} {
-		result := o.search()
+		result := test.search()
 		require.NoError(t, result.Broken, "%s: %s", name, result)
 		t.Logf("%s: %s", name, result)
 	}
@@ -89,14 +129,26 @@
 
 // TestSearchDetectsInjectedFaults checks that the search finds each injected fault.
 func TestSearchDetectsInjectedFaults(t *testing.T) {
-	const both = 3 // bits of the two calls
-	for name, o := range map[string]searchCase{
-		"acknowledgement before sync": {nodes: 2, fault: ackBeforeSync, calls: twoAdds, allowed: limits{callMask: both, ticks: 1, powerLosses: 1}},
-		"id counted per origin":       {nodes: 2, fault: countPerOrigin, calls: sameAddAtTwoNodes, allowed: limits{callMask: both}},
-		"ready with empty disk":       {nodes: 2, fault: readyWithEmptyDisk, before: twoAdds, allowed: limits{ticks: 2, diskLosses: 1}},
-		"dot reused":                  {nodes: 2, fault: reuseDots, calls: twoAdds, allowed: limits{callMask: both, powerLosses: 1}},
+	const bothCalls = 3 // call mask
+	for name, test := range map[string]searchCase{
+		"acknowledgement before sync": {
+			nodes: 2, fault: ackBeforeSync, calls: twoAdds,
+			allowed: limits{callMask: bothCalls, ticks: 1, powerLosses: 1},
+		},
+		"id counted per origin": {
+			nodes: 2, fault: countPerOrigin, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls},
+		},
+		"ready with empty disk": {
+			nodes: 2, fault: readyWithEmptyDisk, before: twoAdds,
+			allowed: limits{ticks: 2, diskLosses: 1},
+		},
+		"dot reused": {
+			nodes: 2, fault: reuseDots, calls: twoAdds,
+			allowed: limits{callMask: bothCalls, powerLosses: 1},
+		},
 	} {
-		result := o.search()
+		result := test.search()
 		require.Error(t, result.Broken, "%s: %s", name, result)
 		t.Logf("%s: %s", name, result)
 	}
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -81,8 +81,8 @@
 	since time.Duration
 }
 
-// Replica is one machine's replica of the tallies. It isn't safe for concurrent use. Times are durations on
-// a monotonic clock of the caller.
+// Replica is one machine's replica of the tallies. It isn't safe for concurrent use. Times are durations
+// on a monotonic clock of the caller.
 type Replica struct {
 	options       Options
 	set           *Set
--- a/internal/tally/replica_test.go
+++ b/internal/tally/replica_test.go
@@ -44,9 +44,9 @@
 	require.Empty(t, r.Add(c.now, 2, addB).Results)
 	require.Equal(t, []Result{{1, Unclear, "the disk failed"}, {2, Refused, "the disk failed"}}, r.WriteFailed(c.now).Results)
 	require.Equal(t, Refused, r.Add(c.now, 3, addB).Results[0].Outcome)
-	before := r.origin
+	earlier := r.origin
 	r.DiskRecovered(c.now)
-	require.NotEqual(t, before, r.origin)
+	require.NotEqual(t, earlier, r.origin)
 	require.NotNil(t, r.Add(c.now, 4, addB).Write.NewOrigin)
 }
 
@@ -74,10 +74,12 @@
 	require.Empty(t, r.WriteSucceeded(c.now).Results, "add answered before a peer is known to be unreachable")
 	later := c.now + testTiming().SilenceTimeout
 	r.Tick(later - tickInterval)
-	require.Equal(t, []Result{{1, Acknowledged, ""}}, r.Tick(later).Results, "add after SilenceTimeout: want it acknowledged without the silent peers")
+	require.Equal(t, []Result{{1, Acknowledged, ""}}, r.Tick(later).Results,
+		"add after SilenceTimeout: want it acknowledged without the silent peers")
 }
 
-// TestCapacityLimits checks that callers' adds are refused near MaxAdds and while the disk is full.
+// TestCapacityLimits checks that callers' adds are refused near MaxAdds, so that those of
+// peers still fit, and while the disk is full.
 func TestCapacityLimits(t *testing.T) {
 	c := newCluster(2, 1, noFault, limits{}).converge()
 	r := c.nodes[0].replica
@@ -96,11 +98,14 @@
 	timing := DefaultTiming()
 	now := timing.StartupWait
 	r := New(0, Options{
-		Self: "a", RemoteCopies: 1, MaxAdds: 1 << 10, Timing: timing, Incarnation: 1, ClockBase: 1, NewOrigin: func() Origin { return 1 },
+		Self: "a", RemoteCopies: 1, MaxAdds: 1 << 10, Timing: timing,
+		Incarnation: 1, ClockBase: 1, NewOrigin: func() Origin { return 1 },
 	}, SavedState{Set: NewSet(), Complete: true})
 	r.SetPeers(0, []string{"b"})
 	for ; now < 2*timing.StartupWait; now += timing.PauseThreshold / 2 {
-		r.Receive(now, &Message{From: "b", Incarnation: 1, SentAt: int64(now), Echo: 1 + int64(now), FullVector: true, Ready: true})
+		r.Receive(now, &Message{
+			From: "b", Incarnation: 1, SentAt: int64(now), Echo: 1 + int64(now), FullVector: true, Ready: true,
+		})
 	}
 	for end := now + timing.SilenceTimeout; now < end; now += timing.PauseThreshold / 2 {
 		r.Tick(now)
@@ -108,7 +113,8 @@
 	require.NotNil(t, r.Add(now, 7, addA).Write)
 	out := r.WriteSucceeded(now)
 	require.Empty(t, out.Results)
-	require.True(t, slices.ContainsFunc(out.Messages, func(e Envelope) bool { return len(e.Message.Runs) > 0 }), "messages to the suspected peer: want one with the add")
+	require.True(t, slices.ContainsFunc(out.Messages, func(e Envelope) bool { return len(e.Message.Runs) > 0 }),
+		"messages to the suspected peer: want one with the add")
 	added := now
 	for ; now < added+timing.SuspectWait; now += timing.PauseThreshold / 2 {
 		require.Empty(t, r.Tick(now).Results)
--- a/internal/tally/restart_test.go
+++ b/internal/tally/restart_test.go
@@ -14,7 +14,8 @@
 	origins := uint64(0)
 	start := func(self string, incarnation uint64, clockBase time.Duration) *Replica {
 		return New(0, Options{
-			Self: self, Incarnation: incarnation, ClockBase: int64(clockBase), RemoteCopies: 1, MaxAdds: 1 << 10, Timing: testTiming(),
+			Self: self, Incarnation: incarnation, ClockBase: int64(clockBase),
+			RemoteCopies: 1, MaxAdds: 1 << 10, Timing: testTiming(),
 			NewOrigin: func() Origin { origins++; return Origin(origins) },
 		}, SavedState{Set: NewSet(), Complete: true})
 	}
@@ -39,6 +40,7 @@
 	require.True(t, first.reachable(10*tickInterval, first.peers["a"]))
 	again := start("b", 3, time.Minute)
 	exchange(11*tickInterval, 21*tickInterval, a, again)
-	require.True(t, again.reachable(21*tickInterval, again.peers["a"]), "peer of the new incarnation: got unreachable, want reachable")
+	require.True(t, again.reachable(21*tickInterval, again.peers["a"]),
+		"peer of the new incarnation: got unreachable, want reachable")
 	require.True(t, a.reachable(21*tickInterval, a.peers["b"]))
 }
--- a/internal/tally/status.go
+++ b/internal/tally/status.go
@@ -46,6 +46,7 @@
 	return s
 }
 
+// peerStatus returns the state of a peer.
 func (r *Replica) peerStatus(now time.Duration, p *peer) PeerStatus {
 	s := PeerStatus{
 		Addr: p.addr, Reachable: r.reachable(now, p),
--- a/internal/tally/walk_test.go
+++ b/internal/tally/walk_test.go
@@ -86,6 +86,7 @@
 	}
 }
 
+// addRandom submits an add with a random id to a node.
 func (w *walk) addRandom(i int) {
 	add := Add{ID: fmt.Sprint("id", w.random.IntN(distinctIDs)), Tally: "t", Amount: 1}
 	if w.random.IntN(conflictOneIn) == 0 {
@@ -95,6 +96,7 @@
 	w.submit(call{i, add})
 }
 
+// deliver delivers the oldest message from node i to node j, unless the link is cut.
 func (w *walk) deliver(i, j int) {
 	link := [2]int{i, j}
 	if len(w.links[link]) == 0 || w.cutLinks[link] {
