--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -103,7 +103,7 @@
 // dispatchRequest describes a request that was sent to the tried backends to the dispatch table.
 func (q *request) dispatchRequest(tried []string) *dispatch.Request {
 	return &dispatch.Request{
-		TargetMS: q.route.TargetLatencyMS, Rank: q.rank, RemainingMS: float64(time.Until(q.clientDeadline).Milliseconds()),
+		TargetMS: q.route.TargetLatencyMS, PolicyRank: q.rank, RemainingMS: float64(time.Until(q.clientDeadline).Milliseconds()),
 		Retried: q.likelyRetry || len(tried) > 0, Service: q.service, Model: q.model, Parts: q.promptParts,
 		PromptTokens: q.promptTokens, BodyBytes: len(q.body), IsolatedTenant: q.isolatedTenant(), TriedBackends: tried,
 	}
@@ -128,7 +128,7 @@
 	if c.Version != 0 {
 		header.Set(headerExpectVersion, strconv.FormatInt(c.Version, 10))
 		header.Set(headerCacheSalt, c.Salt)
-		header.Set(headerPriority, strconv.Itoa(c.Priority))
+		header.Set(headerPriority, strconv.Itoa(c.EnginePriority))
 	}
 	if c.FetchAddr != "" {
 		header.Set(headerKVFetch, c.FetchAddr)
