--- a/internal/controller/tallies.go
+++ b/internal/controller/tallies.go
@@ -53,7 +53,7 @@
 
 	// The fields below belong to the tally loop.
 	replica          *tally.Replica
-	pendingAdds      map[uint64]chan tally.Answer
+	pendingAdds      map[uint64]chan tally.Result
 	lastToken        uint64
 	peersRefreshedAt time.Duration // since the start, 0 before the first refresh
 }
@@ -66,15 +66,15 @@
 		directory:   c.settings.DataDirectory,
 		maxLogBytes: int64(c.settings.DiskMB) << 20 * logDiskPercent / 100,
 		commands:    make(chan func(), commandQueueCapacity), batches: make(chan *tally.Batch, 1), done: make(chan struct{}),
-		peerAddrs: c.tallyPeerAddrs, pendingAdds: map[uint64]chan tally.Answer{},
+		peerAddrs: c.tallyPeerAddrs, pendingAdds: map[uint64]chan tally.Result{},
 		replicaOptions: tally.Options{
-			Self:      c.settings.InternalAddr(c.settings.IP),
-			Life:      randomNonce(),
-			ClockBase: int64(randomNonce() >> 1),
-			Copies:    c.settings.MachineFaultTolerance,
-			MostAdds:  c.settings.MemoryMB << 20 / 100 * addsMemoryPercent / bytesPerAdd,
-			NewOrigin: randomOrigin,
-			Timing:    tally.DefaultTiming(),
+			Self:         c.settings.InternalAddr(c.settings.IP),
+			Incarnation:  randomNonce(),
+			ClockBase:    int64(randomNonce() >> 1),
+			RemoteCopies: c.settings.MachineFaultTolerance,
+			MaxAdds:      c.settings.MemoryMB << 20 / 100 * addsMemoryPercent / bytesPerAdd,
+			NewOrigin:    randomOrigin,
+			Timing:       tally.DefaultTiming(),
 		},
 	}
 	t.flushed.Store(true)
@@ -83,7 +83,7 @@
 		NewOrigin: randomOrigin,
 	}
 	c.tallies = t
-	return tallylog.Prepare(t.directory, t.logOptions)
+	return tallylog.Init(t.directory, t.logOptions)
 }
 
 // openLog reads the log and creates a replica from it, with retries. It returns false if the
@@ -91,7 +91,7 @@
 func (t *tallyService) openLog() bool {
 	for {
 		file, saved, err := tallylog.Open(t.directory, t.logOptions)
-		var damage *tallylog.DamageError
+		var damage *tallylog.CorruptionError
 		if errors.As(err, &damage) {
 			t.log.Error().Err(err).Str("step", "open tallies").Msg("tally log is damaged; quarantining it and copying the tallies from the peers")
 			err = nil
@@ -101,7 +101,7 @@
 			t.logBytes.Store(file.Size())
 			t.replica = tally.New(t.sinceStart(), t.replicaOptions, saved)
 			t.loaded.Store(true)
-			t.log.Info().Str("step", "open tallies").Int("adds", saved.Set.Size()).Bool("complete", saved.Complete).Msg("tallies loaded")
+			t.log.Info().Str("step", "open tallies").Int("adds", saved.Set.Len()).Bool("complete", saved.Complete).Msg("tallies loaded")
 			return true
 		}
 		t.log.Error().Err(err).Str("step", "open tallies").Msg("cannot open the tally log; will retry")
@@ -187,7 +187,7 @@
 		return
 	}
 	t.flushed.Store(false)
-	t.enqueue(func() { t.replica.Leave() })
+	t.enqueue(func() { t.replica.Drain() })
 }
 
 // receive passes a message of another machine to the replica.
@@ -206,7 +206,7 @@
 	for _, envelope := range out.Messages {
 		t.pool.Post(envelope.To, distribute.KindTally, envelope.Message)
 	}
-	for _, answer := range out.Answers {
+	for _, answer := range out.Results {
 		if call := t.pendingAdds[answer.Token]; call != nil {
 			call <- answer
 			delete(t.pendingAdds, answer.Token)
@@ -223,18 +223,18 @@
 		case batch := <-t.batches:
 			if err := t.tallyLog.Append(batch); err != nil {
 				t.log.Error().Err(err).Str("step", "write tallies").Msg("write to the tally log failed")
-				t.enqueue(func() { t.applyOutput(t.replica.Failed(t.sinceStart())) })
+				t.enqueue(func() { t.applyOutput(t.replica.WriteFailed(t.sinceStart())) })
 				if !t.recoverLog() {
 					return
 				}
-				t.enqueue(func() { t.applyOutput(t.replica.Recovered(t.sinceStart())) })
+				t.enqueue(func() { t.applyOutput(t.replica.DiskRecovered(t.sinceStart())) })
 				continue
 			}
 			t.logBytes.Store(t.tallyLog.Size())
 			full := t.maxLogBytes > 0 && t.tallyLog.Size() >= t.maxLogBytes
 			t.enqueue(func() {
-				t.replica.SetFull(full)
-				t.applyOutput(t.replica.Synced(t.sinceStart()))
+				t.replica.SetDiskFull(full)
+				t.applyOutput(t.replica.WriteSucceeded(t.sinceStart()))
 			})
 		case <-t.done:
 			return
--- a/internal/controller/tallies_api.go
+++ b/internal/controller/tallies_api.go
@@ -51,7 +51,7 @@
 	case request.Amount == nil || *request.Amount > maxAmount || *request.Amount < -maxAmount:
 		return tally.Add{}, errInvalidAmount
 	}
-	return tally.Add{ID: request.ID, Tally: name, By: *request.Amount}, nil
+	return tally.Add{ID: request.ID, Tally: name, Amount: *request.Amount}, nil
 }
 
 // validName reports whether a tally's name or an ID can be stored: machines exchange them as text,
@@ -86,7 +86,7 @@
 	defer cancel()
 	began := time.Now()
 	answer := t.add(callCtx, add)
-	t.log.Debug().Str("step", "add").Str("tally", add.Tally).Str("id", add.ID).Int64("by", add.By).Int("outcome", int(answer.Outcome)).
+	t.log.Debug().Str("step", "add").Str("tally", add.Tally).Str("id", add.ID).Int64("by", add.Amount).Int("outcome", int(answer.Outcome)).
 		Str("reason", answer.Reason).Dur("took", time.Since(began)).Msg("tally add answered")
 	if answer.Outcome != tally.Acknowledged {
 		return ctx.JSON(httpStatusByOutcome[answer.Outcome], errorResponse{answer.Reason})
@@ -95,11 +95,11 @@
 }
 
 // add passes an add to the tally loop and waits for its outcome.
-func (t *tallyService) add(ctx context.Context, add tally.Add) tally.Answer {
+func (t *tallyService) add(ctx context.Context, add tally.Add) tally.Result {
 	if !t.loaded.Load() {
-		return tally.Answer{Outcome: tally.Refused, Reason: errLoading.Error()}
+		return tally.Result{Outcome: tally.Refused, Reason: errLoading.Error()}
 	}
-	answers := make(chan tally.Answer, 1)
+	answers := make(chan tally.Result, 1)
 	t.enqueue(func() {
 		t.lastToken++
 		t.pendingAdds[t.lastToken] = answers
@@ -109,9 +109,9 @@
 	case answer := <-answers:
 		return answer
 	case <-ctx.Done():
-		return tally.Answer{Outcome: tally.Unclear, Reason: "no answer in time"}
+		return tally.Result{Outcome: tally.Unclear, Reason: "no answer in time"}
 	case <-t.done:
-		return tally.Answer{Outcome: tally.Unclear, Reason: errShuttingDown.Error()}
+		return tally.Result{Outcome: tally.Unclear, Reason: errShuttingDown.Error()}
 	}
 }
 
@@ -144,7 +144,7 @@
 	}
 	results := make(chan totalResult, 1)
 	t.enqueue(func() {
-		total, err := t.replica.Read(t.sinceStart(), name)
+		total, err := t.replica.Total(t.sinceStart(), name)
 		results <- totalResult{total, err}
 	})
 	select {
