--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -50,7 +50,7 @@
 func (l *lease) renew(renewal leases.Renewal) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	renewal.HadPredecessor = l.hadPredecessor
+	renewal.MayHavePredecessor = l.hadPredecessor
 	return l.state.Renew(renewal)
 }
 
--- a/internal/agent/listrevisions.go
+++ b/internal/agent/listrevisions.go
@@ -41,13 +41,13 @@
 }
 
 // fullList returns the list with the phases and versions that rollout holders announced.
-func (a *Agent) fullList() *feed.List { return a.listSinceRevision(0) }
+func (a *Agent) fullList() *feed.ProxyListUpdate { return a.listSinceRevision(0) }
 
 // listSinceRevision returns the changes of the list since a revision, or the full list if they
 // aren't known any more.
-func (a *Agent) listSinceRevision(revision uint64) *feed.List {
+func (a *Agent) listSinceRevision(revision uint64) *feed.ProxyListUpdate {
 	revisions := &a.listRevisions
-	list := &feed.List{Revision: revisions.current, Backends: []dispatch.BackendInfo{}, Phases: map[string]string{}}
+	list := &feed.ProxyListUpdate{Revision: revisions.current, Backends: []dispatch.BackendInfo{}, Phases: map[string]string{}}
 	if revision >= revisions.oldestDeltaBase {
 		list.BaseRevision = revision
 	}
--- a/internal/agent/listrevisions_test.go
+++ b/internal/agent/listrevisions_test.go
@@ -23,7 +23,7 @@
 }
 
 // apply applies a list as the proxy does.
-func (p *proxyList) apply(t *testing.T, list *feed.List) {
+func (p *proxyList) apply(t *testing.T, list *feed.ProxyListUpdate) {
 	if list.BaseRevision == 0 {
 		p.backends, p.phases = map[string]dispatch.BackendInfo{}, map[string]string{}
 	} else {
--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -51,7 +51,7 @@
 
 // flatten stores a JSON value in the form of the line protocol: the members of an object under their paths,
 // a list of objects under the numbers of its rows with a count, and a list of scalars as one
-// comma-separated value.
+// comma-separated value. Spaces and commas in a scalar of a list become "_", as a comma separates the items.
 func (t Settings) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -214,7 +214,7 @@
 }
 
 // MixerConfig returns the configuration of the mixer and the row of each request profile by name. Its error
-// is a *SettingError.
+// is a *SettingError. The paths and values of the settings are those of the platform.
 func (t Settings) MixerConfig() (mixer.Config, map[string]int, error) {
 	s := &settingReader{settings: t}
 	c := mixer.Config{
@@ -239,7 +239,7 @@
 		CrossPrice:   s.float("Fees.CrossZone", false, -1e6, 1e6),
 	}
 	switch w := s.settings["Weights"]; w {
-	case "nominal", "rough":
+	case "nominal", "rough": // the sizes in the list are exact or approximate
 		c.Sized = true
 	case "", "-", "none", "live": // live weights vary with load and are no measure of size
 	default:
--- a/internal/charter/limits.go
+++ b/internal/charter/limits.go
@@ -16,32 +16,32 @@
 
 	// Set by the settings.
 	Shards            int           // number of shards
-	MaxOpenRequests   int           // open lookups and parts from which on no lookup is admitted
+	MaxOpenRequests   int           // number of open lookups plus parts at which no further lookup is admitted
 	MaxStreamsPerConn int           // in-flight parts on one backend connection
 	ConnectTimeout    time.Duration // for establishing a backend connection
-	KeepAliveTimeout  time.Duration // after which a backend closes an idle connection
+	KeepAliveTimeout  time.Duration // idle time after which a backend closes a connection
 	MaxDeadline       time.Duration // longest deadline of any request profile
 
-	// Set by the PROTOCOL document. The durations ending in AfterTerm are counted from SIGTERM.
+	// Set by the PROTOCOL document of the platform. The durations ending in AfterTerm are counted from SIGTERM.
 	MaxBodyBytes      int           // of a client's request
 	HeartbeatInterval time.Duration // between the empty lines on a watch without updates
-	ConnectAfterTerm  time.Duration // up to which new client connections still arrive
-	AdmitAfterTerm    time.Duration // up to which an admitted request has its whole deadline, at most 3 s of it, before SIGKILL
-	KillAfterTerm     time.Duration // before which SIGKILL does not come
+	ConnectAfterTerm  time.Duration // latest arrival of a new client connection
+	AdmitAfterTerm    time.Duration // latest admission for which the deadline, or 3 s if it is longer, still ends before SIGKILL
+	KillAfterTerm     time.Duration // earliest time of SIGKILL
 
 	// Safety bounds.
 	MaxHeaderBytes      int           // of a client's request
 	ReadTimeout         time.Duration // for a client's whole request, the first from the start of its connection
-	SlowRequestAfter    time.Duration // in which a correct client sends a whole request; slower connections are evicted first
-	SingleRequestIdle   time.Duration // in which a client that has sent one request sends its second
-	ReusedIdle          time.Duration // in which a client that has sent several requests sends the next
+	SlowRequestAfter    time.Duration // longest time that a correct client takes for a request; slower connections are evicted first
+	SingleRequestIdle   time.Duration // longest idle time after the first request of a client connection
+	ReusedIdle          time.Duration // longest idle time after a later request
 	CloseTimeout        time.Duration // for the remaining input of a client connection ended here, or for its close
 	WriteTimeout        time.Duration // for a response, or for one frame
 	FrameReadTimeout    time.Duration // for the rest of a backend's frame that has started to arrive; equals ConnectTimeout
 	MaxFrameBytes       int           // of a backend's frame
 	MaxListMessageBytes int           // of one message of the membership list
-	FirstListTimeout    time.Duration // for which startup waits for the first reply of service discovery
-	ReadyTimeout        time.Duration // from process start until ready without a live backend; discovery takes it as up to date by then
+	FirstListTimeout    time.Duration // longest wait at startup for the first reply of service discovery
+	ReadyTimeout        time.Duration // from process start until ready without a live backend; by then service discovery assumes that this process has the list
 	MaxWatchBackoff     time.Duration // between attempts to open the watch; short, as calls to the local agent are cheap
 	MaxIDBytes          int           // of a lookup's ID
 }
@@ -104,15 +104,15 @@
 }
 
 // ClientEvictionThreshold returns the number of client connections from which on a new one evicts an idle
-// one. The platform lets clients hold a third of the descriptors; a connection that stays idle must not keep
-// out the first request of another client.
+// one. The platform lets clients hold a third of the descriptors. Eviction starts below that, at a quarter, so
+// that idle connections don't keep out the first request of another client.
 func (l Limits) ClientEvictionThreshold() int {
 	return min(max(1, l.FileDescriptors/4), l.MaxClientConns())
 }
 
 // MaxWatchSilence returns how long a watch may send nothing before it counts as broken. An empty line comes
-// every heartbeat interval. Service discovery takes the updates that a broken watch misses as delivered three
-// heartbeat intervals after its last line.
+// every heartbeat interval. Service discovery assumes that updates which a broken watch misses have arrived
+// within three heartbeat intervals of its last line.
 func (l Limits) MaxWatchSilence() time.Duration {
 	return l.HeartbeatInterval + l.HeartbeatInterval/8
 }
@@ -126,13 +126,15 @@
 }
 
 // ListMessageTimeout returns how long a message of the membership list may take to arrive completely before a
-// full list is requested in parallel. A silent watch followed by two that send slowly are over within 6 s.
+// full list is requested in parallel. It is so short that a silent watch and two slow ones after it take less
+// than 6 s in all.
 func (l Limits) ListMessageTimeout() time.Duration { return l.ReadTimeout/2 + l.ReadTimeout/16 }
 
 // ServeAfterTerm returns how long after SIGTERM clients are served as before: longer than new connections
-// arrive, and so short that each admitted request has its full deadline before SIGKILL.
+// arrive, and so short that each admitted request has its full deadline before SIGKILL. The margin to
+// AdmitAfterTerm is an eighth of ConnectAfterTerm.
 func (l Limits) ServeAfterTerm() time.Duration { return l.AdmitAfterTerm - l.ConnectAfterTerm/8 }
 
-// AnswerAfterTerm returns how long after SIGTERM lookups may still be answered, which is shortly before
-// SIGKILL may come.
+// AnswerAfterTerm returns how long after SIGTERM lookups may still be answered. The margin to the earliest
+// SIGKILL is half of ConnectAfterTerm.
 func (l Limits) AnswerAfterTerm() time.Duration { return l.KillAfterTerm - l.ConnectAfterTerm/2 }
--- a/internal/charter/overlay.go
+++ b/internal/charter/overlay.go
@@ -22,13 +22,13 @@
 )
 
 // Overlay returns a copy of the settings with the changes of a document. The document is a JSON object in the
-// form of the settings, with any of their paths. These may differ from the base settings (rows count from 0,
-// as in the lists of the settings):
+// form of the settings, with any of their paths. Only these may be changed (rows count from 0, as in the lists
+// of the settings):
 //
 //	Profiles.i.AimMs, .DeadlineMs      ms, above 0; no deadline above the longest of the base settings
 //	Profiles.i.KeyTtlMs                ms
 //	FamilyInfo.CompleteFrom.i, .LeastShare.i, .ClassPartial.i    0 to 1; LeastShare at most CompleteFrom
-//	Tenants.i.Share, .AllowancePerS    0 to 1, at most 1 in all; queries per second
+//	Tenants.i.Share, .AllowancePerS    0 to 1, at most 1 in all; lookups per second
 //	OverShareWorth                     0 to 1
 //	PolicyLimits.MaxRetryAfterMs, .MaxOpen                       ms; a whole number from 1
 //
@@ -91,8 +91,8 @@
 	return s
 }
 
-// parse parses the document and records duplicate keys. Its error is that of a document that is too long or
-// no JSON object.
+// parse parses the document and records duplicate keys. It returns an error if the document is too long or not
+// a JSON object.
 func (v *overlay) parse(doc []byte) (all map[string]any, documentErr *SettingError) {
 	if len(doc) > maxDocumentBytes {
 		return nil, &SettingError{documentPath, fmt.Sprintf("%d bytes, at most %d", len(doc), maxDocumentBytes)}
@@ -152,7 +152,7 @@
 	}
 }
 
-// knownPath reports whether the base settings have a value below a path, or the path is a column.
+// knownPath reports whether the base settings have a value below a path, or the path is a column (see isColumn).
 func (v *overlay) knownPath(path string) bool {
 	for key := range v.base {
 		if strings.HasPrefix(key, path+".") {
@@ -165,8 +165,8 @@
 // isColumn reports whether a path is a column: a list with one value for each request profile.
 func (v *overlay) isColumn(path string) bool { return columnDefaults[path] != "" }
 
-// columnDefaults are the items of the columns that the base settings lack. That of the least share is not
-// used: it defaults to the complete share.
+// columnDefaults has, by column, the item that stands in for each row if the base settings lack the column. The
+// entry for leastShare only marks it as a column: it defaults to the items of completeFrom.
 var columnDefaults = map[string]string{completeFrom: "1", leastShare: "-", classPartial: "0"}
 
 const (
@@ -188,12 +188,12 @@
 	flat.flatten(path, items)
 	joined := documentValue{flat[path], numeric && len(items) > 0}
 	switch {
-	case rows:
+	case rows: // a table, or a list of objects: the rows are collected below
 		v.addValue(path+".count", documentValue{strconv.Itoa(len(items)), true})
-	case !v.isColumn(path) || v.equalsBase(path, joined):
+	case !v.isColumn(path) || v.equalsBase(path, joined): // one value of scalars, or an unchanged column
 		v.addValue(path, joined)
 		return
-	case len(items) != len(v.baseConfig.Tariffs):
+	case len(items) != len(v.baseConfig.Tariffs): // a column with a wrong number of items
 		v.reject(path, joined.text)
 		return
 	}
--- a/internal/distribute/members.go
+++ b/internal/distribute/members.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberSet has the live agents, sorted by ID.
+// MemberSet has the live agents, the members, sorted by ID. The digest covers only the IDs: sets that differ
+// just in Addr or Zone have the same digest.
 type MemberSet struct {
 	Digest uint64  `cbor:"1,keyasint"`
 	Agents []Agent `cbor:"2,keyasint"`
@@ -21,7 +22,7 @@
 	Removed []string `cbor:"4,keyasint,omitempty"` // IDs
 }
 
-// NewMemberSet returns a set of agents. It sorts and keeps the slice.
+// NewMemberSet returns a set of agents. It sorts the slice, which the caller must not modify afterwards.
 func NewMemberSet(agents []Agent) *MemberSet {
 	slices.SortFunc(agents, func(a, b Agent) int { return cmp.Compare(a.ID, b.ID) })
 	return &MemberSet{Digest: membersDigest(agents), Agents: agents}
--- a/internal/distribute/messages.go
+++ b/internal/distribute/messages.go
@@ -8,7 +8,8 @@
 	"nettlefold/internal/superseded"
 )
 
-// Kinds of calls.
+// Kinds of calls. The core controllers replicate the committed state (package chain) and the named totals
+// (package tally).
 const (
 	KindCore   = "core"   // one-way, between controllers: chain.Message
 	KindAgents = "agents" // one-way, between controllers: AgentTable
@@ -31,7 +32,7 @@
 	Agents     []Agent `cbor:"2,keyasint"`
 }
 
-// WatchRequest is a long poll for updates. The versions that the agent has acknowledge their receipt.
+// WatchRequest is a long poll for updates. The versions in it acknowledge receipt.
 type WatchRequest struct {
 	Agent         Agent    `cbor:"1,keyasint"`
 	AppliedSeq    uint64   `cbor:"2,keyasint"` // snapshot applied by the agent's proxy
@@ -39,15 +40,15 @@
 	MembersDigest uint64   `cbor:"4,keyasint"`           // of the member set that the agent has
 	Suspects      []string `cbor:"5,keyasint,omitempty"` // agents that don't answer its probes
 	ReceivedSeq   uint64   `cbor:"6,keyasint"`           // newest snapshot received, whether applied or not
-	Epoch         uint64   `cbor:"7,keyasint"`           // of the controllers that the agent knows
+	Epoch         uint64   `cbor:"7,keyasint"`           // of the list of controllers that the agent has
 }
 
 // WatchReply has the updates that the agent lacks.
 type WatchReply struct {
 	HasQuorum   bool       `cbor:"1,keyasint"` // the controller is in contact with a majority of the core
 	Snapshot    *Snapshot  `cbor:"2,keyasint,omitempty"`
-	Epoch       uint64     `cbor:"6,keyasint"`           // of the core's view
-	Controllers []string   `cbor:"3,keyasint,omitempty"` // if the agent knows those of another epoch
+	Epoch       uint64     `cbor:"6,keyasint"`           // of the list of controllers
+	Controllers []string   `cbor:"3,keyasint,omitempty"` // set only if the agent has another epoch
 	Members     *MemberSet `cbor:"4,keyasint,omitempty"`
 	// MembersDelta replaces Members if the controller has the delta from the agent's member set.
 	MembersDelta *MemberDelta `cbor:"10,keyasint,omitempty"`
@@ -82,11 +83,11 @@
 	return snapshot
 }
 
-// Outcomes of a submitted operation.
+// Outcomes of a submitted operation. The values differ from those of replicated.Verdict.
 const (
 	OutcomeCommitted = 0 // committed, by this request or an earlier one
-	OutcomeConflict  = 1
-	OutcomeInvalid   = 2
+	OutcomeConflict  = 1 // not committed: it is based on another version or fencing token
+	OutcomeInvalid   = 2 // not committed: it can never be applied
 	OutcomeUnknown   = 3 // it may or may not be committed
 	OutcomeOutdated  = 4 // not committed: a newer operation came first
 )
@@ -108,12 +109,12 @@
 	PredecessorIdleMS int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ReadRequest reads the newest state from the tail of the chain, or only the part for Zone if it is set.
+// ReadRequest reads the newest state from the tail of the chain, or only ZoneSeq of the reply if Zone is set.
 type ReadRequest struct {
 	Zone string `cbor:"1,keyasint,omitempty"`
 }
 
-// ReadReply has the newest configuration and the leases.
+// ReadReply has the newest configuration and the leases, or ZoneSeq if the request names a zone.
 type ReadReply struct {
 	Seq    uint64                            `cbor:"1,keyasint"`
 	Config []byte                            `cbor:"2,keyasint"`
--- a/internal/feed/index.go
+++ b/internal/feed/index.go
@@ -7,8 +7,8 @@
 )
 
 // ApplyIndex applies the prefix cache batches of a reply to the index, and sets in the next request the
-// number of applied batches and the backends that need a full snapshot. Copies of the request that were made
-// earlier keep their own list of backends.
+// number of applied batches and the backends that need a full snapshot. It replaces ResyncBackends instead of
+// modifying it in place, because earlier copies of the request may still be in use.
 func (r *Request) ApplyIndex(index *kvindex.Index, reply *Reply) {
 	if reply.Reset {
 		for _, id := range index.Backends() {
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -10,8 +10,8 @@
 )
 
 // ListUpdate is the result of reading the platform's list of backends: the full list, the changes since the
-// list with digest BaseDigest, or only the digest if nothing changed. Receivers share it and must not modify
-// it.
+// list with digest BaseDigest, or only the digest if nothing changed. Agents exchange it; proxies get a
+// ProxyListUpdate. Receivers share it and must not modify it.
 type ListUpdate struct {
 	Digest     uint64                 `cbor:"1,keyasint"` // of the list that was read
 	Full       bool                   `cbor:"3,keyasint,omitempty"`
@@ -19,12 +19,12 @@
 	BaseDigest uint64                 `cbor:"4,keyasint,omitempty"` // 0 if there are no changes
 	Changed    []dispatch.BackendInfo `cbor:"5,keyasint,omitempty"`
 	Removed    []string               `cbor:"6,keyasint,omitempty"` // backend IDs
-	// Revision orders the reads: each reader adds one to the highest revision that it knows.
+	// Revision orders the reads of the list: each reader adds one to the highest revision that it knows.
 	Revision uint64 `cbor:"8,keyasint"`
 	AgeMS    int64  `cbor:"7,keyasint,omitempty"` // from the start of the read to the sending of this message
 }
 
-// ListRequest requests the list of an agent, or its changes since the caller's list.
+// ListRequest requests the backend list that an agent has, or its changes since the caller's list.
 type ListRequest struct {
 	Digest uint64 `cbor:"1,keyasint"` // of the caller's list, 0 if it has none
 }
@@ -32,7 +32,7 @@
 // emptyListDigest is the digest of an empty list; 0 stands for no list.
 const emptyListDigest = 1
 
-// canonicalCBOR encodes maps in a deterministic order.
+// canonicalCBOR encodes maps in a deterministic order. The options are valid, so there is no error.
 var canonicalCBOR, _ = cbor.CoreDetEncOptions().EncMode()
 
 // ListDigest returns the digest of a list: the XOR of the digests of its entries. It doesn't depend on their
@@ -48,7 +48,7 @@
 func entryDigest(entry *dispatch.BackendInfo) uint64 {
 	encoded, err := canonicalCBOR.Marshal(entry)
 	if err != nil {
-		return 0
+		return 0 // impossible: all backend entries can be encoded
 	}
 	return xxhash.Sum64(encoded)
 }
@@ -93,7 +93,7 @@
 func (u *ListUpdate) hasChanges() bool { return len(u.Changed) > 0 || len(u.Removed) > 0 }
 
 // Apply returns the list that results from applying the update to the list with the given digest. ok is
-// false if the update has changes to another list.
+// false if the update is based on another list.
 func (u *ListUpdate) Apply(list []dispatch.BackendInfo, digest uint64) (next []dispatch.BackendInfo, ok bool) {
 	switch {
 	case u.Full:
@@ -125,8 +125,8 @@
 	return next, true
 }
 
-// Merge combines an update with a later one, for a receiver that has neither. If the later one doesn't follow
-// from u, the update of the later read is returned alone. u may be nil.
+// Merge combines two updates for a receiver that has neither. If later isn't based on the list of u, it
+// returns only the update with the higher Revision. u may be nil.
 func (u *ListUpdate) Merge(later *ListUpdate) *ListUpdate {
 	if u == nil {
 		return later
--- a/internal/feed/messages.go
+++ b/internal/feed/messages.go
@@ -12,7 +12,7 @@
 	"nettlefold/internal/superseded"
 )
 
-// Kinds of calls.
+// Kinds of calls. The values are sent and keep their names for compatibility.
 const (
 	KindFeed         = "feed"  // proxy to agent: Request, Reply
 	KindLoads        = "loads" // one-way, proxy to agent: map of dispatch.Load
@@ -27,10 +27,10 @@
 
 // Request is a long poll of a proxy for updates, with the versions that it has.
 type Request struct {
-	AgentID       string `cbor:"1,keyasint"` // agent incarnation that the revisions below belong to
+	AgentID       string `cbor:"1,keyasint"` // agent incarnation that the revisions and counts below belong to
 	SnapshotSeq   uint64 `cbor:"2,keyasint"` // of the snapshot in force
 	ListRevision  uint64 `cbor:"3,keyasint"`
-	BatchCount    uint64 `cbor:"4,keyasint"` // prefix cache batches received
+	BatchCount    uint64 `cbor:"4,keyasint"` // prefix cache batches applied, as a position in the agent's sequence
 	MembersDigest uint64 `cbor:"5,keyasint"`
 	ConfigSeq     uint64 `cbor:"7,keyasint"` // of the configuration in force
 	LoadsRevision uint64 `cbor:"8,keyasint"` // of the other mixers' loads
@@ -40,7 +40,8 @@
 }
 
 // Reply has the updates that the proxy lacks. Prefix cache changes may be many and aren't urgent: they are
-// sent in parts of at most MaxChangesPerReply, and never together with a snapshot of the control state.
+// sent in parts of at most MaxChangesPerReply, and never together with a snapshot of the control state, which is
+// urgent.
 type Reply struct {
 	AgentID  string               `cbor:"1,keyasint"`
 	Snapshot *distribute.Snapshot `cbor:"2,keyasint,omitempty"`
@@ -48,19 +49,20 @@
 	// the time between the receipt of the request and the writing of the ages, in milliseconds.
 	VersionAges   map[string][]superseded.Age `cbor:"12,keyasint,omitempty"`
 	LongPollMS    int64                       `cbor:"13,keyasint,omitempty"`
-	List          *List                       `cbor:"4,keyasint,omitempty"`
+	List          *ProxyListUpdate            `cbor:"4,keyasint,omitempty"`
 	Reset         bool                        `cbor:"5,keyasint,omitempty"`  // discard all earlier batches, of any backend
 	KnownBackends []string                    `cbor:"11,keyasint,omitempty"` // with Reset, the backends to resync
 	Batches       []*kvindex.Batch            `cbor:"6,keyasint,omitempty"`
-	BatchCount    uint64                      `cbor:"7,keyasint"`
+	BatchCount    uint64                      `cbor:"7,keyasint"` // position in the agent's sequence after Batches
 	Members       *distribute.MemberSet       `cbor:"8,keyasint,omitempty"`
 	Loads         map[string]dispatch.Load    `cbor:"9,keyasint,omitempty"` // of all other mixers together
 	LoadsRevision uint64                      `cbor:"10,keyasint"`
 }
 
-// List has the backends of the platform's list with their rollout phases: all of them, or those that changed
-// since a base revision. Phases has the phases of Backends.
-type List struct {
+// ProxyListUpdate updates a proxy's copy of the platform's list of backends and their rollout phases. It has all
+// backends, or those that changed since a base revision. Phases has the phases of Backends. Agents send each
+// other a ListUpdate instead, which refers to its base by digest.
+type ProxyListUpdate struct {
 	Revision     uint64                 `cbor:"1,keyasint"`
 	BaseRevision uint64                 `cbor:"4,keyasint,omitempty"` // 0 if Backends has all of them
 	Backends     []dispatch.BackendInfo `cbor:"2,keyasint"`
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -20,7 +20,7 @@
 	formatVersion = 1
 	maxAge        = time.Minute // after which the statistics have decayed to a tenth
 	maxFileBytes  = 4 << 20     // bytes
-	maxFigure     = 1e15        // ns or calls; no correct mixer has larger sums
+	maxSum        = 1e15        // ns or calls; no correct mixer has larger sums
 )
 
 // Layout identifies the deployment whose statistics a file holds. Under another layout they have another
@@ -39,7 +39,7 @@
 	SHA256 string
 }
 
-// record is the stored state, with the time at which it was captured.
+// record is the stored state, with the time at which it was captured. The JSON names are part of the file format.
 type record struct {
 	FormatVersion int            `json:"Form"`
 	CapturedAt    time.Time      `json:"At"`
@@ -109,7 +109,7 @@
 		return capturedAt, state, fmt.Errorf("stale: %v old, want 0s to %v", age.Round(time.Second), maxAge)
 	}
 	for _, p := range append(r.State.Process, r.State.Fleet) {
-		if !(p.Took >= 0 && p.Took < maxFigure && p.Calls >= 0 && p.Calls < maxFigure) {
+		if !(p.Took >= 0 && p.Took < maxSum && p.Calls >= 0 && p.Calls < maxSum) {
 			return capturedAt, state, fmt.Errorf("invalid: statistics out of range: %+v", p)
 		}
 	}
--- a/internal/leases/lease.go
+++ b/internal/leases/lease.go
@@ -44,8 +44,8 @@
 	RequestedAt, ReceivedAt time.Duration
 	// FencingToken is the token under which the lease is held.
 	FencingToken uint64
-	// HadPredecessor reports whether somebody else may have held the lease before.
-	HadPredecessor bool
+	// MayHavePredecessor is set if somebody else may have held the lease before.
+	MayHavePredecessor bool
 	// PredecessorIdle is a lower bound on the time between the predecessor's last renewal request and
 	// the reply. It is 0 if unknown.
 	PredecessorIdle time.Duration
@@ -68,15 +68,15 @@
 // FencingToken returns the token to act under once the lease is held, and the last known one before.
 func (l *Lease) FencingToken() uint64 { return l.fencingToken }
 
-// Renew applies a renewal and reports whether it was one of this lease. A renewal under another token
-// than the first one is ignored.
+// Renew applies a renewal and reports whether it was applied. A renewal under another token than the
+// first one is ignored.
 func (l *Lease) Renew(r Renewal) bool {
 	if l.held && r.FencingToken != l.fencingToken {
 		return false
 	}
 	if !l.held {
 		l.held, l.fencingToken, l.validFrom = true, r.FencingToken, r.ReceivedAt
-		if r.HadPredecessor {
+		if r.MayHavePredecessor {
 			l.validFrom = max(r.ReceivedAt, r.ReceivedAt-r.PredecessorIdle+l.timing.TakeoverDelay())
 		}
 	}
--- a/internal/leases/lease_test.go
+++ b/internal/leases/lease_test.go
@@ -186,7 +186,7 @@
 	w.replies = append(w.replies[:i:i], w.replies[i+1:]...)
 	r := Renewal{
 		RequestedAt: reply.requestedAt, ReceivedAt: w.now, FencingToken: reply.fencingToken,
-		HadPredecessor: reply.fencingToken > 1 && !w.noTakeoverDelay, PredecessorIdle: reply.predecessorIdle,
+		MayHavePredecessor: reply.fencingToken > 1 && !w.noTakeoverDelay, PredecessorIdle: reply.predecessorIdle,
 	}
 	if w.countFromReceipt {
 		r.RequestedAt = w.now
@@ -287,7 +287,7 @@
 		l := New(c.timing, 6)
 		require.True(t, l.Renew(Renewal{
 			RequestedAt: 9900 * time.Millisecond, ReceivedAt: 10 * time.Second, FencingToken: 7,
-			HadPredecessor: c.hadPredecessor, PredecessorIdle: c.predecessorIdle,
+			MayHavePredecessor: c.hadPredecessor, PredecessorIdle: c.predecessorIdle,
 		}))
 		require.Equal(t, c.validFrom, l.ValidFrom(), "timing %+v, predecessor %v, idle %v", c.timing, c.hadPredecessor, c.predecessorIdle)
 	}
--- a/internal/leases/renewals.go
+++ b/internal/leases/renewals.go
@@ -3,9 +3,9 @@
 import "time"
 
 // RenewalTracker has the lease renewals that the head of a chain accepted, so that a successor doesn't
-// wait again for time that has already passed. It is kept in memory and covers one epoch: no other head
-// confirms leases in an epoch, but before this head first saw the epoch another one may have confirmed
-// any lease.
+// wait again for time that has already passed. It is kept in memory and covers one epoch, in which only
+// this head accepts renewals. The heads of earlier epochs may have accepted renewals of any lease until
+// this head first saw the epoch.
 type RenewalTracker struct {
 	epoch       uint64
 	epochSeenAt time.Duration
@@ -16,11 +16,11 @@
 type renewalRecord struct {
 	holder               string
 	renewedAt            time.Duration
-	predecessorRenewedAt time.Duration // an upper bound
+	predecessorRenewedAt time.Duration // not later than this
 }
 
-// SetEpoch sets the epoch in force at the given time. A change of epoch discards all renewals: whatever
-// another head confirmed is taken to be as late as that time.
+// SetEpoch sets the epoch in force at the given time. A change of epoch discards all renewals: those
+// that earlier heads accepted are assumed to be as late as that time.
 func (t *RenewalTracker) SetEpoch(now time.Duration, epoch uint64) {
 	if t.renewals != nil && epoch == t.epoch {
 		return
@@ -29,7 +29,7 @@
 }
 
 // RecordRenewal records that a holder's request for a lease was accepted, and returns a lower bound on
-// the time since the previous holder's last one. Rejected requests must not be recorded.
+// the time since the previous holder's last accepted request. Rejected requests must not be recorded.
 func (t *RenewalTracker) RecordRenewal(now time.Duration, epoch uint64, lease, holder string) (predecessorIdle time.Duration) {
 	t.SetEpoch(now, epoch)
 	r, known := t.renewals[lease]
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -12,17 +12,17 @@
 // Tracker holds the last reported entry of each listed backend. The zero Tracker is empty and ready to use.
 // It is not safe for concurrent use.
 type Tracker struct {
-	index    map[string]int32 // by backend name, the index in rows
-	rows     []row            // unused ones have the status Dead
-	free     []int32          // indexes of unused rows
-	messages uint32           // sequence number of the current message
+	index          map[string]int32 // by backend name, the index in rows
+	rows           []row            // unused ones have the status Dead
+	free           []int32          // indexes of unused rows
+	currentMessage uint32           // sequence number of the current message
 }
 
 // row is the state of one backend. Its entry is Dead if the backend is not listed.
 type row struct {
-	entry       mixer.Entry // as last reported
-	lastMessage uint32      // sequence number of the last message that named the backend
-	lastLine    int32       // index of the backend's last entry in that message
+	entry          mixer.Entry // as last reported
+	lastMessage    uint32      // sequence number of the last message that named the backend
+	lastEntryIndex int32       // index of the backend's last entry in that message
 }
 
 // changeKind classifies how an entry differs from the one reported before, in the order in which changes are
@@ -57,20 +57,20 @@
 // from what was reported before. Removed backends come first, then draining ones, new processes, and the rest,
 // each kind in the order of the message; see massRemovalDivisor for the exception. Of several entries of one
 // backend the last one counts. A listed backend that a full list omits is returned with its last reported
-// entry and the status Dead. A Dead entry of a backend that is not listed is ignored. The caller owns the
+// entry and the status Dead, ahead of all others and in the order of the tracker's rows. A Dead entry of a backend that is not listed is ignored. The caller owns the
 // returned slice.
 func (t *Tracker) Apply(entries []mixer.Entry, full bool) []mixer.Entry {
 	if t.index == nil {
 		t.index, t.rows = make(map[string]int32, len(entries)), make([]row, 0, len(entries))
 	}
-	t.messages++
+	t.currentMessage++
 	listed := len(t.index)
 	named := t.assignRows(entries)
 	kinds := make([]changeKind, len(named)) // of the backends in named
 	var count [changeKinds]int
 	for i, at := range named {
 		r := &t.rows[at]
-		kinds[i] = classify(&r.entry, &entries[r.lastLine])
+		kinds[i] = classify(&r.entry, &entries[r.lastEntryIndex])
 		count[kinds[i]]++
 	}
 	omitted := 0
@@ -94,7 +94,7 @@
 	for i, at := range named {
 		if k := kinds[i]; k != unchanged {
 			r := &t.rows[at]
-			r.entry = entries[r.lastLine]
+			r.entry = entries[r.lastEntryIndex]
 			out[next[k]] = r.entry
 			next[k]++
 		}
@@ -111,6 +111,7 @@
 		}
 	}
 	t.releaseDead(named)
+	// next[removed] is now the number of all removals, omitted backends included.
 	if next[removed]*massRemovalDivisor > listed && count[started] > 0 {
 		return interleave(out, next[removed], count[draining], count[started])
 	}
@@ -118,13 +119,14 @@
 }
 
 // massRemovalDivisor bounds the removals that are reported before all additions: if more than one in this many
-// listed backends are removed, the additions are interleaved with them. Between the two a mixer would
-// otherwise underestimate the size of the fleet by as much, and overestimate the capacity of each backend.
+// listed backends are removed, the additions are interleaved with them. If all removals came first, a mixer
+// would until the additions underestimate the size of the fleet by the share of the removals, and overestimate
+// the capacity of each backend.
 const massRemovalDivisor = 16
 
 // interleave reorders the result of Apply, which holds the given numbers of removed, draining and started
 // backends and then the rest. Draining ones come first, then the started ones spread evenly among the removed
-// ones, each ahead of those that it replaces, then the rest.
+// ones in proportion, with additions ahead of removals, then the rest.
 func interleave(entries []mixer.Entry, removals, drains, starts int) []mixer.Entry {
 	out := append(make([]mixer.Entry, 0, len(entries)), entries[removals:removals+drains]...)
 	startedEntries := entries[removals+drains:][:starts]
@@ -159,11 +161,11 @@
 			t.index[e.Searcher] = at
 		}
 		r := &t.rows[at]
-		if r.lastMessage != t.messages {
-			r.lastMessage = t.messages
+		if r.lastMessage != t.currentMessage {
+			r.lastMessage = t.currentMessage
 			named = append(named, at)
 		}
-		r.lastLine = int32(i)
+		r.lastEntryIndex = int32(i)
 	}
 	return named
 }
@@ -171,7 +173,7 @@
 // omitted reports whether a row holds a listed backend that the current message does not name.
 func (t *Tracker) omitted(at int) bool {
 	r := &t.rows[at]
-	return r.entry.Status != mixer.Dead && r.lastMessage != t.messages
+	return r.entry.Status != mixer.Dead && r.lastMessage != t.currentMessage
 }
 
 // releaseDead releases those rows of an applied message that are Dead.
@@ -216,7 +218,7 @@
 		if e.Status == mixer.Dead {
 			e.Status = mixer.Draining // keep it listed, so that a full list that omits it reports the removal again
 		}
-		t.messages++
+		t.currentMessage++
 		for _, at := range t.assignRows([]mixer.Entry{e}) {
 			t.rows[at].entry = e
 			t.rows[at].entry.Size = math.NaN() // NaN differs from any size
--- a/internal/proxy/backend_list_test.go
+++ b/internal/proxy/backend_list_test.go
@@ -15,20 +15,20 @@
 // the full list is requested.
 func TestListDeltaWithUnknownBase(t *testing.T) {
 	f := newFixture(t, func(http.ResponseWriter, *http.Request) {})
-	apply := func(list *feed.List) (revision uint64, backends int) {
+	apply := func(list *feed.ProxyListUpdate) (revision uint64, backends int) {
 		f.proxy.execute(func() {
 			f.proxy.applyReply(f.proxy.now(), &feed.Reply{AgentID: "a1", List: list})
 			revision, backends = f.proxy.applied.ListRevision, f.proxy.dispatchTable.BackendCount()
 		})
 		return revision, backends
 	}
-	revision, backends := apply(&feed.List{Revision: 5, BaseRevision: 1, Backends: []dispatch.BackendInfo{{ID: "i-new"}}})
+	revision, backends := apply(&feed.ProxyListUpdate{Revision: 5, BaseRevision: 1, Backends: []dispatch.BackendInfo{{ID: "i-new"}}})
 	require.Equal(t, uint64(5), revision, "revision after a delta to the applied list")
 	require.Equal(t, 2, backends, "backends after a delta to the applied list")
-	revision, backends = apply(&feed.List{Revision: 9, BaseRevision: 7, Removed: []string{"i-new"}})
+	revision, backends = apply(&feed.ProxyListUpdate{Revision: 9, BaseRevision: 7, Removed: []string{"i-new"}})
 	require.Zero(t, revision, "revision after a delta to an unknown list")
 	require.Equal(t, 2, backends, "backends after a delta to an unknown list")
-	revision, backends = apply(&feed.List{Revision: 9, Backends: []dispatch.BackendInfo{{ID: "i-0"}}})
+	revision, backends = apply(&feed.ProxyListUpdate{Revision: 9, Backends: []dispatch.BackendInfo{{ID: "i-0"}}})
 	require.Equal(t, uint64(9), revision, "revision after a full list")
 	require.Equal(t, 1, backends, "backends after a full list")
 }
--- a/internal/proxy/end_reason_test.go
+++ b/internal/proxy/end_reason_test.go
@@ -92,7 +92,7 @@
 			})
 		},
 		"a list without its backend": func(p *Proxy) {
-			p.execute(func() { p.applyReply(p.now(), &feed.Reply{AgentID: "a1", List: &feed.List{Revision: 2}}) })
+			p.execute(func() { p.applyReply(p.now(), &feed.Reply{AgentID: "a1", List: &feed.ProxyListUpdate{Revision: 2}}) })
 		},
 		"a restarted agent": func(p *Proxy) {
 			p.execute(func() { p.applyReply(p.now(), &feed.Reply{AgentID: "a2"}) })
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -280,7 +280,7 @@
 }
 
 // applyList applies a full backend list, or a delta if its base is the list in force.
-func (p *Proxy) applyList(now time.Duration, list *feed.List) {
+func (p *Proxy) applyList(now time.Duration, list *feed.ProxyListUpdate) {
 	removed := list.Removed
 	switch list.BaseRevision {
 	case 0:
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -54,7 +54,7 @@
 	settings.Bounds.Version = testVersionLimit
 	settings.Bounds.RetryBudgetRatio, settings.Bounds.RetryBudgetSlack, settings.Bounds.BudgetWindow = 0.2, 100, 10*time.Second
 	f := &fixture{t: t, proxy: New(settings, zerolog.Nop())}
-	list := &feed.List{Revision: 1}
+	list := &feed.ProxyListUpdate{Revision: 1}
 	for i, serve := range backends {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 			body, _ := io.ReadAll(request.Body)
--- a/internal/rendezvous/owners.go
+++ b/internal/rendezvous/owners.go
@@ -1,7 +1,7 @@
 package rendezvous
 
-// OwnerCache caches the owners of many keys while candidates join and leave. It returns the same owners as
-// Owner, which computes the weights of all candidates on each call. A candidate that joins costs one weight
+// OwnerCache caches the owners of many keys while candidates join and leave. It returns the same owners
+// as the package function Owner, which computes the weights of all candidates on each call. A candidate that joins costs one weight
 // per key; one that leaves costs the weights of all candidates for the keys that it owned. It isn't safe for
 // concurrent use.
 type OwnerCache struct {
@@ -15,7 +15,7 @@
 	return &OwnerCache{present: map[string]bool{}, owners: map[string]ranked{}}
 }
 
-// SetCandidates replaces the candidates. It keeps the slice.
+// SetCandidates replaces the candidates. The caller must not modify the slice afterwards.
 func (o *OwnerCache) SetCandidates(candidates []string) {
 	present := make(map[string]bool, len(candidates))
 	var joined []string
@@ -33,7 +33,7 @@
 	if left {
 		for key, owner := range o.owners {
 			if !present[owner.candidate] {
-				delete(o.owners, key) // computed again by Owner
+				delete(o.owners, key) // computed again by the method Owner
 			}
 		}
 	}
--- a/internal/replicated/state.go
+++ b/internal/replicated/state.go
@@ -15,17 +15,17 @@
 	"nettlefold/internal/config"
 )
 
-// Kinds of operations.
+// Kinds of operations. The values are stored and sent, and keep their names for compatibility.
 const (
 	KindConfig   = "config"
 	KindEvacuate = "evacuate"
-	KindRestore  = "restore"
+	KindRestore  = "restore" // ends the evacuation of a zone
 	KindVersion  = "version"
 	KindLease    = "duty"
 )
 
-// maxAcceptedConfigs bounds the configurations that are recognized as accepted after newer ones were. Far
-// fewer are ever sent again.
+// maxAcceptedConfigs is the number of digests of accepted configurations that are kept, to recognize a repeated
+// submission. Far fewer are ever sent again.
 const maxAcceptedConfigs = 1024
 
 // Operation is a change of the state. Which fields are set depends on its kind.
@@ -39,8 +39,9 @@
 	LeaseName    string `cbor:"7,keyasint,omitempty"`
 	Holder       string `cbor:"8,keyasint,omitempty"`
 	FencingToken uint64 `cbor:"9,keyasint,omitempty"` // the last known token of the lease
-	// BaseZoneSeq is the zone's newest operation when the evacuation, or its end, was received from the
-	// operator, so that a delayed operation can't undo a newer one.
+	// BaseZoneSeq is the sequence number of the zone's newest operation when the operator's request to
+	// evacuate the zone, or to end the evacuation, was received. With it a delayed operation can't undo a
+	// newer one.
 	BaseZoneSeq uint64 `cbor:"10,keyasint,omitempty"`
 }
 
@@ -50,7 +51,7 @@
 // LeaseRecord is the holder of a lease and the fencing token under which it acts.
 type LeaseRecord struct {
 	Holder       string `cbor:"1,keyasint"`
-	FencingToken uint64 `cbor:"2,keyasint" json:"Fence"`
+	FencingToken uint64 `cbor:"2,keyasint" json:"Fence"` // JSON name kept for compatibility
 }
 
 // ModelVersion is the version of a model's weights that is wanted.
@@ -66,11 +67,12 @@
 	Config          []byte                  `cbor:"3,keyasint"`
 	ConfigVersion   int64                   `cbor:"4,keyasint"`
 	AcceptedConfigs []ConfigDigest          `cbor:"5,keyasint"` // oldest first
-	Evacuated       map[string]uint64       `cbor:"6,keyasint"` // by zone, the operation that evacuated it
+	Evacuated       map[string]uint64       `cbor:"6,keyasint"` // by zone, the sequence number of the operation that evacuated it
 	Models          map[string]ModelVersion `cbor:"7,keyasint"`
 	Leases          map[string]LeaseRecord  `cbor:"8,keyasint"`
-	Restored        map[string]uint64       `cbor:"9,keyasint"` // by zone, the operation that ended its evacuation
-	// ZoneSeqs has, by zone, its newest evacuation or restoration, including those that changed nothing.
+	Restored        map[string]uint64       `cbor:"9,keyasint"` // by zone, the sequence number of the operation that ended its evacuation
+	// ZoneSeqs has, by zone, the sequence number of its newest operation, an evacuation or its end, including
+	// those that changed nothing.
 	ZoneSeqs map[string]uint64 `cbor:"10,keyasint"`
 }
 
@@ -120,6 +122,7 @@
 	return o, nil
 }
 
+// configDigest returns the digest of the configuration and its base version.
 func (o *Operation) configDigest() (d ConfigDigest) {
 	sum := sha256.Sum256(append(fmt.Appendf(nil, "%d\n", o.BaseVersion), o.Body...))
 	copy(d[:], sum[:])
@@ -164,8 +167,8 @@
 	return Invalid, fmt.Errorf("operation: unknown kind %q", o.Kind)
 }
 
-// FencingTokenAfter returns the fencing token of the holder of a lease after a lease operation that was
-// checked against this state is applied as operation seq.
+// FencingTokenAfter returns the fencing token that the lease has once o, a lease operation that was checked
+// against this state, is applied with sequence number seq.
 func (s *State) FencingTokenAfter(o *Operation, seq uint64) uint64 {
 	if lease := s.Leases[o.LeaseName]; lease.Holder == o.Holder {
 		return lease.FencingToken
@@ -198,6 +201,7 @@
 	return Outdated, fmt.Errorf("zone %s: operation %d was committed first; this one is based on operation %d", o.Zone, newest, o.BaseZoneSeq)
 }
 
+// checkConfig accepts a valid configuration that is based on the current version and has a higher one.
 func (s *State) checkConfig(o *Operation) (Verdict, error) {
 	if slices.Contains(s.AcceptedConfigs, o.configDigest()) {
 		return AlreadyApplied, nil
--- a/internal/superseded/superseded.go
+++ b/internal/superseded/superseded.go
@@ -1,6 +1,6 @@
 // Package superseded tracks, for the weight versions of one model, the earliest time at which each of them
 // may have been superseded. A request may start on a version for a limited time after the first newer
-// version was acknowledged; announcing a third one doesn't extend the time of the first. The package has
+// version was acknowledged; a third version doesn't give the first one more time. The package has
 // no clock: times are by the monotonic clock of the process that keeps them, and are sent to other
 // machines as ages.
 package superseded
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// DistantPast is the time of what happened before anything known here.
+// DistantPast stands for an unknown time in the past.
 const DistantPast = time.Duration(math.MinInt64 / 2)
 
-// maxVersions bounds the versions that are tracked separately. Older versions are taken to be superseded
-// as early as the oldest one that was dropped.
+// maxVersions bounds the versions that are tracked separately. Versions older than these are taken to be
+// superseded since the time of the oldest one that was dropped.
 const maxVersions = 16
 
 // Announcement is a version and a lower bound on when it was announced: neither it nor a newer version was
@@ -60,7 +60,7 @@
 	return append(slices.Clone(h), Announcement{version, notBefore}).truncated()
 }
 
-// truncated drops the oldest versions above maxVersions. The oldest remaining version takes the time of
+// truncated drops the oldest versions in excess of maxVersions entries. The oldest remaining version takes the time of
 // the oldest dropped one, which is a lower bound for it too.
 func (h History) truncated() History {
 	excess := len(h) - maxVersions
@@ -72,8 +72,8 @@
 	return kept
 }
 
-// MergeAges merges ages received from another process, which were written no earlier than writtenAt, while
-// the given version was wanted.
+// MergeAges merges ages received from another process, which were written no earlier than writtenAt. wanted is
+// the version of the committed state: if the ages lack it, it was announced at an unknown time.
 func (h History) MergeAges(wanted int64, writtenAt time.Duration, ages []Age) History {
 	return h.Merge(FromAges(writtenAt, ages).With(wanted, DistantPast))
 }
@@ -109,7 +109,7 @@
 // Age is an upper bound on the time since a version was announced, for processes with another clock.
 type Age struct {
 	Version      int64 `cbor:"1,keyasint"`
-	Milliseconds int64 `cbor:"2,keyasint" json:"MS"` // UnknownAgeMS if there is no bound
+	Milliseconds int64 `cbor:"2,keyasint" json:"MS"` // UnknownAgeMS if there is no bound; JSON name kept for compatibility
 }
 
 // UnknownAgeMS is the age of a version that was announced before its sender started.
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,7 +1,22 @@
 // Package wire runs mixers behind the simulator's line protocol. It reads batches of events, turns each event
 // into a call on the mixer that it names, and writes the actions of the mixers as the reply to the batch.
 //
-// A line is a message name followed by its values, separated by tabs. Times are in milliseconds.
+// A line is a message name followed by its values, separated by tabs. Times are in milliseconds. Some names of
+// the protocol differ from those used here:
+//
+//	Sheet, Items       number of a membership list, and of its rows
+//	Place, Campus      cell and zone of a backend
+//	Nominal            size of a backend
+//	Corr               ID of a lookup or of a part
+//	WholeNo            number of a lookup, by which its parts refer to it
+//	Grade, Realm       request profile, tenant
+//	Copy, Over         number of an attempt; no further attempt is possible
+//	Gauge              load report
+//	give_in            the mixer has failed
+//	gather_up, abort   answer a lookup; end it without an answer
+//
+// Package mixer uses other names too: a request profile is a Tariff there, a tenant a Customer, a shard a
+// Slice, a backend a Searcher, and an attempt a forward.
 package wire
 
 import (
@@ -44,8 +59,8 @@
 	instances  map[string]*instance    // by name
 }
 
-// protocolError reports a malformed line. If the value of a field is invalid, field is the name of that field;
-// otherwise it describes the fault.
+// protocolError reports a malformed line. field is the name of the field or setting whose value is invalid; for
+// any other fault it describes the fault, and value the text that it concerns.
 type protocolError struct {
 	line                  int
 	message, field, value string
--- a/internal/wire/instance.go
+++ b/internal/wire/instance.go
@@ -57,19 +57,19 @@
 // parseAnnounce parses an update of the membership list, or the refusal of a requested list.
 func (i *instance) parseAnnounce(f *fieldReader) func() {
 	form := f.text("Form")
-	f.integer("Gen")
+	f.integer("Gen") // not used
 	if form == "refused" {
 		return func() { i.mixer.ListFailed(i.host.now) }
 	}
 	number := f.integer("Sheet")
 	entries, ok := i.host.lists[number]
 	if !ok {
-		f.reject("Sheet", strconv.FormatInt(number, 10))
+		f.reject("unknown list in Sheet", strconv.FormatInt(number, 10))
 	}
 	switch form {
 	case "changes":
 		return func() { i.mixer.UpdateList(i.host.now, entries, false) }
-	case "all", "remembered":
+	case "all", "remembered": // both are full lists
 		return func() { i.mixer.UpdateList(i.host.now, entries, true) }
 	}
 	f.reject("Form", form)
@@ -86,6 +86,7 @@
 			f.reject("Realm", name)
 		}
 	}
+	// The object is validated but not used.
 	if object := f.text("Object"); object != "-" {
 		if _, err := strconv.ParseUint(object, 10, 64); err != nil {
 			f.reject("Object", object)
@@ -114,7 +115,7 @@
 	return func() {
 		l := i.byNumber[number]
 		if l == nil {
-			return // the lookup has ended within this batch
+			return // no such lookup, for example because it has ended within this batch
 		}
 		i.parts[id] = &pendingPart{lookup: l, index: len(l.parts)}
 		l.parts = append(l.parts, id)
@@ -122,7 +123,7 @@
 	}
 }
 
-// outcomes maps the result codes of the line protocol.
+// outcomes maps the result codes of the line protocol to outcomes.
 var outcomes = map[int64]mixer.Outcome{
 	0: mixer.Succeeded, 255: mixer.Failed, 254: mixer.Rejected, 253: mixer.TimedOut,
 	252: mixer.Unreachable, 251: mixer.ConnectionReset, 250: mixer.Cancelled, 249: mixer.NeverSent,
@@ -155,9 +156,9 @@
 	}
 }
 
-// parseSettled parses the outcome of an attempt.
+// parseSettled parses the outcome of an attempt. If Over is set, the part gets no further attempt.
 func (i *instance) parseSettled(f *fieldReader) func() {
-	id, attempt, over, duration := f.text("Corr"), f.integer("Copy"), f.boolean("Over"), f.nanos("DurationMs")
+	id, attempt, closed, duration := f.text("Corr"), f.integer("Copy"), f.boolean("Over"), f.nanos("DurationMs")
 	result := f.outcome("Result")
 	f.text("Searcher")
 	f.checkLoadReport("Gauge")
@@ -168,7 +169,7 @@
 		}
 		p.inFlight--
 		i.releasePart(id, p)
-		p.lookup.handle.HandleOutcome(i.host.now, p.index, int(attempt), result, duration, over)
+		p.lookup.handle.HandleOutcome(i.host.now, p.index, int(attempt), result, duration, closed)
 	}
 }
 
