--- a/internal/charter/limits.go
+++ b/internal/charter/limits.go
@@ -26,7 +26,7 @@
 	MaxBodyBytes      int           // of a client's request
 	HeartbeatInterval time.Duration // between the empty lines on a watch without updates
 	ConnectAfterTerm  time.Duration // latest arrival of a new client connection
-	AdmitAfterTerm    time.Duration // latest admission for which the deadline, or 3 s if it is longer, still ends before SIGKILL
+	AdmitAfterTerm    time.Duration // latest admission whose deadline, cut to 3 s, still ends before SIGKILL
 	KillAfterTerm     time.Duration // earliest time of SIGKILL
 
 	// Safety bounds.
@@ -41,7 +41,7 @@
 	MaxFrameBytes       int           // of a backend's frame
 	MaxListMessageBytes int           // of one message of the membership list
 	FirstListTimeout    time.Duration // longest wait at startup for the first reply of service discovery
-	ReadyTimeout        time.Duration // from process start until ready without a live backend; by then service discovery assumes that this process has the list
+	ReadyTimeout        time.Duration // from process start until ready without a live backend; discovery then assumes that this process has the list
 	MaxWatchBackoff     time.Duration // between attempts to open the watch; short, as calls to the local agent are cheap
 	MaxIDBytes          int           // of a lookup's ID
 }
--- a/internal/feed/messages.go
+++ b/internal/feed/messages.go
@@ -15,7 +15,7 @@
 // Kinds of calls. The values are sent and keep their names for compatibility.
 const (
 	KindFeed         = "feed"  // proxy to agent: Request, Reply
-	KindLoads        = "loads" // one-way, proxy to agent: map of dispatch.Load
+	KindLoads        = "loads" // one-way, proxy to agent: dispatch.Load by backend ID
 	KindGossip       = "news"  // one-way, agent to agent: GossipMessage
 	KindBackendIndex = "whole" // agent to agent: BackendIndexRequest, kvindex.Batch
 	KindPing         = "ping"  // agent to agent
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -57,8 +57,8 @@
 // from what was reported before. Removed backends come first, then draining ones, new processes, and the rest,
 // each kind in the order of the message; see massRemovalDivisor for the exception. Of several entries of one
 // backend the last one counts. A listed backend that a full list omits is returned with its last reported
-// entry and the status Dead, ahead of all others and in the order of the tracker's rows. A Dead entry of a backend that is not listed is ignored. The caller owns the
-// returned slice.
+// entry and the status Dead, ahead of all others and in the order of the tracker's rows. A Dead entry of a
+// backend that is not listed is ignored. The caller owns the returned slice.
 func (t *Tracker) Apply(entries []mixer.Entry, full bool) []mixer.Entry {
 	if t.index == nil {
 		t.index, t.rows = make(map[string]int32, len(entries)), make([]row, 0, len(entries))
--- a/internal/rendezvous/owners.go
+++ b/internal/rendezvous/owners.go
@@ -1,9 +1,9 @@
 package rendezvous
 
 // OwnerCache caches the owners of many keys while candidates join and leave. It returns the same owners
-// as the package function Owner, which computes the weights of all candidates on each call. A candidate that joins costs one weight
-// per key; one that leaves costs the weights of all candidates for the keys that it owned. It isn't safe for
-// concurrent use.
+// as the package function Owner, which computes the weights of all candidates on each call. A candidate that
+// joins costs one weight per key; one that leaves costs the weights of all candidates for the keys that it
+// owned. It isn't safe for concurrent use.
 type OwnerCache struct {
 	candidates []string
 	present    map[string]bool   // the candidates as a set
