--- a/mixer/admission.go
+++ b/mixer/admission.go
@@ -12,12 +12,12 @@
 	m.budgetEarned = append(m.budgetEarned, now)
 	m.customerLookups[r.Customer].Add(now, 1, loadHalfLife)
 	firstTry := now
-	if r.Again { // the expected time counts from the client's first try, which NotAfter and Patience give
+	if r.Again { // the expected time counts from the first try, at NotAfter - Patience
 		firstTry = min(now, r.NotAfter-t.Patience)
 	}
 	deadline := min(r.NotAfter, firstTry+t.Expected) - deadlineMargin
 	l := &Lookup{mixer: m, request: r, tariff: t, expectedParts: r.Parts, neededWeight: t.CompleteFrom,
-		deadline: deadline, epoch: -1}
+		deadline: deadline, reviewEpoch: -1}
 	l.parts = make([]*part, 0, min(r.Parts, maxSlabParts))
 	l.scheduleReview(now, deadline) // ends the lookup even if parts never come or another timer is late
 	return l
@@ -30,7 +30,7 @@
 		return
 	}
 	l.parts = append(l.parts, l.partSlab.add(l, r))
-	l.mixer.calls++
+	l.mixer.eventCount++
 	if l.stepComplete = len(l.parts) >= l.expectedParts; !l.stepComplete {
 		return
 	}
@@ -41,15 +41,16 @@
 	}
 }
 
-// infeasible predicts a missed deadline: in overload, be it of a few slices, late work makes other work late.
+// infeasible predicts a missed deadline, taking the weights of the parts as equal, with a sum of 1. In
+// overload, even of a few slices, late work makes other work late.
 func (l *Lookup) infeasible(now int64) bool {
 	m := l.mixer
 	times, fleet, fade := m.partTimes[:0], m.fleetUnitTime(now), m.fleetPace.DecaySinceUpdate(now, loadHalfLife)
 	worth := 1.0
-	if c := l.request.Customer; c > 0 { // customers beyond their allowance are rejected first
-		fair := m.config.Allowances[c-1] / float64(m.config.Mixers) / 1e9 * float64(loadHalfLife) / math.Ln2
+	if c := l.request.Customer; c > 0 { // decayed lookups; customers beyond their allowance are rejected first
+		allowed := m.config.Allowances[c-1] / float64(m.config.Mixers) / 1e9 * float64(loadHalfLife) / math.Ln2
 		over := (m.customerLookups[c].Read(now, loadHalfLife) + customerPriorLookups) /
-			(fair + customerPriorLookups)
+			(allowed + customerPriorLookups)
 		worth = m.config.OverWorth + (1-m.config.OverWorth)/max(1, over)
 	}
 	for _, p := range l.parts {
--- a/mixer/bounds.go
+++ b/mixer/bounds.go
@@ -15,7 +15,7 @@
 
 var (
 	unknownKey  = pickKey{rank: math.Inf(-1)}    // below all keys: the part must be examined
-	maxKey      = pickKey{rank: math.MaxFloat64} // above all keys that may be picked
+	maxKey      = pickKey{rank: math.MaxFloat64} // initial least key of a pick: above all that may be picked
 	excludedKey = pickKey{rank: math.Inf(1)}     // of a part that must not be picked
 )
 
@@ -34,9 +34,9 @@
 const blockSize = 16
 
 // keyBounds holds a lower bound of the keys of each part's holders, so that a pick examines only
-// the parts that may have the least. Bounds stay valid while keys only rise: begin is told the
-// other inputs of the keys, and the bound of a part that was picked is reset. It does not influence
-// the choice, which is the same as when examining all parts.
+// the parts that may have the least. Bounds stay valid while keys only rise: begin
+// drops all bounds if the other inputs of the keys change, and the bound of a part that was picked is
+// set to unknownKey. The choice is the same as when examining all parts.
 type keyBounds struct {
 	lower, blockMin []pickKey // bound of each part, and the least bound of each block of parts
 	hedge, probes   bool
@@ -51,68 +51,68 @@
 
 // begin marks all n parts as unknown, unless it was called with the same arguments since the last
 // reset.
-func (r *keyBounds) begin(n int, hedge, probes bool) {
-	if len(r.lower) == n && r.hedge == hedge && r.probes == probes {
+func (b *keyBounds) begin(n int, hedge, probes bool) {
+	if len(b.lower) == n && b.hedge == hedge && b.probes == probes {
 		return
 	}
-	r.lower, r.blockMin, r.hedge, r.probes = r.lower[:0], r.blockMin[:0], hedge, probes
+	b.lower, b.blockMin, b.hedge, b.probes = b.lower[:0], b.blockMin[:0], hedge, probes
 	for i := range n {
-		r.lower = append(r.lower, unknownKey)
+		b.lower = append(b.lower, unknownKey)
 		if i%blockSize == 0 {
-			r.blockMin = append(r.blockMin, unknownKey)
+			b.blockMin = append(b.blockMin, unknownKey)
 		}
 	}
 }
 
-// reset drops all bounds; the next begin is for another time or lookup.
-func (r *keyBounds) reset() { r.lower = r.lower[:0] }
+// reset drops all bounds. It must be called before a begin for another time or lookup.
+func (b *keyBounds) reset() { b.lower = b.lower[:0] }
 
 // set stores the bound of part i, which must not exceed the key of any of its holders.
-func (r *keyBounds) set(i int, k pickKey) {
-	least, first := &r.blockMin[i/blockSize], i/blockSize*blockSize
-	old := r.lower[i]
-	if r.lower[i] = k; k.less(least) {
+func (b *keyBounds) set(i int, k pickKey) {
+	least, first := &b.blockMin[i/blockSize], i/blockSize*blockSize
+	old := b.lower[i]
+	if b.lower[i] = k; k.less(least) {
 		*least = k
 	}
 	if old != *least || k == old {
 		return
 	}
-	*least = r.lower[first]
-	for j := first + 1; j < min(first+blockSize, len(r.lower)) && *least != old; j++ { // none is below the old least
-		if r.lower[j].less(least) {
-			*least = r.lower[j]
+	*least = b.lower[first]
+	for j := first + 1; j < min(first+blockSize, len(b.lower)) && *least != old; j++ { // none is below the old least
+		if b.lower[j].less(least) {
+			*least = b.lower[j]
 		}
 	}
 }
 
 // first returns a part with the least bound, or -1 if none is below k.
-func (r *keyBounds) first(k *pickKey) int {
+func (b *keyBounds) first(k *pickKey) int {
 	at := -1
-	for i := range r.blockMin {
-		if r.blockMin[i].less(k) {
-			at, k = i, &r.blockMin[i]
+	for i := range b.blockMin {
+		if b.blockMin[i].less(k) {
+			at, k = i, &b.blockMin[i]
 		}
 	}
 	if at < 0 {
 		return at
 	}
 	for i := at * blockSize; ; i++ {
-		if r.lower[i] == *k {
+		if b.lower[i] == *k {
 			return i
 		}
 	}
 }
 
 // hide excludes a part until show, which sets its bound to k.
-func (r *keyBounds) hide(i int, k pickKey) {
-	r.hidden = append(r.hidden, hiddenPart{i, k})
-	r.set(i, excludedKey)
+func (b *keyBounds) hide(i int, k pickKey) {
+	b.hidden = append(b.hidden, hiddenPart{i, k})
+	b.set(i, excludedKey)
 }
 
 // show sets the bounds of all hidden parts.
-func (r *keyBounds) show() {
-	for _, h := range r.hidden {
-		r.set(h.index, h.key)
+func (b *keyBounds) show() {
+	for _, h := range b.hidden {
+		b.set(h.index, h.key)
 	}
-	r.hidden = r.hidden[:0]
+	b.hidden = b.hidden[:0]
 }
--- a/mixer/cold.go
+++ b/mixer/cold.go
@@ -17,8 +17,8 @@
 	}
 	own, r := m.coldRate((s.coldCreditAt+now)/2, s), s.report
 	elapsed := func(until int64) float64 { return float64(max(0, min(now, until)-s.coldCreditAt)) }
-	back := max(s.coldCreditAt, min(now, max(m.coldHeldUntil, r.AwayUntil))) // end of the time its rate is lent
-	s.coldCredit = min(1, s.coldCredit+own*float64(now-back)+r.Lent*elapsed(r.LentUntil))
+	lentOutUntil := max(s.coldCreditAt, min(now, max(m.coldHeldUntil, r.AwayUntil))) // no own credit until then
+	s.coldCredit = min(1, s.coldCredit+own*float64(now-lentOutUntil)+r.Lent*elapsed(r.LentUntil))
 	if s.coldCreditAt = now; s.coldCredit >= 1 {
 		return 0
 	}
@@ -30,29 +30,29 @@
 		(1-s.coldCredit)/rate+float64(max(0, r.AwayUntil-now))))
 }
 
-// coldRate returns how many parts per ns this mixer may send to s while cold. All mixers together may fill
-// coldMargin of what s takes in a window: its capacity share of a warm one's rate, times FallMultiple. What
-// many mixers send varies by chance, so they aim lower by coldDeviations; few send at most one part each.
+// coldRate returns how many parts per ns this mixer may send to s while cold. All mixers together may send
+// most = coldMargin * FallMultiple * capacity share * warm rate * window. The sum varies by chance: the mean
+// solves mean + coldDeviations*sqrt(mean) = most. Few mixers, off by at most a part each, may aim at most.
 func (m *Mixer) coldRate(now int64, s *searcher) float64 {
 	rate, _ := m.coldRates(m.warmRate.Read(now, warmRateHalfLife), now, s)
 	return rate
 }
 
 // coldRates returns the cold rate and the rate that a borrower may send instead. That is higher: the lender
-// sends nothing, so its one part of credit is free in each window, and a steady rate needs less margin.
+// sends nothing, so its credit of one part per window is unused, and a steady rate needs less margin.
 func (m *Mixer) coldRates(warmRate float64, now int64, s *searcher) (rate, loan float64) {
 	mixers, window := m.config.coldUsers(), float64(max(m.config.FallFor, ms))
 	most := warmRate * mixers * m.capacityShare(now, s) * m.config.FallMultiple * coldMargin * window
-	spread := math.Sqrt(most+coldDeviations*coldDeviations/4) - coldDeviations/2
-	rate = max(spread*spread, min(most, mixers*math.Floor((most+1)/mixers))) / mixers / window
-	return rate, max(rate, min(spread*(spread+loanDeviations)/mixers/window, rate+1/window))
+	rootMean := math.Sqrt(most+coldDeviations*coldDeviations/4) - coldDeviations/2
+	rate = max(rootMean*rootMean, min(most, mixers*math.Floor((most+1)/mixers))) / mixers / window
+	return rate, max(rate, min(rootMean*(rootMean+loanDeviations)/mixers/window, rate+1/window))
 }
 
-// updateWarmRate estimates this mixer's share of a warm searcher's throughput: at least what warm ones answer
-// it, and one part per mean latency, divided among the mixers. Time is added to the latter so that a few
-// answers of light parts do not inflate it; the mixers' errors are independent.
+// updateWarmRate estimates this mixer's share of a warm searcher's throughput: the larger of the rate at
+// which warm ones answer it and of one part per mean latency, divided among the mixers. That latency includes
+// a prior so that a few light parts do not inflate the rate; the mixers' errors are independent.
 func (m *Mixer) updateWarmRate(now int64) {
-	n, sum, searchers := 0.0, 0.0, float64(max(1, len(m.searchers))) // none if a late answer finds an empty list
+	n, sum, searchers := 0.0, 0.0, float64(max(1, len(m.searchers))) // the list may be empty by now
 	each := m.warmAnswers.Read(now, loadHalfLife) * math.Ln2 / float64(loadHalfLife) / searchers
 	for i := range m.latencies { // all tariffs together: light parts alone would show too high a rate
 		k, mean, _ := m.latencies[i].Read(now, loadHalfLife)
--- a/mixer/learn.go
+++ b/mixer/learn.go
@@ -31,7 +31,7 @@
 		if mean, _ := m.typicalLatency(now, f.part.lookup); float64(took) <= connLostMeans*mean {
 			m.lastAnswer, s.zone.lastAnswer, s.zone.lost = now, now, 0
 		}
-		if f.lostAt > 0 && f.connLoss != nil { // only late: heavy parts must not cost healthy connections
+		if f.lostAt > 0 && f.connLoss != nil { // late, not lost: heavy parts must not cost healthy connections
 			f.connLoss.Subtract(now, f.lostAt, 1, connLossHalfLife)
 		}
 		if m.capacityShare(now, s) == 1 {
@@ -69,7 +69,7 @@
 // unitTime estimates latency per call in flight at s; times those calls, a new forward's. The prior is the
 // fleet's, corrected by peer reports on s; one newer than the last answer outweighs older own statistics.
 func (m *Mixer) unitTime(now int64, s *searcher) float64 {
-	if s.unitMemo.valid(now, m.calls) {
+	if s.unitMemo.valid(now, m.eventCount) {
 		return s.unitMemo.value
 	}
 	prior, weight := m.fleetUnitTime(now)/s.size, fleetPriorCalls
@@ -78,5 +78,5 @@
 			weight += min(r.Weight, maxReportCalls) + s.pace.denominator.Read(now, paceHalfLife)
 		}
 	}
-	return s.unitMemo.set(now, m.calls, s.pace.Read(now, paceHalfLife, prior, weight))
+	return s.unitMemo.set(now, m.eventCount, s.pace.Read(now, paceHalfLife, prior, weight))
 }
--- a/mixer/list.go
+++ b/mixer/list.go
@@ -6,7 +6,7 @@
 func (m *Mixer) UpdateList(now int64, entries []Entry, full bool) {
 	m.listFailures = 0
 	m.invalidateReviews()
-	m.calls++
+	m.eventCount++
 	var changed []*searcher
 	if full {
 		for _, cell := range m.cells {
@@ -22,7 +22,7 @@
 			if e.Status == Dead || e.Cell < 0 || e.Cell >= m.config.Cells {
 				continue
 			}
-			s = &searcher{id: e.Searcher, cell: e.Cell, status: Dead, started: e.Started - 1} // as a new process
+			s = &searcher{id: e.Searcher, cell: e.Cell, status: Dead, started: e.Started - 1} // differs: set up below
 			m.searchers[e.Searcher] = s
 			m.cells[e.Cell] = append(m.cells[e.Cell], s)
 		}
@@ -74,16 +74,16 @@
 	}
 }
 
-// UpdatePeerReports takes peers' reports and loans. All expire: without new ones the mixer acts alone.
+// UpdatePeerReports takes peers' reports and loans. They expire: without new ones the mixer acts alone.
 func (m *Mixer) UpdatePeerReports(now int64, reports []PeerReport) {
-	m.calls++
+	m.eventCount++
 	for _, r := range reports {
 		if s := m.searchers[r.Searcher]; s != nil && s.started == r.Started {
 			if r.Lent+s.report.Lent > 0 || max(r.AwayUntil, s.report.AwayUntil) > 0 {
 				m.coldWait(now, s) // adds up credit under the old loans first
 			}
 			if now < r.AwayUntil {
-				s.coldCredit = 0 // lent with the rate
+				s.coldCredit = 0 // the credit is lent out together with the rate
 			}
 			if r.Sound && !s.report.Sound && s.suspect {
 				s.probeInterval, s.nextProbe = 0, now // it answers others again: probe it at once
@@ -93,7 +93,7 @@
 	}
 }
 
-// HoldColdAllowance suspends the mixer's own cold allowance: before a restart it may have lent it out.
+// HoldColdAllowance suspends the own cold allowance, which this mixer's previous process may have lent out.
 func (m *Mixer) HoldColdAllowance(until int64) { m.coldHeldUntil = until }
 
 // currentReport returns the peer report on the running process, zero once it has expired.
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -19,37 +19,37 @@
 	loadHalfLife = 4000 * ms  // ns; follows a change of load within seconds, yet covers some tens of forwards
 	paceHalfLife = 16000 * ms // ns; of one searcher's pace: mixers with little traffic use each every 10 s or so
 
-	fleetPriorCalls     = 1.5   // calls; weight of the fleet's figure when estimating one searcher's
+	fleetPriorCalls     = 1.5   // calls; weight of the fleet's unit time when estimating one searcher's
 	timeoutFactor       = 2.0   // estimated latency of a forward that timed out, as a multiple of its wait
-	lateDeviations      = 4.0   // standard deviations above the mean; at 1.25, hedges feed overload
+	lateDeviations      = 4.0   // standard deviations above the mean; 1.25 lets hedges feed overload
 	suspectMeans        = 8.0   // means; total unanswered wait of forwards that makes a searcher suspect
-	presumedLostMeans   = 5.0   // means until one such forward is resent; at 3, healthy ones are under overload
+	presumedLostMeans   = 5.0   // means until a forward is resent; 3 resends those to healthy searchers in overload
 	failureMeans        = 3.0   // means that a failure adds to unanswered wait: three in a row make a suspect
 	errorMeans          = 1.0   // means that an error adds: the searcher is up and may serve the next forward
 	connLostMeans       = 2.5   // means without any answer until a forward counts as lost on its connection
 	firstProbeShare     = 0.4   // of the longest expected time; delay before the first probe, then doubled
 	lastProbeShare      = 3.2   // of the same; longest delay, about how long a recovered searcher stays unused
 	initialLatencyShare = 0.125 // of the expected time; assumed latency of a forward before any answer
-	initialWarmShare    = 0.25  // of the longest expected time; assumed work per part in an all-cold fleet
+	warmLatencyShare    = 0.25  // of longest expected time; a warm searcher's time per part in an all-cold fleet
 
 	warmRateHalfLife = 60000 * ms // ns; machines change slowly, overload and idle periods are shorter
 
-	coldMargin      = 0.8    // of what a cold searcher can take; share that all mixers together send
-	coldDeviations  = 2.0    // standard deviations kept for chance; at 3, cold searchers idle during rollouts
-	admissionShare  = 0.33   // of the time left; predicted latency admitted: 0.2 idles, 0.42 overloads
-	twoStepFactor   = 1.6    // predicted time of both steps over the first: the second asks less of each part
-	retryAfterShare = 0.08   // of the time left; wait advised to a rejected client
-	maxHedgeShare   = 0.15   // hedges per forward on an idle fleet; more do not shorten lookups further
-	hedgeLoadFactor = 2.5    // how fast that share falls as latency takes more of the expected time
-	deadlineMargin  = 8 * ms // ns; final answers are sent this early to arrive in time
-	minProbes       = 0.5    // decayed probes always allowed, about one in 4 s
-	probeShare      = 0.03   // of forwards; probes of suspects and silent zones, each may delay a lookup
-	crossZoneFactor = 16.0   // share of a forward's time that a CrossPrice of 1 is worth
-	loanDeviations  = 1.0    // standard deviations of coldDeviations that are lent: a steady rate needs less
-	maxReportCalls  = 12.0   // calls; largest weight of peer reports: with 4, old own answers dominate
-	lastChanceMeans = 2.5    // means left when a part limited to one forward in flight is sent elsewhere
-	recallShare     = 0.7    // of the time left; longest predicted time of that new forward
-	epsilon         = 1e-6   // tolerance for rounding in sums of weights
+	coldMargin         = 0.8    // of what a cold searcher can take; share that all mixers together send
+	coldDeviations     = 2.0    // standard deviations of margin; 3 leaves cold searchers idle during rollouts
+	admissionShare     = 0.33   // of the time left; latency admitted: 0.2 leaves searchers idle, 0.42 overloads
+	twoStepFactor      = 1.6    // predicted time of both steps over the first: the second has lighter parts
+	retryAfterShare    = 0.08   // of the time left; wait advised to a rejected client
+	maxHedgeShare      = 0.15   // hedges per forward on an idle fleet; more do not shorten lookups further
+	hedgeLoadFactor    = 2.5    // how fast that share falls as latency takes more of the expected time
+	deadlineMargin     = 8 * ms // ns; final answers are sent this early to arrive in time
+	minProbes          = 0.5    // decayed probes always allowed, about one in 4 s
+	probeShare         = 0.03   // of forwards; probes of suspects and silent zones, each may delay a lookup
+	crossZoneFactor    = 16.0   // multiple of a forward's time that a CrossPrice of 1 adds
+	loanDeviations     = 1.0    // standard deviations of margin a borrower may drop: a steady rate needs less
+	maxReportCalls     = 12.0   // calls; largest weight of peer reports: with 4, old own answers dominate
+	lastChanceMeans    = 2.5    // means left when a part limited to one forward in flight is sent elsewhere
+	recallLatencyShare = 0.7    // of the time left; longest predicted time of the forward elsewhere
+	epsilon            = 1e-6   // tolerance for rounding in sums of weights
 
 	blockedPartDelay    = 50 * ms  // ns; delay before retrying a part that no holder may take
 	silentZoneLosses    = 3        // forwards lost in a row that make a zone without answers silent
@@ -76,14 +76,14 @@
 	sentForwards, sentHedges, sentProbes DecayingSum   // all forwards; hedges and probes among them
 	idleConnLoss, newConnLoss            DecayingRatio // lost over sent forwards, on idle and on new connections
 	budgetEarned, budgetSpent            []int64       // times of new lookups and parts, and of retries
-	warmAnswers, warmRate                DecayingSum   // answers of warm searchers; own parts per ns for one
+	warmAnswers, warmRate                DecayingSum   // answers of warm searchers; own share of one's parts per ns
 	lastAnswer                           int64         // of any searcher
 	subscribing                          bool          // a list call is pending or the subscription is active
 	longestExpected                      float64       // ns; longest expected time of any tariff
 	listFailures                         int
 	customerLookups                      []DecayingSum // lookups by customer, index 0 for unknown ones
 	coldHeldUntil                        int64         // end of the hold on its own cold allowance
-	epoch, calls                         int64         // version of what reviews read; calls of the mixer
+	reviewEpoch, eventCount              int64         // version of what reviews read; method calls
 	reviewScratch                                      // buffers reused by reviews
 }
 
@@ -102,7 +102,7 @@
 	started                  int64
 	callsOut, partsOut       int // calls in flight, which water-filling levels, and parts in them
 	newestCall               *call
-	pace, recentPace         DecayingRatio // latency over calls in flight; the recent one is for peers
+	pace, recentPace         DecayingRatio // ns per call in flight (higher is slower); recent for peers
 	lastAnswer, lastForward  int64
 	unansweredWait           int64 // ns; total wait of failed forwards sent since the last answer
 	suspect                  bool  // only probed until it answers
@@ -111,7 +111,7 @@
 	coldCreditAt             int64
 	inFlight                 []*forward // oldest first
 	report                   PeerReport
-	coldDemand, sentForwards DecayingSum // forwards and those that lacked cold credit; all forwards
+	coldDemand, sentForwards DecayingSum // sent or lacking cold credit; all sent
 	searcherCache
 }
 
@@ -124,6 +124,7 @@
 // lost reports whether the forward is no longer waited for: cut off, presumed lost, or sent to a suspect.
 func (f *forward) lost() bool { return f.presumedLost || f.searcher.suspect || f.cutOff() }
 
+// mayHaveRun reports whether the searcher may have run the forward; one in flight may have.
 func (f *forward) mayHaveRun() bool { return !f.done || f.ran }
 
 // New returns a Mixer that acts through env. The seed makes its random choices reproducible.
@@ -136,7 +137,7 @@
 	for _, t := range c.Tariffs {
 		m.longestExpected = max(m.longestExpected, float64(t.Expected))
 	}
-	m.warmRate = DecayingSum{1 / (initialWarmShare * m.longestExpected) / c.coldUsers(), now}
+	m.warmRate = DecayingSum{1 / (warmLatencyShare * m.longestExpected) / c.coldUsers(), now}
 	if c.ListAsked {
 		m.HandleTimer(now)
 	}
--- a/mixer/observe.go
+++ b/mixer/observe.go
@@ -7,20 +7,20 @@
 type Observation struct {
 	Searcher     string
 	Started      int64   // of the process
-	Heard        int64   // time of its last answer, 0 for none
+	Heard        int64   // time of the last answer from it, 0 for none
 	Pace, Weight float64 // ns of latency per call in flight, and the decayed number of calls behind it
-	Slow         float64 // Pace over the fleet's, 0 if either is unknown
+	Slow         float64 // ratio of Pace to the fleet's, 0 if either is unknown
 	Suspect      bool
 	Cold         bool
 	Rate, Loan   float64 // parts per ns of its own cold allowance now, and for a borrower during the loan
-	Want         float64 // parts per ns recently sent there while cold, or held back for lack of credit
-	Traffic      float64 // parts per ns recently sent to each live searcher of its cell: the demand for a warm one
-	Quiet        bool    // nothing was sent there for the window of the cold allowance
+	Want         float64 // demand while cold: parts per ns recently sent there, or not sent for lack of credit
+	Traffic      float64 // parts per ns recently sent per live searcher of its cell: what a warm one would receive
+	Quiet        bool    // idle: nothing was sent there for the window of the cold allowance
 }
 
-// Observations calls each for every live searcher, cell by cell. Loan is for a loan of the given
-// duration in ns.
-func (m *Mixer) Observations(now, within int64, each func(Observation)) {
+// Observations calls visit for every live searcher, cell by cell. Loan is computed for a loan that
+// lasts loanFor ns.
+func (m *Mixer) Observations(now, loanFor int64, visit func(Observation)) {
 	fleet := m.fleetPace.Read(now, loadHalfLife, 0, 0)
 	for _, cell := range m.cells {
 		traffic, live := 0.0, 0
@@ -45,12 +45,12 @@
 			if o.Cold = m.capacityShare(now, s) < 1; o.Cold {
 				o.Rate = m.coldRate(now, s)
 				// The warm rate may decay until the loan ends; the capacity share only grows.
-				_, o.Loan = m.coldRates(m.warmRate.Read(now+within, warmRateHalfLife), now, s)
+				_, o.Loan = m.coldRates(m.warmRate.Read(now+loanFor, warmRateHalfLife), now, s)
 				o.Traffic = traffic / float64(live) * math.Ln2 / float64(paceHalfLife)
 				o.Quiet = now-s.lastForward > m.config.FallFor
 				o.Want = s.coldDemand.Read(now, loadHalfLife) * math.Ln2 / float64(loadHalfLife)
 			}
-			each(o)
+			visit(o)
 		}
 	}
 }
@@ -68,11 +68,11 @@
 	Status           Status
 	Calls, Parts     int     // in flight
 	Unit, Fleet      float64 // estimated ns per call in flight, with peer reports; the fleet's, for its size
-	Doubted, Shunned bool    // reported silent by peers; picked only as a last resort
+	Doubted, Shunned bool    // Doubted: reported silent by peers; Shunned: avoided, picked only as a last resort
 	ZoneSilent       bool
-	TestIn           int64      // ns until a suspect may be probed
+	TestIn           int64      // ns until a probe of a suspect is allowed
 	ColdWait         int64      // ns until its cold allowance permits a part
-	Word             PeerReport // zero if there is none or it has expired
+	Word             PeerReport // the peer report, zero if there is none or it has expired
 }
 
 // SearcherState returns the state of a searcher, false if it is not listed.
@@ -81,7 +81,7 @@
 	if s == nil {
 		return SearcherState{}, false
 	}
-	m.calls++
+	m.eventCount++
 	st := SearcherState{Status: s.status, Calls: s.callsOut, Parts: s.partsOut, Unit: m.unitTime(now, s),
 		Fleet:   m.fleetPace.Read(now, loadHalfLife, 0, 0) / s.size,
 		Doubted: s.reportedSilent(now), Shunned: m.avoided(now, s), ZoneSilent: s.zone.silent(), ColdWait: m.coldWait(now, s), Word: s.currentReport(now)}
@@ -94,15 +94,16 @@
 	return st, true
 }
 
-// Snapshot holds the statistics of a mixer that are valid for another one with the same cells,
-// sizes and clock.
+// Snapshot holds the statistics of a mixer that are valid for another mixer with the same
+// cells, sizes and clock.
 type Snapshot struct {
 	Fleet   Pace   // of the whole fleet, latencies times searcher sizes
 	Process []Pace // of each live process that is not suspect
 }
 
 // Pace holds the decayed sums of the latency of forwards, in ns, and of the calls in flight with
-// them. It is stored under its field names.
+// them. Its field names are part of the stored JSON: they must not change.
+// Took is the sum of the latencies.
 type Pace struct {
 	Searcher    string `json:",omitempty"`
 	Started     int64  // of the process
@@ -124,10 +125,10 @@
 	return snapshot
 }
 
-// Restore adopts the parts of a snapshot taken at a time whose processes still run; they decay from
-// that time on. It returns the number of these processes.
+// Restore adopts the fleet's statistics and those of the processes that still run from a snapshot
+// taken at the time at, from which on they decay. It returns the number of these processes.
 func (m *Mixer) Restore(at int64, snapshot Snapshot) (restored int) {
-	m.calls++
+	m.eventCount++
 	m.fleetPace = DecayingRatio{DecayingSum{snapshot.Fleet.Took, at}, DecayingSum{snapshot.Fleet.Calls, at}}
 	for _, p := range snapshot.Process {
 		if s := m.searchers[p.Searcher]; s != nil && s.started == p.Started {
@@ -150,11 +151,11 @@
 	SentRate            float64 // parts per ns recently sent there
 }
 
-// Usage calls each for those of the searchers that are listed as live.
-func (m *Mixer) Usage(now int64, searchers []string, each func(Usage)) {
+// Usage calls visit for those of the searchers that are listed as live.
+func (m *Mixer) Usage(now int64, searchers []string, visit func(Usage)) {
 	for _, id := range searchers {
 		if s := m.searchers[id]; s != nil && s.status == Live {
-			each(Usage{id, s.started, s.suspect, s.zone.silent(),
+			visit(Usage{id, s.started, s.suspect, s.zone.silent(),
 				s.sentForwards.Read(now, paceHalfLife) * math.Ln2 / float64(paceHalfLife)})
 		}
 	}
--- a/mixer/pick.go
+++ b/mixer/pick.go
@@ -10,15 +10,15 @@
 	if hedge && !m.mayHedge(now, l, mean) {
 		return nil, nil
 	}
-	var want *searcher // a cold one that would be picked if it had credit
-	least, wanted := maxKey, pickKey{}
-	m.keyBounds.begin(len(step), hedge, m.mayProbe(now)) // until these change, keys only rise
+	var coldBest *searcher // a cold one that would be picked if it had credit
+	least, coldBestKey := maxKey, pickKey{}
+	m.keyBounds.begin(len(step), hedge, m.mayProbe(now)) // for the same arguments keys only rise within a review
 	for i := m.keyBounds.first(&least); i >= 0; i = m.keyBounds.first(&least) {
 		p, low := step[i], excludedKey
-		bound, out := p.exclusiveForward(), p.newestPending(now)
+		exclusive, pendingSentAt := p.exclusiveForward(), p.newestPendingSentAt(now)
 		// An exclusive forward is left to finish: its answer may be near, and cancelled work may still be done.
-		if p.answered || !l.maySend(now, p) || out > 0 && (!hedge || out+late > now) ||
-			bound != nil && !bound.cutOff() && left > lastChanceMeans*mean {
+		if p.answered || !l.maySend(now, p) || pendingSentAt > 0 && (!hedge || pendingSentAt+late > now) ||
+			exclusive != nil && !exclusive.cutOff() && left > lastChanceMeans*mean {
 			m.keyBounds.set(i, excludedKey)
 			continue
 		}
@@ -32,7 +32,7 @@
 				unit = max(unit, float64(now-s.inFlight[0].sentAt)/float64(s.inFlight[0].callsAtSend))
 			}
 			time, avoided := unit*float64(s.partsOut+1), m.avoided(now, s)
-			if bound != nil && (avoided || time > recallShare*left) {
+			if exclusive != nil && (avoided || time > recallLatencyShare*left) {
 				return // no better than the searcher that has the part
 			}
 			if s.zone != home { // the price of crossing zones, weighed against time
@@ -43,14 +43,14 @@
 			} else if s.suspect {
 				class = -1 // a probe, backed by a hedge at the next review
 			}
-			retry, tie := min(1, len(p.forwards)), s.tieBreak.draw(now, m.calls, m.rng)
+			retry, tie := min(1, len(p.forwards)), s.tieBreak.draw(now, m.eventCount, m.rng)
 			key := pickKey{rankOf(class, retry, s.callsOut), time, float64(p.Effort), tie}
 			if key.less(&low) {
 				low = key
 			}
 			if m.coldWait(now, s) > 0 {
-				if want == nil || key.less(&wanted) {
-					want, wanted = s, key
+				if coldBest == nil || key.less(&coldBestKey) {
+					coldBest, coldBestKey = s, key
 				}
 			} else if key.less(&least) {
 				best, to, least, at = p, s, key, i
@@ -59,8 +59,8 @@
 		m.keyBounds.hide(i, low)
 	}
 	m.keyBounds.show()
-	if want != nil && wanted.less(&least) {
-		want.coldDemand.Add(now, 1, loadHalfLife)
+	if coldBest != nil && coldBestKey.less(&least) {
+		coldBest.coldDemand.Add(now, 1, loadHalfLife)
 	}
 	if best != nil {
 		m.keyBounds.set(at, unknownKey)
@@ -68,19 +68,19 @@
 	return best, to
 }
 
-// eachHolder calls each for every searcher that may serve a part, now or once its cold allowance permits.
-func (m *Mixer) eachHolder(now int64, p *part, each func(*searcher)) {
+// eachHolder calls visit for every searcher that may serve a part, now or once its cold allowance permits.
+func (m *Mixer) eachHolder(now int64, p *part, visit func(*searcher)) {
 	for j := range m.config.Reach {
 		for _, s := range m.cells[(p.Slice+j)%m.config.Cells] {
 			if s.status == Live && (!s.suspect || s.probeDue(now) || len(s.inFlight) == 0) {
-				each(s)
+				visit(s)
 			}
 		}
 	}
 }
 
-// newestPending returns when the newest forward that may still be answered was sent, 0 if there is none.
-func (p *part) newestPending(now int64) (sent int64) {
+// newestPendingSentAt returns when the newest forward that may still be answered was sent, 0 if there is none.
+func (p *part) newestPendingSentAt(now int64) (sent int64) {
 	for _, f := range p.forwards {
 		if !f.done && (f.recalled || f.sentAt == now) {
 			return now // about to be resent, or just sent
@@ -120,7 +120,7 @@
 		(m.config.MayCancel || p.exclusiveForward() == nil)
 }
 
-// exhausted reports whether a part has no forward left, or none that its tariff's effect allows.
+// exhausted reports whether a part may not be forwarded again: closed, out of attempts, or unsafe to repeat.
 func (l *Lookup) exhausted(now int64, p *part) bool {
 	unrepeatable := func(f *forward) bool {
 		late := now-f.sentAt > l.tariff.RepeatFor-deadlineMargin
@@ -164,7 +164,7 @@
 	m.sentForwards.Add(now, 1, loadHalfLife)
 	f.call, f.callsAtSend = s.newestCall, s.callsOut
 	p.forwards, s.inFlight = append(p.forwards, f), append(s.inFlightBuffer(), f)
-	if len(s.inFlight) > maxQuietForwards {
+	if len(s.inFlight) > maxSkippableForwards {
 		m.invalidateReviews()
 	}
 	return f
--- a/mixer/pick_test.go
+++ b/mixer/pick_test.go
@@ -21,7 +21,7 @@
 		if p.answered || !l.maySend(now, p) {
 			continue
 		}
-		if out := p.newestPending(now); out > 0 && (!hedge || out+late > now) {
+		if out := p.newestPendingSentAt(now); out > 0 && (!hedge || out+late > now) {
 			continue
 		}
 		bound := p.exclusiveForward()
@@ -33,13 +33,13 @@
 				return
 			}
 			key := [6]float64{1: float64(min(1, len(p.forwards))), 2: float64(s.callsOut), 4: float64(p.Effort),
-				5: s.tieBreak.draw(now, m.calls, m.rng)}
+				5: s.tieBreak.draw(now, m.eventCount, m.rng)}
 			unit := m.unitTime(now, s)
 			if len(s.inFlight) > 0 {
 				unit = max(unit, float64(now-s.inFlight[0].sentAt)/float64(s.inFlight[0].callsAtSend))
 			}
 			key[3] = unit * float64(s.partsOut+1)
-			if bound != nil && (m.avoided(now, s) || key[3] > recallShare*left) {
+			if bound != nil && (m.avoided(now, s) || key[3] > recallLatencyShare*left) {
 				return
 			}
 			if s.zone != m.zones[m.config.Zone] {
@@ -115,7 +115,7 @@
 			l.parts = append(l.parts, l.partSlab.add(l, PartRequest{ID: fmt.Sprint(i), Slice: rng.Intn(c.Cells), Weight: 1, Effort: int64(rng.Intn(2))}))
 		}
 		for range 3 { // reviews, with random outcomes between them
-			m.calls++
+			m.eventCount++
 			m.keyBounds.reset()
 			hedge := rng.Intn(3) == 0
 			mean, late := m.typicalLatency(now, l)
@@ -172,7 +172,7 @@
 					o := []Outcome{Succeeded, Succeeded, Failed, Unreachable, Rejected, ConnectionReset}[rng.Intn(6)]
 					f.done, f.ran = true, !o.NeverRan()
 					p.answered = p.answered || o == Succeeded
-					m.calls++
+					m.eventCount++
 					m.recordOutcome(now, f, o, now-f.sentAt)
 				}
 			}
--- a/mixer/review.go
+++ b/mixer/review.go
@@ -4,7 +4,7 @@
 
 // review is the single place where a lookup advances: it answers, ends, forwards, and sets the next review.
 func (l *Lookup) review(now int64) {
-	m, step, in := l.mixer, l.parts[l.stepStart:], 0.0
+	m, step, answered := l.mixer, l.parts[l.stepStart:], 0.0
 	if l.ended || !l.stepComplete && now < l.deadline {
 		return
 	}
@@ -15,15 +15,15 @@
 	}
 	for _, p := range step {
 		if p.answered {
-			in += p.Weight
+			answered += p.Weight
 		}
 	}
-	if l.stepComplete && in >= l.neededWeight-epsilon {
+	if l.stepComplete && answered >= l.neededWeight-epsilon {
 		l.answer(now)
 		return
 	}
 	// Weights of parts answered or pending, of those not late among them, and of those that may yet succeed.
-	live, onTime, next, possible := in, in, l.deadline, in
+	live, onTime, next, possible := answered, answered, l.deadline, answered
 	for _, p := range step {
 		if p.answered {
 			continue
@@ -32,15 +32,15 @@
 		if slices.ContainsFunc(p.forwards, func(f *forward) bool { return !f.done }) || !l.exhausted(now, p) {
 			possible += p.Weight
 		}
-		if sent := p.newestPending(now); sent > 0 {
+		if sent := p.newestPendingSentAt(now); sent > 0 {
 			if live += p.Weight; sent+late > now {
 				onTime += p.Weight
 				next = min(next, sent+late)
 			}
 		}
 	}
-	if now >= l.deadline || possible < l.neededWeight-epsilon { // the client may still be served elsewhere
-		l.giveUp(now, in)
+	if now >= l.deadline || possible < l.neededWeight-epsilon { // end early: another mixer may serve the client
+		l.giveUp(now, answered)
 		return
 	}
 	picked := m.picked[:0]
@@ -80,7 +80,7 @@
 	}
 	m.picked = picked
 	l.scheduleReview(now, next)
-	l.recordQuiet(now, onTime >= l.neededWeight-epsilon)
+	l.recordSkippable(now, onTime >= l.neededWeight-epsilon)
 }
 
 // scheduleReview sets a timer for a review at the given time unless one is set for an earlier time.
@@ -94,19 +94,19 @@
 // HandleTimer reviews the lookup.
 func (l *Lookup) HandleTimer(now int64) {
 	l.nextReview = 0
-	l.mixer.calls++
+	l.mixer.eventCount++
 	l.review(now)
 }
 
 // Abandon ends a lookup whose client has left.
 func (l *Lookup) Abandon(now int64) { l.ended = true }
 
-// HandleOutcome records how forward n of part i ended after the time took. A closed part is not retried.
+// HandleOutcome records how forward n of part i ended, after took ns. With closed, part i is not retried.
 func (l *Lookup) HandleOutcome(now int64, i, n int, o Outcome, took int64, closed bool) {
 	p := l.parts[i]
 	f := p.forwards[n]
 	f.done, f.ran = true, !o.NeverRan()
-	l.mixer.calls++
+	l.mixer.eventCount++
 	l.mixer.recordOutcome(now, f, o, took)
 	if o == Succeeded && !p.answered {
 		l.answeredWeight += p.Weight
@@ -136,9 +136,9 @@
 		l.ended = true
 		return
 	}
-	l.stepStart, l.expectedParts, l.neededWeight, l.stepComplete, l.epoch =
+	l.stepStart, l.expectedParts, l.neededWeight, l.stepComplete, l.reviewEpoch =
 		len(l.parts), len(l.parts), 1, false, -1
-	for _, p := range l.parts {
+	for _, p := range l.parts { // the client adds one part per answered part, at most SecondStep
 		if p.answered && l.expectedParts < l.stepStart+l.tariff.SecondStep {
 			l.expectedParts++
 		}
@@ -146,12 +146,12 @@
 }
 
 // giveUp ends a lookup with a partial answer, a failure if an unrepeatable part may have run, or a rejection.
-func (l *Lookup) giveUp(now int64, in float64) {
+func (l *Lookup) giveUp(now int64, answered float64) {
 	l.ended = true
 	l.cancelInFlight()
 	final := l.stepStart > 0 || l.tariff.SecondStep == 0 // any other answer would only start the second step
 	if final && l.tariff.LeastShare < l.tariff.CompleteFrom &&
-		in >= l.tariff.LeastShare && l.tariff.Partial > 0 {
+		answered >= l.tariff.LeastShare && l.tariff.Partial > 0 {
 		l.mixer.env.Answer(l.request.ID, false)
 		return
 	}
--- a/mixer/state.go
+++ b/mixer/state.go
@@ -17,7 +17,7 @@
 	callsAtSend  int   // calls in flight there, including its own
 	processStart int64 // start of the process it was sent to
 	sentAt       int64
-	done, ran    bool           // its outcome is known; it may have run
+	done, ran    bool           // its outcome is known; the outcome does not rule out that it ran
 	presumedLost bool           // no longer waited for
 	recalled     bool           // cancelled, and resent elsewhere once its outcome is known
 	connLoss     *DecayingRatio // loss statistics of its kind of connection, nil if that was in use
@@ -30,7 +30,7 @@
 	lookup           *Lookup
 	answered, closed bool // a closed part is not retried
 	forwards         []*forward
-	firstForward     forward // storage of the first forward and of forwards
+	firstForward     forward // storage of the first forward; forwardsArray is that of forwards
 	forwardsArray    [1]*forward
 }
 
@@ -43,22 +43,22 @@
 	stepStart     int // index of the current step's first part
 	expectedParts int // number of parts once the current step is complete
 	neededWeight  float64
-	deadline      int64 // end of the full revenue, when the lookup is given up
+	deadline      int64 // latest time for an answer at full revenue; the lookup is given up then
 	nextReview    int64 // time of the next review, 0 if none is scheduled
 	partSlab      partSlab
 
-	epoch, stepSentAt, oldestInFlight int64 // as of the last review, for canSkipReview
-	answeredWeight                    float64
-	stepComplete, ended               bool // all parts of the step are added; the final answer is sent
+	reviewEpoch, stepSentAt, oldestInFlight int64 // as of the last review, for canSkipReview
+	answeredWeight                          float64
+	stepComplete, ended                     bool // all parts of the step are added; no further action: answered, given up or abandoned
 }
 
 // memo caches a value within one call to the mixer that may change it.
 type memo struct {
-	now, call int64
-	value     float64
+	now, event int64
+	value      float64
 }
 
-func (c *memo) valid(now, call int64) bool { return c.now == now && c.call == call }
+func (c *memo) valid(now, call int64) bool { return c.now == now && c.event == call }
 
 // set stores a value and returns it.
 func (c *memo) set(now, call int64, value float64) float64 {
@@ -99,10 +99,10 @@
 
 // fleetUnitTime returns the fleet's latency of forwards per call in flight, for a searcher of size 1.
 func (m *Mixer) fleetUnitTime(now int64) float64 {
-	if m.fleetMemo.valid(now, m.calls) {
+	if m.fleetMemo.valid(now, m.eventCount) {
 		return m.fleetMemo.value
 	}
-	return m.fleetMemo.set(now, m.calls, m.fleetPace.Read(now, loadHalfLife, 0, 0))
+	return m.fleetMemo.set(now, m.eventCount, m.fleetPace.Read(now, loadHalfLife, 0, 0))
 }
 
 // partSlab allocates the parts of a lookup many at a time.
@@ -112,12 +112,12 @@
 const maxSlabParts = 512
 
 // add returns a new part of a lookup.
-func (r *partSlab) add(l *Lookup, request PartRequest) *part {
-	if len(*r) == cap(*r) {
-		*r = make(partSlab, 0, min(max(1, l.expectedParts-len(l.parts)), maxSlabParts))
+func (s *partSlab) add(l *Lookup, request PartRequest) *part {
+	if len(*s) == cap(*s) {
+		*s = make(partSlab, 0, min(max(1, l.expectedParts-len(l.parts)), maxSlabParts))
 	}
-	*r = append(*r, part{PartRequest: request, lookup: l})
-	p := &(*r)[len(*r)-1]
+	*s = append(*s, part{PartRequest: request, lookup: l})
+	p := &(*s)[len(*s)-1]
 	p.forwards = p.forwardsArray[:0]
 	return p
 }
--- a/mixer/suspect.go
+++ b/mixer/suspect.go
@@ -48,12 +48,12 @@
 	return s.currentReport(now).Silent && s.lastAnswer < s.report.At
 }
 
-// probeDue reports whether a suspect may be probed. Mixers that suspect it probe it together as often as one.
+// probeDue reports whether a suspect may be probed. All that suspect it together probe as often as one.
 func (s *searcher) probeDue(now int64) bool {
 	return now >= s.nextProbe+s.probeInterval*int64(s.currentReport(now).Suspecting)
 }
 
-// avoided reports whether s is suspect or in a silent zone and must not be probed now.
+// avoided reports whether s is reported silent, or is suspect or in a silent zone and must not be probed now.
 func (m *Mixer) avoided(now int64, s *searcher) bool {
 	if !s.suspect && s.reportedSilent(now) {
 		return true // the mixers that suspect it probe it
--- a/mixer/types.go
+++ b/mixer/types.go
@@ -37,8 +37,8 @@
 	Patience     int64   // how long a client waits, over all its tries
 	Effect       Effect  // whether forwards may be repeated
 	RepeatFor    int64   // Deduplicated: how long repeats are recognized
-	CompleteFrom float64 // weight of the first step's parts that makes an answer complete
-	LeastShare   float64 // least weight of any answer
+	CompleteFrom float64 // least weight of the first step's parts for a complete answer
+	LeastShare   float64 // least weight for a partial answer
 	Partial      float64 // revenue of a partial answer, times its weight over CompleteFrom
 	SecondStep   int     // number of parts of the second step, 0 for none
 }
@@ -51,33 +51,36 @@
 	Mixers  int    // number of mixers
 
 	// Where each mixer uses a subset of the searchers, the largest number of mixers that use one
-	// and the least mean of that number; 0 where every mixer uses every searcher.
+	// and a lower bound of the mean number; 0 where every mixer uses every searcher.
 	Users, UsersMean int
 
 	Cells, Reach int // slice s is held by cells s to s+Reach-1, modulo Cells
 	PerCall      int // most parts in one call
 
 	ListAsked bool  // the membership list is sent only on request
-	AskWithin int64 // ns; without a request for this long, the mixer is assumed to know the list
+	AskWithin int64 // ns; after this long without a request, discovery assumes that the mixer has the list
 
-	MaxForwards        int // for one part
-	MayCopy, MayCancel bool
-	MayAdvise          bool  // rejections may advise a wait before the next try
-	MaxAdvice          int64 // ns; longest advised wait that clients respect
+	MaxForwards int   // for one part
+	MayCopy     bool  // two forwards of a part may be in flight at once (hedging)
+	MayCancel   bool  // forwards in flight may be cancelled
+	MayAdvise   bool  // rejections may advise a wait before a retry
+	MaxAdvice   int64 // ns; longest advised wait that clients respect
 
-	ColdFrom     float64 // share of its capacity that a new searcher starts with
-	ColdFor      int64   // ns; duration of its slow start
-	FallMultiple float64 // what a cold searcher can take in FallFor, over its capacity share of a warm one's rate
-	FallFor      int64   // ns
+	ColdFrom float64 // share of its capacity that a new searcher starts with
+	ColdFor  int64   // ns; duration of its slow start
+	// A cold searcher collapses if it receives, within FallFor, more than FallMultiple times what a
+	// warm one serves in that time, times its capacity share.
+	FallMultiple float64
+	FallFor      int64 // ns
 
 	BudgetFor   int64   // ns; window of the retry budget, 0 for none
 	BudgetFree  float64 // retries always allowed in a window
 	BudgetShare float64 // further retries, per lookup and part taken in the window
 
-	CrossPrice float64 // of a forward that crosses zones, over the mean revenue of a part
+	CrossPrice float64 // cost of a forward that crosses zones, divided by the mean revenue of a part
 
 	Allowances []float64 // by customer; lookups per second, over all mixers, within its share
-	OverWorth  float64   // worth of a lookup beyond the allowance, as a share of its revenue
+	OverWorth  float64   // value of a lookup above the customer's allowance, as a share of its revenue
 	Sized      bool      // the list gives the sizes of searchers
 }
 
@@ -116,15 +119,15 @@
 	Searcher   string
 	Started    int64   // of the process
 	At, Until  int64   // time of the newest observation behind the report, and its expiry
-	Slow       float64 // pace of the process over the fleet's, 0 if unknown
+	Slow       float64 // ratio of the process's pace (ns per call in flight) to the fleet's, 0 if unknown
 	Weight     float64 // calls behind Slow
-	Silent     bool    // it does not answer others
-	Sound      bool    // it answers others
+	Silent     bool    // peers get no answers from it
+	Sound      bool    // peers get answers from it
 	Suspecting int     // number of other mixers that suspect and probe it
 
-	Lent      float64 // parts per ns of cold allowance borrowed from others
-	LentUntil int64
-	AwayUntil int64 // this mixer's own cold allowance, with its credit, is lent out until then
+	Lent      float64 // parts per ns of cold allowance that others lend to this mixer
+	LentUntil int64   // end of that loan
+	AwayUntil int64   // this mixer's own cold allowance, with its credit, is lent out until then
 }
 
 // LookupRequest describes a new lookup.
@@ -133,7 +136,7 @@
 	Tariff   int   // index into Config.Tariffs
 	NotAfter int64 // deadline of the client
 	Parts    int   // number of parts of the first step
-	Again    bool  // the client retries an earlier lookup
+	Again    bool  // retry: the client made this lookup before
 	Customer int   // index into Config.Allowances plus 1, 0 if unknown
 }
 
@@ -151,15 +154,15 @@
 // Environment carries out a Mixer's decisions. Its calls take effect at the time of the call to the
 // Mixer that led to them. Durations are in nanoseconds.
 type Environment interface {
-	Forward(part, searcher string, within int64) // sends a part, with a timeout
-	Cancel(part string, forward int)             // cancels the part's forward of that index
+	Forward(part, searcher string, timeout int64) // sends a part, with a timeout
+	Cancel(part string, forward int)              // cancels the part's forward of that index
 	Answer(lookup string, complete bool)
 	Reject(lookup string, wait int64) // advises the client to retry after wait
 	Fail(lookup string)
 	CloseIdle(searcher string) // closes the idle connections to it
 	SetTimer(after int64, h TimerHandler)
-	Subscribe() // requests the membership list
-	Note(text string)
+	Subscribe()       // requests the membership list
+	Note(text string) // logs a remark; unused by the Mixer at present
 }
 
 // DecayingSum is a sum whose terms decay with a half-life, in nanoseconds, that is passed to its
--- a/mixer/update.go
+++ b/mixer/update.go
@@ -5,8 +5,8 @@
 // UpdateConfig puts another version of the configuration in force for lookups that start from now
 // on. It takes over only what may change while a mixer serves: of each tariff Expected, Patience,
 // RepeatFor, CompleteFrom, LeastShare and Partial; MaxAdvice, Allowances and OverWorth. The caller
-// ensures that c has the tariffs and allowances of the start in the same order; a configuration
-// with another number of either is ignored. c is copied.
+// ensures that c has the tariffs and allowances passed to New in the same order; a configuration
+// with another number of either is ignored without an error. c is copied.
 //
 // A lookup that started before keeps its tariff, which is never modified, and with it its deadline,
 // shares, partial revenue and repeat time. The rest of the configuration that is read after the
@@ -14,7 +14,7 @@
 //   - Allowances and OverWorth, when the last part of the first step is added. UpdateConfig must not
 //     be called between StartLookup and that AddPart.
 //   - MaxAdvice, when the lookup is rejected: the newest version applies. A caller that wants each
-//     lookup's own, as the router does, passes the largest of all versions here and limits the
+//     lookup's own, as internal/routing does, passes the largest of all versions here and limits the
 //     advice to that of the lookup.
 //   - The longest expected time, which sets the probe interval and how much weight a mixer's first
 //     few answers have. It concerns searchers and no single lookup, and follows the newest version.
