--- a/mixer/bounds.go
+++ b/mixer/bounds.go
@@ -34,9 +34,9 @@
 const blockSize = 16
 
 // keyBounds holds a lower bound of the keys of each part's holders, so that a pick examines only
-// the parts that may have the least. Bounds stay valid while keys only rise: begin
-// drops all bounds if the other inputs of the keys change, and the bound of a part that was picked is
-// set to unknownKey. The choice is the same as when examining all parts.
+// the parts that may have the least. Bounds stay valid while keys only rise: begin drops all bounds
+// if its other inputs change, and the bound of a part that was picked is set to unknownKey. The
+// choice is the same as when examining all parts.
 type keyBounds struct {
 	lower, blockMin []pickKey // bound of each part, and the least bound of each block of parts
 	hedge, probes   bool
--- a/mixer/state.go
+++ b/mixer/state.go
@@ -17,7 +17,7 @@
 	callsAtSend  int   // calls in flight there, including its own
 	processStart int64 // start of the process it was sent to
 	sentAt       int64
-	done, ran    bool           // its outcome is known; the outcome does not rule out that it ran
+	done, ran    bool           // its outcome is known; and does not rule out that it ran
 	presumedLost bool           // no longer waited for
 	recalled     bool           // cancelled, and resent elsewhere once its outcome is known
 	connLoss     *DecayingRatio // loss statistics of its kind of connection, nil if that was in use
@@ -49,29 +49,31 @@
 
 	reviewEpoch, stepSentAt, oldestInFlight int64 // as of the last review, for canSkipReview
 	answeredWeight                          float64
-	stepComplete, ended                     bool // all parts of the step are added; no further action: answered, given up or abandoned
+	stepComplete                            bool // all parts of the step are added
+	ended                                   bool // answered, given up or abandoned: no further action
 }
 
-// memo caches a value within one call to the mixer that may change it.
+// memo caches a value for one time and one value of Mixer.eventCount, which counts the method calls
+// that may change it.
 type memo struct {
 	now, event int64
 	value      float64
 }
 
-func (c *memo) valid(now, call int64) bool { return c.now == now && c.event == call }
+func (c *memo) valid(now, event int64) bool { return c.now == now && c.event == event }
 
 // set stores a value and returns it.
-func (c *memo) set(now, call int64, value float64) float64 {
-	*c = memo{now, call, value}
+func (c *memo) set(now, event int64, value float64) float64 {
+	*c = memo{now, event, value}
 	return value
 }
 
 // draw returns a random value that stays the same while it is valid.
-func (c *memo) draw(now, call int64, rng *rand.Rand) float64 {
-	if c.valid(now, call) {
+func (c *memo) draw(now, event int64, rng *rand.Rand) float64 {
+	if c.valid(now, event) {
 		return c.value
 	}
-	return c.set(now, call, float64(rng.Int63()))
+	return c.set(now, event, float64(rng.Int63()))
 }
 
 // searcherCache saves work for a searcher: its unit time, its tie-break, and storage for the first
--- a/mixer/types.go
+++ b/mixer/types.go
@@ -60,7 +60,7 @@
 	ListAsked bool  // the membership list is sent only on request
 	AskWithin int64 // ns; after this long without a request, discovery assumes that the mixer has the list
 
-	MaxForwards int   // for one part
+	MaxForwards int   // for one part, retries and hedges included
 	MayCopy     bool  // two forwards of a part may be in flight at once (hedging)
 	MayCancel   bool  // forwards in flight may be cancelled
 	MayAdvise   bool  // rejections may advise a wait before a retry
