--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -15,9 +15,10 @@
 	"nettlefold/internal/distribute"
 )
 
-// TestHeartbeatsBehindSessionsWork: a message of another replica does not wait for the calls of many agents that came before it.
-func TestHeartbeatsBehindSessionsWork(t *testing.T) {
-	c, err := New(alone(t), zerolog.Nop())
+// TestChainMessagesPrecedeSessionCalls: a message of another replica must not wait for agents'
+// calls that were queued before it, or heartbeats are late.
+func TestChainMessagesPrecedeSessionCalls(t *testing.T) {
+	c, err := New(singleNodeSettings(t), zerolog.Nop())
 	require.NoError(t, err)
 	defer c.store.Close()
 	var order []commandKind
@@ -27,116 +28,123 @@
 	}
 	c.enqueue(commandChain, func() { order = append(order, commandChain) })
 	c.enqueue(commandOther, func() { close(end) })
-	c.own(end, nil)
+	c.runLoop(end, nil)
 	require.NotEmpty(t, order)
 	require.Equal(t, commandChain, order[0])
 }
 
-// TestTablesOfAgentsThatBeginTogether: 291 agents that begin at one controller within half a second cost the others a few tables, not one each.
-func TestTablesOfAgentsThatBeginTogether(t *testing.T) {
-	inWorld(t, 1, func(w *world, _ *rand.Rand) {
+// TestAgentTableBatching: 291 agents that call one controller within half a second cause a few
+// tables to be sent to the other controllers, not one per agent.
+func TestAgentTableBatching(t *testing.T) {
+	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
 		const agents, within = 291, 500 * time.Millisecond
-		before := w.figure(ipOf(2), `controller_commands_total{kind="table"}`)
+		before := w.metric(ipOf(2), `controller_commands_total{kind="table"}`)
 		for i := range agents {
-			go w.call(ipOf(1), life{distribute.Agent{ID: fmt.Sprint("f/", i), Addr: fmt.Sprint("10.1.0.", i, ":1"), Zone: "x"}, 0})
+			go w.watch(ipOf(1), agentInstance{distribute.Agent{ID: fmt.Sprint("f/", i), Addr: fmt.Sprint("10.1.0.", i, ":1"), Zone: "x"}, 0})
 			time.Sleep(within / agents)
 		}
-		time.Sleep(tablePace + agents*membersPace + 2*tickEvery)
-		require.Len(t, w.machines[ipOf(2)].controller.public.Load().members.Agents, agents)
-		tables := w.figure(ipOf(2), `controller_commands_total{kind="table"}`) - before
-		// the two other controllers' own, and one for each pace of this one
-		require.LessOrEqual(t, tables, 2+float64((within+time.Second)/tablePace))
+		time.Sleep(minTableInterval + agents*publishIntervalPerMember + 2*tickInterval)
+		require.Len(t, w.machines[ipOf(2)].controller.published.Load().members.Agents, agents)
+		tables := w.metric(ipOf(2), `controller_commands_total{kind="table"}`) - before
+		// one of each of the two other controllers, and one per minTableInterval of this one
+		require.LessOrEqual(t, tables, 2+float64((within+time.Second)/minTableInterval))
 		time.Sleep(time.Second)
 	})
 }
 
-// TestMembersFromAControllerOutOfTouch: its callers take none, so none are encoded for them.
-func TestMembersFromAControllerOutOfTouch(t *testing.T) {
-	inWorld(t, 1, func(w *world, _ *rand.Rand) {
-		w.call(ipOf(1), life{distribute.Agent{ID: "f/1", Addr: "10.0.1.1:7340", Zone: "x"}, 0})
-		ask := func() *distribute.WatchReply {
-			reply, err := w.machines[ipOf(1)].controller.watch(context.Background(), &distribute.WatchRequest{Agent: distribute.Agent{ID: "f/2", Addr: "10.0.1.2:7340"}})
+// TestNoMembersWithoutQuorum: the reply of a controller without a quorum contains no members, as
+// callers ignore them.
+func TestNoMembersWithoutQuorum(t *testing.T) {
+	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
+		w.watch(ipOf(1), agentInstance{distribute.Agent{ID: "f/1", Addr: "10.0.1.1:7340", Zone: "x"}, 0})
+		call := func() *distribute.WatchReply {
+			reply, err := w.machines[ipOf(1)].controller.watch(context.Background(), &distribute.WatchRequest{
+				Agent: distribute.Agent{ID: "f/2", Addr: "10.0.1.2:7340"},
+			})
 			require.NoError(t, err)
 			return reply
 		}
-		reply := ask()
+		reply := call()
 		require.True(t, reply.HasQuorum)
 		require.NotNil(t, reply.Members)
-		w.separateCore(true, ipOf(1))
+		w.setIsolatedFromCore(true, ipOf(1))
 		time.Sleep(2 * time.Second)
-		reply = ask()
+		reply = call()
 		require.False(t, reply.HasQuorum)
 		require.Nil(t, reply.Members)
-		w.separateCore(false, ipOf(1))
+		w.setIsolatedFromCore(false, ipOf(1))
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// TestOneAgentComesToManyMembers: who has the members shown before is told of the one that came, and who has others of all.
-func TestOneAgentComesToManyMembers(t *testing.T) {
-	inWorld(t, 1, func(w *world, _ *rand.Rand) {
+// TestMemberDeltaForOneAddedAgent: a caller with the previous member set receives a delta with the
+// added agent, and a caller with an unknown set receives all members.
+func TestMemberDeltaForOneAddedAgent(t *testing.T) {
+	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
 		const agents = 100
 		agentOf := func(i int) distribute.Agent {
 			return distribute.Agent{ID: fmt.Sprint("f/", i), Addr: fmt.Sprint("10.1.0.", i, ":1"), Zone: "x"}
 		}
 		for i := range agents {
-			go w.call(ipOf(1), life{agentOf(i), 0})
+			go w.watch(ipOf(1), agentInstance{agentOf(i), 0})
 		}
-		time.Sleep(agents*membersPace + 2*tickEvery)
+		time.Sleep(agents*publishIntervalPerMember + 2*tickInterval)
 		c := w.machines[ipOf(1)].controller
-		before := c.public.Load().members
+		before := c.published.Load().members
 		require.Len(t, before.Agents, agents)
-		go w.call(ipOf(1), life{agentOf(agents), 0})
-		time.Sleep(agents*membersPace + 2*tickEvery)
-		now := c.public.Load().members
+		go w.watch(ipOf(1), agentInstance{agentOf(agents), 0})
+		time.Sleep(agents*publishIntervalPerMember + 2*tickInterval)
+		now := c.published.Load().members
 		require.Len(t, now.Agents, agents+1)
-		reply := c.replyTo(c.now(), c.public.Load(), &distribute.WatchRequest{MembersDigest: before.Digest})
+		reply := c.watchReply(c.sinceStart(), c.published.Load(), &distribute.WatchRequest{MembersDigest: before.Digest})
 		require.Nil(t, reply.Members)
 		require.Len(t, reply.MembersDelta.Added, 1)
 		require.Equal(t, now, before.Apply(reply.MembersDelta))
-		reply = c.replyTo(c.now(), c.public.Load(), &distribute.WatchRequest{MembersDigest: 1})
+		reply = c.watchReply(c.sinceStart(), c.published.Load(), &distribute.WatchRequest{MembersDigest: 1})
 		require.Nil(t, reply.MembersDelta)
 		require.Equal(t, now, reply.Members)
 		time.Sleep(time.Second)
 	})
 }
 
-// TestInTouchAsSoonAsAViewIsNew: controllers do not wait for the next heartbeat's time before they tell each other that they have a view.
-func TestInTouchAsSoonAsAViewIsNew(t *testing.T) {
-	inWorld(t, 1, func(w *world, _ *rand.Rand) {
-		w.add(4, false)
+// TestCurrentSoonAfterViewChange: after a view change controllers send a heartbeat at once instead
+// of waiting for the next interval, so they become current early.
+func TestCurrentSoonAfterViewChange(t *testing.T) {
+	runCluster(t, 1, func(w *testCluster, _ *rand.Rand) {
+		w.addMachine(4, false)
 		tail := w.machines[ipOf(2)].controller
-		epoch := tail.public.Load().view.Epoch
-		for tail.public.Load().view.Epoch == epoch {
+		epoch := tail.published.Load().view.Epoch
+		for tail.published.Load().view.Epoch == epoch {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(chain.DefaultTiming().Heartbeat / 3)
 		synctest.Wait()
-		require.True(t, tail.public.Load().current)
+		require.True(t, tail.published.Load().current)
 	})
 }
 
-// TestSessionsThatWaitedWhileAControllerStoodStill: calls that came meanwhile are worked through before the tick judges who is silent, and
-// those without a call get the time that was lost.
-func TestSessionsThatWaitedWhileAControllerStoodStill(t *testing.T) {
-	c, err := New(alone(t), zerolog.Nop())
+// TestSessionsSurviveControllerStall: calls that arrived while the controller was stalled are
+// executed before the tick checks for expired sessions, and the timeouts of the other sessions are
+// extended by the stall.
+func TestSessionsSurviveControllerStall(t *testing.T) {
+	c, err := New(singleNodeSettings(t), zerolog.Nop())
 	require.NoError(t, err)
 	defer c.store.Close()
-	calls, waits := distribute.Agent{ID: "f/1", Addr: "10.0.1.1:1"}, distribute.Agent{ID: "f/2", Addr: "10.0.1.2:1"}
-	c.touch(&distribute.WatchRequest{Agent: calls})
-	c.touch(&distribute.WatchRequest{Agent: waits})
-	stoodStill := 2 * sessionSilence
+	calling, waiting := distribute.Agent{ID: "f/1", Addr: "10.0.1.1:1"}, distribute.Agent{ID: "f/2", Addr: "10.0.1.2:1"}
+	c.recordCall(&distribute.WatchRequest{Agent: calling})
+	c.recordCall(&distribute.WatchRequest{Agent: waiting})
+	stall := 2 * sessionTimeout
 	for _, s := range c.sessions {
-		s.heard = s.heard.Add(-stoodStill)
+		s.lastCallAt = s.lastCallAt.Add(-stall)
 	}
-	c.sessions[calls.Addr].heard = time.Now().Add(-2 * stoodStill) // its silence is longer than the time that was lost
-	c.work.lastTick = time.Now().Add(-stoodStill - tickEvery)
-	c.enqueue(commandSession, func() { c.touch(&distribute.WatchRequest{Agent: calls}) })
-	c.executeWaiting()
+	c.sessions[calling.Addr].lastCallAt = time.Now().Add(-2 * stall) // silent for longer than the stall
+	c.recentStats.lastTick = time.Now().Add(-stall - tickInterval)
+	c.enqueue(commandSession, func() { c.recordCall(&distribute.WatchRequest{Agent: calling}) })
+	c.drainCommands()
 	c.executeTick()
 	require.Len(t, c.sessions, 2)
-	require.False(t, c.sessions[calls.Addr].heard.After(time.Now()))
-	c.sessions[waits.Addr].heard = time.Now().Add(-stoodStill)
+	require.False(t, c.sessions[calling.Addr].lastCallAt.After(time.Now()))
+	c.sessions[waiting.Addr].lastCallAt = time.Now().Add(-stall)
 	c.executeTick()
 	require.Len(t, c.sessions, 1)
 }
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -10,36 +10,41 @@
 )
 
 const (
-	// tableEvery is how often the table of agents is told again, and tableSilence how long another's is believed.
-	tableEvery   = 700 * time.Millisecond
-	tableSilence = 2500 * time.Millisecond
-	// tablePace is the least time between two tables: agents that come together are told together.
-	tablePace = 100 * time.Millisecond
-	// membersPace is the least time, for each member, between two sets of members that are shown: each set goes to everybody.
-	membersPace = time.Millisecond
-	// deltasKept is how many earlier sets of members a receiver may have that is told the difference only.
-	deltasKept = 8
+	// tableInterval is how often the table of agents is sent even if it did not change, and
+	// tableTimeout is how long the last table of another controller stays valid.
+	tableInterval = 700 * time.Millisecond
+	tableTimeout  = 2500 * time.Millisecond
+	// minTableInterval is the least time between two tables, so that agents that join together are
+	// sent in one table.
+	minTableInterval = 100 * time.Millisecond
+	// publishIntervalPerMember is, for each member, the least time between two published member
+	// sets: each set is sent to every agent.
+	publishIntervalPerMember = time.Millisecond
+	// maxPreviousMemberSets is the number of earlier member sets from which a receiver can be
+	// updated by a delta.
+	maxPreviousMemberSets = 8
 )
 
-// remoteTable is the agents with sessions elsewhere.
+// remoteTable holds the agents that have a session with another controller.
 type remoteTable struct {
-	agents []distribute.Agent // by ID
-	heard  time.Time
+	agents         []distribute.Agent // sorted by ID
+	lastReceivedAt time.Time
 }
 
-func compareIDs(a, b distribute.Agent) int { return cmp.Compare(a.ID, b.ID) }
+func compareAgentIDs(a, b distribute.Agent) int { return cmp.Compare(a.ID, b.ID) }
 
-// memberDeltas has, by the digest of a set that was shown before, what leads from it to the set that is shown now.
+// memberDeltas maps the digest of an earlier member set to the delta from it to the published set.
 type memberDeltas map[uint64]*distribute.MemberDelta
 
-// showMembers keeps the set that was shown until now, and makes the differences from those kept to the next one.
-func (c *Controller) showMembers(old, next *distribute.MemberSet) memberDeltas {
-	c.shown = append(c.shown, old)
-	if len(c.shown) > deltasKept {
-		c.shown = c.shown[1:]
+// memberDeltasTo retains old as a previous member set and returns the deltas from the retained sets
+// to next. A delta that is as large as the full set is left out.
+func (c *Controller) memberDeltasTo(old, next *distribute.MemberSet) memberDeltas {
+	c.previousMemberSets = append(c.previousMemberSets, old)
+	if len(c.previousMemberSets) > maxPreviousMemberSets {
+		c.previousMemberSets = c.previousMemberSets[1:]
 	}
 	deltas := memberDeltas{}
-	for _, set := range c.shown {
+	for _, set := range c.previousMemberSets {
 		if delta := set.DeltaTo(next); len(delta.Added)+len(delta.Removed) < len(next.Agents) {
 			deltas[set.Digest] = delta
 		}
@@ -48,18 +53,18 @@
 	return deltas
 }
 
-// tellTable tells the other controllers which agents have a session here.
-func (c *Controller) tellTable() {
-	c.told, c.tableDue = time.Now(), false
+// sendTable sends the agents that have a session here to the other controllers.
+func (c *Controller) sendTable() {
+	c.tableSentAt, c.tablePending = time.Now(), false
 	self := c.replica.Self()
 	table := &distribute.AgentTable{Controller: self.Addr}
 	for _, s := range c.sessions {
 		table.Agents = append(table.Agents, s.agent)
 	}
-	slices.SortFunc(table.Agents, compareIDs)
+	slices.SortFunc(table.Agents, compareAgentIDs)
 	encoded, err := rpc.EncodeOneWay(distribute.KindAgents, table)
 	if err != nil {
-		c.log.Error().Err(err).Str("step", "table").Msg("the table of agents cannot be encoded")
+		c.log.Error().Err(err).Str("step", "table").Msg("cannot encode the table of agents")
 		return
 	}
 	view := c.replica.View()
@@ -70,72 +75,78 @@
 	}
 }
 
-// tableChanged tells the table now, or with the next tick that may.
-func (c *Controller) tableChanged() {
-	c.tableDue, c.rosterChanged = true, true
-	if time.Since(c.told) >= tablePace {
-		c.tellTable()
+// scheduleTable sends the changed table now, or with a later tick if the last one was sent too
+// recently.
+func (c *Controller) scheduleTable() {
+	c.tablePending, c.membersChanged = true, true
+	if time.Since(c.tableSentAt) >= minTableInterval {
+		c.sendTable()
 	}
 }
 
-// tellDueTable is called by each tick.
-func (c *Controller) tellDueTable() {
-	since := time.Since(c.told)
-	if c.tableDue && since >= tablePace || since > tableEvery {
-		c.tellTable()
+// sendTableIfDue sends the table if it changed or if tableInterval has passed. It is called by each
+// tick.
+func (c *Controller) sendTableIfDue() {
+	since := time.Since(c.tableSentAt)
+	if c.tablePending && since >= minTableInterval || since > tableInterval {
+		c.sendTable()
 	}
 }
 
-// takeTable takes what another controller tells. A table that was told again needs no more than to be believed on.
-func (c *Controller) takeTable(table *distribute.AgentTable) {
-	known := c.elsewhere[table.Controller]
+// receiveTable stores the table of another controller. An unchanged table only extends its
+// validity.
+func (c *Controller) receiveTable(table *distribute.AgentTable) {
+	known := c.remoteTables[table.Controller]
 	if known != nil && slices.Equal(known.agents, table.Agents) {
-		known.heard = time.Now()
+		known.lastReceivedAt = time.Now()
 		return
 	}
-	c.elsewhere[table.Controller] = &remoteTable{table.Agents, time.Now()}
-	c.rosterChanged = true
+	c.remoteTables[table.Controller] = &remoteTable{table.Agents, time.Now()}
+	c.membersChanged = true
 	c.publish(false)
 }
 
-// expireTables forgets the tables of controllers that tell none any more.
+// expireTables removes the tables of controllers that stopped sending them.
 func (c *Controller) expireTables() {
-	for controller, t := range c.elsewhere {
-		if time.Since(t.heard) > tableSilence {
-			delete(c.elsewhere, controller)
-			c.rosterChanged = true
+	for controller, table := range c.remoteTables {
+		if time.Since(table.lastReceivedAt) > tableTimeout {
+			delete(c.remoteTables, controller)
+			c.membersChanged = true
 		}
 	}
 }
 
-// pacedMembers is the members to be shown now: those shown before, if nothing changed or others were shown only just. A tick looks again.
-func (c *Controller) pacedMembers(old *public) *distribute.MemberSet {
-	if old != nil && (!c.rosterChanged || time.Since(c.showedAt) < time.Duration(c.rosterSize())*membersPace) {
+// rateLimitedMembers returns the member set to publish: the present one if nothing changed or if it
+// was published too recently. Each tick calls it again.
+func (c *Controller) rateLimitedMembers(old *publishedState) *distribute.MemberSet {
+	if old != nil && (!c.membersChanged || time.Since(c.membersPublishedAt) < time.Duration(c.knownAgentCount())*publishIntervalPerMember) {
 		return old.members
 	}
-	c.rosterChanged = false
-	members := c.members()
+	c.membersChanged = false
+	members := c.collectMembers()
 	if old != nil && old.members.Digest == members.Digest {
 		return old.members
 	}
-	c.showedAt = time.Now()
+	c.membersPublishedAt = time.Now()
 	return members
 }
 
-// rosterSize is how many agents are known, those twice that have just moved from one controller to another.
-func (c *Controller) rosterSize() int {
+// knownAgentCount returns the number of sessions here and elsewhere. An agent that has just moved
+// between controllers counts twice.
+func (c *Controller) knownAgentCount() int {
 	size := len(c.sessions)
-	for _, t := range c.elsewhere {
-		size += len(t.agents)
+	for _, table := range c.remoteTables {
+		size += len(table.agents)
 	}
 	return size
 }
 
-// members is the agents with a session anywhere, each machine's newest life once.
-func (c *Controller) members() *distribute.MemberSet {
-	byAddr := make(map[string]distribute.Agent, c.rosterSize())
-	for _, t := range c.elsewhere {
-		for _, a := range t.agents {
+// collectMembers returns the agents with a session at any controller. Only the newest instance of
+// each machine is included.
+func (c *Controller) collectMembers() *distribute.MemberSet {
+	byAddr := make(map[string]distribute.Agent, c.knownAgentCount())
+	for _, table := range c.remoteTables {
+		for _, a := range table.agents {
 			if known, ok := byAddr[a.Addr]; !ok || known.ID < a.ID {
 				byAddr[a.Addr] = a
 			}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,11 +23,12 @@
 const (
 	// RequestIDHeader identifies a request. The backend repeats it in the response.
 	RequestIDHeader = "X-Request-Id"
-	// DeadlineHeader tells a backend how long the response is waited for, in milliseconds.
+	// DeadlineHeader tells a backend how long the caller still waits for the response, in milliseconds.
 	DeadlineHeader = "X-Request-Deadline-Ms"
 
 	dialTimeout = 700 * time.Millisecond
-	// defaultIdleTimeout applies if the backend doesn't send a keep-alive timeout.
+	// defaultIdleTimeout applies if the backend doesn't send a keep-alive timeout. It is short, because the
+	// backend may close an idle connection at any time.
 	defaultIdleTimeout = 700 * time.Millisecond
 	// idleTimeoutMargin is subtracted from the keep-alive timeout that the backend sends, so that a
 	// connection isn't reused while the backend closes it.
@@ -262,17 +263,18 @@
 			return nil, &Error{NotSent, "dial", p.addr, err}
 		}
 	}
-	stopCancel := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	// A deadline in the past aborts reads and writes on the connection.
+	unwatchContext := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	response, err := p.exchange(c, r)
 	if err != nil {
-		stopCancel()
+		unwatchContext()
 		p.closeConn(c)
 		if ctx.Err() != nil {
 			err.Err = ctx.Err()
 		}
 		return nil, err
 	}
-	response.Body = &body{ReadCloser: response.Body, response: response, stopCancel: stopCancel}
+	response.Body = &body{ReadCloser: response.Body, response: response, unwatchContext: unwatchContext}
 	return response, nil
 }
 
@@ -289,7 +291,7 @@
 			c.Close()
 			n, _ := c.upload.wait()
 			if skipped > 0 {
-				err = errors.Join(ErrResponseMismatch, err)
+				err = errors.Join(ErrResponseMismatch, err) // responses to other requests came first
 			}
 			return nil, &Error{stageAfter(n), "read", p.addr, err}
 		}
@@ -308,7 +310,7 @@
 	}
 }
 
-// stageAfter returns the stage of a request of which so many bytes were written.
+// stageAfter returns the stage of a request that failed after the given number of bytes was written.
 func stageAfter(written int) Stage {
 	if written == 0 {
 		return NotSent
@@ -332,7 +334,7 @@
 	return finished && err == nil && !c.gotStaleResponse
 }
 
-// excludedHeaders are the fields of Request.Header that encode replaces by its own if the request has a
+// excludedHeaders are the fields of Request.Header that encode writes itself if the request has a
 // deadline.
 var excludedHeaders = map[string]bool{DeadlineHeader: true}
 
@@ -360,9 +362,9 @@
 // connection if it isn't read to the end.
 type body struct {
 	io.ReadCloser
-	response   *Response
-	stopCancel func() bool // stops the cancellation by the request's context
-	finished   bool
+	response       *Response
+	unwatchContext func() bool // stops the abort of the connection when the request's context is done
+	finished       bool
 }
 
 func (b *body) Read(buffer []byte) (int, error) {
@@ -385,7 +387,7 @@
 	b.finished = true
 	r := b.response
 	r.complete = complete
-	if stopped := b.stopCancel(); stopped && complete && !r.Close && r.conn.reusable() {
+	if stopped := b.unwatchContext(); stopped && complete && !r.Close && r.conn.reusable() {
 		r.pool.putIdle(r.conn, r.Header)
 		return
 	}
