--- a/mixer/state.go
+++ b/mixer/state.go
@@ -17,7 +17,7 @@
 	callsAtSend  int   // calls in flight there, including its own
 	processStart int64 // start of the process it was sent to
 	sentAt       int64
-	done, ran    bool           // its outcome is known; and does not rule out that it ran
+	done, ran    bool           // its outcome is known; it does not rule out that the forward ran
 	presumedLost bool           // no longer waited for
 	recalled     bool           // cancelled, and resent elsewhere once its outcome is known
 	connLoss     *DecayingRatio // loss statistics of its kind of connection, nil if that was in use
