--- a/internal/chain/acceptors.go
+++ b/internal/chain/acceptors.go
@@ -9,15 +9,15 @@
 
 // standing is how much an acceptor set bears from here: by how many live acceptors it is above a majority, and by how many after the
 // worst loss of one zone. Negative numbers are votes that it would lack.
-type standing struct {
-	machines int
-	zones    int
+type faultTolerance struct {
+	spareNodes         int
+	spareAfterZoneLoss int
 }
 
 // better tells whether a set bears more than another. Losses of machines count first while there are too few acceptors for those that
 // must be borne, else losses of zones.
-func (s standing) better(than standing, tooFew bool) bool {
-	first, second := cmp.Compare(s.zones, than.zones), cmp.Compare(s.machines, than.machines)
+func (s faultTolerance) betterThan(than faultTolerance, tooFew bool) bool {
+	first, second := cmp.Compare(s.spareAfterZoneLoss, than.spareAfterZoneLoss), cmp.Compare(s.spareNodes, than.spareNodes)
 	if tooFew {
 		first, second = second, first
 	}
@@ -30,19 +30,19 @@
 // disk, in one whose zone holds too many, or together with another, as an even number of acceptors bears no more than the odd one
 // below it and needs one vote more. Nobody is taken out for silence alone: a silent acceptor costs little, and a zone that was dropped
 // is missing when it is back and another is lost.
-func (r *Replica) wantedAcceptors(now time.Duration, chain []NodeID) []Member {
+func (r *Replica) nextAcceptors(now time.Duration, chain []NodeID) []Member {
 	var acceptors, learners []Member
 	for _, m := range r.meta.View.Acceptors {
-		acceptors = append(acceptors, r.member(m.ID))
+		acceptors = append(acceptors, r.memberInfo(m.ID))
 	}
 	for _, id := range chain {
 		if _, acceptor := r.meta.View.Acceptor(id); !acceptor {
-			learners = append(learners, r.member(id))
+			learners = append(learners, r.memberInfo(id))
 		}
 	}
 	acceptors, learners = replaceLostDisks(acceptors, learners)
 	for {
-		next, left := r.improve(now, acceptors, learners)
+		next, left := r.improveAcceptors(now, acceptors, learners)
 		if next == nil {
 			return acceptors
 		}
@@ -64,11 +64,11 @@
 }
 
 // improve gives the first change of the acceptors that makes them bear more, nil if none does.
-func (r *Replica) improve(now time.Duration, acceptors, learners []Member) (next, left []Member) {
-	least := 2*r.options.Copies - 1
-	before := r.standing(now, acceptors)
+func (r *Replica) improveAcceptors(now time.Duration, acceptors, learners []Member) (next, left []Member) {
+	least := 2*r.options.MinCopies - 1
+	before := r.faultToleranceOf(now, acceptors)
 	better := func(changed []Member) bool {
-		return r.standing(now, changed).better(before, len(acceptors) < least)
+		return r.faultToleranceOf(now, changed).betterThan(before, len(acceptors) < least)
 	}
 	for i, learner := range learners { // in another's place
 		without := slices.Delete(slices.Clone(learners), i, i+1)
@@ -95,7 +95,7 @@
 func (r *Replica) bestSwap(now time.Duration, acceptors []Member, learner Member, better func([]Member) bool) int {
 	best, longest := -1, time.Duration(-1)
 	for i, m := range acceptors {
-		silence := r.silence(now, m.ID)
+		silence := r.sinceHeartbeat(now, m.ID)
 		if r.isLeaving(m.ID) {
 			silence = math.MaxInt64
 		}
@@ -111,7 +111,7 @@
 func (r *Replica) withoutDeparted(now time.Duration, acceptors []Member, least int, better func([]Member) bool) []Member {
 	var departed []NodeID
 	for _, m := range acceptors {
-		if m.ID != r.meta.Identity && (r.isLeaving(m.ID) || r.silence(now, m.ID) > r.options.Timing.Drop) {
+		if m.ID != r.meta.Identity && (r.isLeaving(m.ID) || r.sinceHeartbeat(now, m.ID) > r.options.Timing.AcceptorRemovalTimeout) {
 			departed = append(departed, m.ID)
 		}
 	}
@@ -125,10 +125,10 @@
 }
 
 // standing judges a set of acceptors.
-func (r *Replica) standing(now time.Duration, acceptors []Member) standing {
+func (r *Replica) faultToleranceOf(now time.Duration, acceptors []Member) faultTolerance {
 	live, inZone := 0, map[string]int{}
 	for _, m := range acceptors {
-		if !r.counts(now, m.ID) {
+		if !r.isAvailable(now, m.ID) {
 			continue
 		}
 		live++
@@ -143,10 +143,10 @@
 		worst = max(worst, n)
 	}
 	majority := len(acceptors)/2 + 1
-	return standing{machines: live - majority, zones: live - worst - majority}
+	return faultTolerance{spareNodes: live - majority, spareAfterZoneLoss: live - worst - majority}
 }
 
 // counts tells whether an acceptor is there and stays, as far as is known.
-func (r *Replica) counts(now time.Duration, id NodeID) bool {
-	return !r.isLeaving(id) && (r.silence(now, id) < r.options.Timing.Replace || r.heardOf(now, id))
+func (r *Replica) isAvailable(now time.Duration, id NodeID) bool {
+	return !r.isLeaving(id) && (r.sinceHeartbeat(now, id) < r.options.Timing.AcceptorReplaceTimeout || r.isReportedAlive(now, id))
 }
--- a/internal/chain/links.go
+++ b/internal/chain/connectivity.go
@@ -7,25 +7,25 @@
 )
 
 // mostLinked bounds the machines among which a chain is looked for: their sets are kept as bits.
-const mostLinked = 64
+const maxChainCandidates = 64
 
 // links is which machines of the core hear each other both ways, as far as heartbeats tell. Those that this replica does not hear
 // itself are in it where another that it hears does: two machines that do not reach each other but both reach a third must come to
 // the same chain, or they would replace each other's without end.
-type links struct {
-	ids    []NodeID
-	linked []uint64 // per machine: the machines, by place, that it has a link with, itself among them
+type connectivity struct {
+	ids       []NodeID
+	adjacency []uint64 // per machine: the machines, by place, that it has a link with, itself among them
 }
 
 // newLinks looks at the links among some machines.
-func (r *Replica) newLinks(now time.Duration, ids []NodeID) *links {
-	l := &links{ids: ids, linked: make([]uint64, len(ids))}
+func (r *Replica) newConnectivity(now time.Duration, ids []NodeID) *connectivity {
+	l := &connectivity{ids: ids, adjacency: make([]uint64, len(ids))}
 	for i, id := range ids {
-		l.linked[i] |= 1 << i
+		l.adjacency[i] |= 1 << i
 		for j := range i {
-			if r.linkedTo(now, id, ids[j]) {
-				l.linked[i] |= 1 << j
-				l.linked[j] |= 1 << i
+			if r.areConnected(now, id, ids[j]) {
+				l.adjacency[i] |= 1 << j
+				l.adjacency[j] |= 1 << i
 			}
 		}
 	}
@@ -33,32 +33,32 @@
 }
 
 // linkedTo tells whether two machines hear each other. Of two that are both known by others' word alone it is taken for granted.
-func (r *Replica) linkedTo(now time.Duration, a, b NodeID) bool {
+func (r *Replica) areConnected(now time.Duration, a, b NodeID) bool {
 	if a == r.meta.Identity {
 		a, b = b, a
 	}
 	if b == r.meta.Identity {
-		return r.hears(now, a) && r.peers[a].beat.MayHear(&r.meta.View, b)
+		return r.isAlive(now, a) && r.peers[a].heartbeat.MaySeeAlive(&r.meta.View, b)
 	}
-	ab, ba := r.hears(now, a), r.hears(now, b)
+	ab, ba := r.isAlive(now, a), r.isAlive(now, b)
 	switch {
 	case ab && ba:
-		return r.peers[a].beat.MayHear(&r.meta.View, b) && r.peers[b].beat.MayHear(&r.meta.View, a)
+		return r.peers[a].heartbeat.MaySeeAlive(&r.meta.View, b) && r.peers[b].heartbeat.MaySeeAlive(&r.meta.View, a)
 	case ab:
-		return r.peers[a].beat.MayHear(&r.meta.View, b)
+		return r.peers[a].heartbeat.MaySeeAlive(&r.meta.View, b)
 	case ba:
-		return r.peers[b].beat.MayHear(&r.meta.View, a)
+		return r.peers[b].heartbeat.MaySeeAlive(&r.meta.View, a)
 	}
 	return true
 }
 
 // heardOf tells whether a machine is heard here or by another that is heard here.
-func (r *Replica) heardOf(now time.Duration, id NodeID) bool {
-	if r.hears(now, id) {
+func (r *Replica) isReportedAlive(now time.Duration, id NodeID) bool {
+	if r.isAlive(now, id) {
 		return true
 	}
 	for other, p := range r.peers {
-		if other != id && r.hears(now, other) && p.beat.Hears(&r.meta.View, id) {
+		if other != id && r.isAlive(now, other) && p.heartbeat.SeesAlive(&r.meta.View, id) {
 			return true
 		}
 	}
@@ -67,30 +67,30 @@
 
 // wantedChain is the chain that the links allow: the one in force as long as its members reach each other, with all that reach all of
 // them; else the largest set of machines that do. Machines that were told to end are left out where enough others remain.
-func (r *Replica) wantedChain(now time.Duration) []NodeID {
+func (r *Replica) nextChain(now time.Duration) []NodeID {
 	var staying, all []NodeID
-	for _, id := range r.eligible(now) {
+	for _, id := range r.chainCandidates(now) {
 		all = append(all, id)
 		if !r.isLeaving(id) {
 			staying = append(staying, id)
 		}
 	}
-	if chain := r.largestChain(now, staying); len(chain) >= r.options.Copies || len(all) == len(staying) {
+	if chain := r.largestChain(now, staying); len(chain) >= r.options.MinCopies || len(all) == len(staying) {
 		return chain
 	}
 	return r.largestChain(now, all)
 }
 
 // eligible are the machines that may be in the chain, those of the chain in force first and in its order.
-func (r *Replica) eligible(now time.Duration) []NodeID {
+func (r *Replica) chainCandidates(now time.Duration) []NodeID {
 	var ids []NodeID
 	for _, id := range r.meta.View.Chain {
-		if r.heardOf(now, id) {
+		if r.isReportedAlive(now, id) {
 			ids = append(ids, id)
 		}
 	}
 	add := func(id NodeID) {
-		if !r.meta.View.InChain(id) && (id == r.meta.Identity || r.hears(now, id) && r.ready(now, id)) && r.near(now, id) {
+		if !r.meta.View.InChain(id) && (id == r.meta.Identity || r.isAlive(now, id) && r.canJoinChain(now, id)) && r.isNearlyCaughtUp(now, id) {
 			ids = append(ids, id)
 		}
 	}
@@ -100,19 +100,19 @@
 	if _, member := r.meta.View.Member(r.meta.Identity); !member {
 		add(r.meta.Identity)
 	}
-	for _, id := range r.newcomers(now) {
+	for _, id := range r.joiningNodes(now) {
 		add(id)
 	}
-	return ids[:min(len(ids), mostLinked)]
+	return ids[:min(len(ids), maxChainCandidates)]
 }
 
 // largestChain is the largest set of machines that all reach each other and a majority of the acceptors each; of equals, the one whose
 // members come first in the order given. The chain in force is part of it as long as it is such a set itself.
 func (r *Replica) largestChain(now time.Duration, ids []NodeID) []NodeID {
 	ids = slices.DeleteFunc(slices.Clone(ids), func(id NodeID) bool { return !r.reachesMajority(now, id) })
-	l := r.newLinks(now, ids)
+	l := r.newConnectivity(now, ids)
 	every := uint64(1)<<len(ids) - 1
-	if len(ids) == mostLinked {
+	if len(ids) == maxChainCandidates {
 		every = ^uint64(0)
 	}
 	var kept uint64
@@ -121,10 +121,10 @@
 			kept |= 1 << i
 		}
 	}
-	if !l.complete(kept) {
+	if !l.isClique(kept) {
 		kept = 0
 	}
-	best := l.largest(kept, every&l.common(kept, every)&^kept)
+	best := l.largestClique(kept, every&l.commonNeighbors(kept, every)&^kept)
 	var chain []NodeID
 	for i, id := range ids {
 		if best&(1<<i) != 0 {
@@ -138,7 +138,7 @@
 func (r *Replica) reachesMajority(now time.Duration, id NodeID) bool {
 	n := 0
 	for _, m := range r.meta.View.Acceptors {
-		if m.ID == id || r.heardOf(now, m.ID) && r.linkedTo(now, id, m.ID) {
+		if m.ID == id || r.isReportedAlive(now, m.ID) && r.areConnected(now, id, m.ID) {
 			n++
 		}
 	}
@@ -146,26 +146,26 @@
 }
 
 // complete tells whether all of a set are linked with each other.
-func (l *links) complete(set uint64) bool { return l.common(set, set) == set }
+func (l *connectivity) isClique(set uint64) bool { return l.commonNeighbors(set, set) == set }
 
 // common is those of a set that are linked with all of another.
-func (l *links) common(with, of uint64) uint64 {
+func (l *connectivity) commonNeighbors(with, of uint64) uint64 {
 	for rest := with; rest != 0; rest &= rest - 1 {
-		of &= l.linked[bits.TrailingZeros64(rest)]
+		of &= l.adjacency[bits.TrailingZeros64(rest)]
 	}
 	return of
 }
 
 // largest adds as many of the candidates to a set as are linked with each other. The candidates are linked with all of the set.
-func (l *links) largest(set, candidates uint64) uint64 {
-	if l.complete(candidates) {
+func (l *connectivity) largestClique(set, candidates uint64) uint64 {
+	if l.isClique(candidates) {
 		return set | candidates
 	}
 	best := set
 	for candidates != 0 && bits.OnesCount64(set|candidates) > bits.OnesCount64(best) {
 		first := candidates & -candidates
 		candidates &^= first
-		with := l.largest(set|first, candidates&l.linked[bits.TrailingZeros64(first)])
+		with := l.largestClique(set|first, candidates&l.adjacency[bits.TrailingZeros64(first)])
 		if bits.OnesCount64(with) > bits.OnesCount64(best) {
 			best = with
 		}
--- a/internal/chain/want.go
+++ b/internal/chain/desired_view.go
@@ -6,55 +6,55 @@
 )
 
 // wanted is the next view as this replica would have it: who votes, and who should be in the chain.
-type wanted struct {
+type desiredView struct {
 	acceptors []Member
 	chain     []NodeID
 }
 
 // delay grows with the number of acceptors of the wanted chain that come before this one and are heard: they propose first.
-func (r *Replica) delay(now time.Duration, want wanted) time.Duration {
+func (r *Replica) proposalDelay(now time.Duration, want desiredView) time.Duration {
 	n := 0
 	for _, m := range r.meta.View.Acceptors {
 		if m.ID == r.meta.Identity {
 			break
 		}
-		if r.hears(now, m.ID) && slices.Contains(want.chain, m.ID) {
+		if r.isAlive(now, m.ID) && slices.Contains(want.chain, m.ID) {
 			n++
 		}
 	}
-	return time.Duration(n) * 2 * r.options.Timing.Heartbeat
+	return time.Duration(n) * 2 * r.options.Timing.HeartbeatInterval
 }
 
 // possible tells whether this replica should propose: it would be in the chain itself, and hears enough machines for a view to be
 // agreed on and to take writes.
-func (r *Replica) possible(now time.Duration, want wanted) bool {
+func (r *Replica) canPropose(now time.Duration, want desiredView) bool {
 	if _, acceptor := r.meta.View.Acceptor(r.meta.Identity); !acceptor || !slices.Contains(want.chain, r.meta.Identity) {
 		return false
 	}
 	heard, intact := 0, false
 	for _, m := range r.meta.View.Acceptors {
-		if r.hears(now, m.ID) {
+		if r.isAlive(now, m.ID) {
 			heard++
 		}
 	}
 	for _, id := range r.meta.View.Chain {
-		intact = intact || r.hears(now, id)
+		intact = intact || r.isAlive(now, id)
 	}
-	return heard >= r.meta.View.Majority() && intact && len(want.chain) >= r.options.Copies
+	return heard >= r.meta.View.Majority() && intact && len(want.chain) >= r.options.MinCopies
 }
 
 // want tells which view is wanted, and whether it differs from the one in force, as far as this replica can tell: one that has just started
 // wants no other members.
-func (r *Replica) want(now time.Duration) (wanted, bool) {
+func (r *Replica) desiredView(now time.Duration) (desiredView, bool) {
 	view := &r.meta.View
-	want := wanted{chain: r.wantedChain(now)}
-	want.acceptors = r.wantedAcceptors(now, want.chain)
-	same := r.fresh(now) || sameMembers(want.acceptors, view.Acceptors) && sameSet(want.chain, view.Chain)
-	return want, !same || r.stuck(now) || r.anySealed(now) || r.broken(now)
+	want := desiredView{chain: r.nextChain(now)}
+	want.acceptors = r.nextAcceptors(now, want.chain)
+	same := r.isRecentlyStarted(now) || sameMembers(want.acceptors, view.Acceptors) && sameIDs(want.chain, view.Chain)
+	return want, !same || r.writeStuck(now) || r.anyAcceptorSealed(now) || r.chainBroken(now)
 }
 
 // member is what is known of a machine, at best from itself.
-func (r *Replica) member(id NodeID) Member {
+func (r *Replica) memberInfo(id NodeID) Member {
 	if id == r.meta.Identity {
 		return r.options.Self
 	}
@@ -67,9 +67,9 @@
 
 // ready tells whether a member may be taken into the chain: heard for a while, hearing this one, and not just left behind by a
 // proposal that waited for it.
-func (r *Replica) ready(now time.Duration, id NodeID) bool {
+func (r *Replica) canJoinChain(now time.Duration, id NodeID) bool {
 	p := r.peers[id]
-	return p != nil && now-p.first >= r.options.Timing.Settle && now >= p.passedOver && p.beat.Hears(&r.meta.View, r.meta.Identity)
+	return p != nil && now-p.aliveSince >= r.options.Timing.JoinDelay && now >= p.backoffUntil && p.heartbeat.SeesAlive(&r.meta.View, r.meta.Identity)
 }
 
 // isLeaving tells whether a member said that it was told to end.
@@ -78,19 +78,19 @@
 		return r.leaving
 	}
 	p := r.peers[id]
-	return p != nil && p.beat.Leaving
+	return p != nil && p.heartbeat.Leaving
 }
 
 // stuck tells whether a write has been on its way for too long.
-func (r *Replica) stuck(now time.Duration) bool {
-	return r.serving() && r.pending != 0 && now-r.pending > r.options.Timing.Stuck
+func (r *Replica) writeStuck(now time.Duration) bool {
+	return r.serving() && r.pendingSince != 0 && now-r.pendingSince > r.options.Timing.WriteTimeout
 }
 
 // broken tells whether a member of the chain is there but does not hold its log.
-func (r *Replica) broken(now time.Duration) bool {
+func (r *Replica) chainBroken(now time.Duration) bool {
 	for _, id := range r.meta.View.Chain {
 		p := r.peers[id]
-		if p != nil && r.hears(now, id) && p.beat.Epoch == r.meta.View.Epoch && p.beat.LogEpoch != r.meta.View.Epoch {
+		if p != nil && r.isAlive(now, id) && p.heartbeat.Epoch == r.meta.View.Epoch && p.heartbeat.LogEpoch != r.meta.View.Epoch {
 			return true
 		}
 	}
@@ -98,12 +98,12 @@
 }
 
 // anySealed tells whether a proposal was begun that may never end.
-func (r *Replica) anySealed(now time.Duration) bool {
-	if r.sealed() {
+func (r *Replica) anyAcceptorSealed(now time.Duration) bool {
+	if r.isSealed() {
 		return true
 	}
 	for id, p := range r.peers {
-		if r.hears(now, id) && p.beat.Sealed && p.beat.Epoch == r.meta.View.Epoch {
+		if r.isAlive(now, id) && p.heartbeat.Sealed && p.heartbeat.Epoch == r.meta.View.Epoch {
 			return true
 		}
 	}
--- a/internal/chain/fetch.go
+++ b/internal/chain/fetch.go
@@ -13,19 +13,19 @@
 
 const (
 	// fetchRetry is how long a piece is waited for.
-	fetchRetry = 400 * time.Millisecond
+	chunkTimeout = 400 * time.Millisecond
 	// offerKept is how long an encoded state is kept for who fetches it.
-	offerKept = 10 * time.Second
+	servedStateTTL = 10 * time.Second
 )
 
 // Fetch asks for a piece of the committed state.
-type Fetch struct {
+type FetchState struct {
 	Seq    uint64 `cbor:"1,keyasint"` // of the state that pieces are there of, 0 to begin
 	Offset int    `cbor:"2,keyasint"`
 }
 
 // Piece is a piece of a committed state's encoding.
-type Piece struct {
+type StateChunk struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Offset int    `cbor:"2,keyasint"`
 	Total  int    `cbor:"3,keyasint"`
@@ -33,31 +33,31 @@
 }
 
 // fetching is what has come so far.
-type fetching struct {
-	from    NodeID
-	seq     uint64
-	total   int
-	encoded []byte
-	asked   time.Duration
+type stateFetch struct {
+	from        NodeID
+	seq         uint64
+	total       int
+	encoded     []byte
+	requestedAt time.Duration
 }
 
 // offer is an encoded state that others fetch.
-type offer struct {
-	seq     uint64
-	encoded []byte
-	used    time.Duration
+type servedState struct {
+	seq      uint64
+	encoded  []byte
+	lastUsed time.Duration
 }
 
 // nearFrom is the least number from which a machine that has committed it can be brought the rest within a proposal: the entries behind
 // it are here and not too long. It is 0 where the state is small: then anyone can.
-func (r *Replica) nearFrom() uint64 {
-	if r.state.Size() <= r.options.Limits.WholeBytes {
+func (r *Replica) minCatchUpSeq() uint64 {
+	if r.state.Size() <= r.options.Limits.CatchUpBytes {
 		return 0
 	}
 	bytes, from := 0, r.state.Seq // what is not committed can only be brought
-	for from >= r.first {
-		bytes += len(r.log[from-r.first].Operation)
-		if bytes > r.options.Limits.WholeBytes {
+	for from >= r.firstSeq {
+		bytes += len(r.log[from-r.firstSeq].Operation)
+		if bytes > r.options.Limits.CatchUpBytes {
 			break
 		}
 		from--
@@ -66,85 +66,85 @@
 }
 
 // near tells whether a machine can be brought the rest of the log within a proposal, whichever member of the chain is its source.
-func (r *Replica) near(now time.Duration, id NodeID) bool {
+func (r *Replica) isNearlyCaughtUp(now time.Duration, id NodeID) bool {
 	commit := r.state.Seq
 	if id != r.meta.Identity {
-		commit = r.peers[id].beat.Commit
+		commit = r.peers[id].heartbeat.Commit
 	}
 	for _, member := range r.meta.View.Chain {
-		if member == r.meta.Identity || !r.hears(now, member) {
+		if member == r.meta.Identity || !r.isAlive(now, member) {
 			continue
 		}
-		if beat := &r.peers[member].beat; beat.LogEpoch == r.meta.View.Epoch && commit < beat.Near {
+		if beat := &r.peers[member].heartbeat; beat.LogEpoch == r.meta.View.Epoch && commit < beat.MinCatchUpSeq {
 			return false
 		}
 	}
-	return !r.serving() || commit >= r.nearFrom()
+	return !r.serving() || commit >= r.minCatchUpSeq()
 }
 
 // fetch asks for the next piece while this machine is far behind.
-func (r *Replica) fetch(now time.Duration) {
-	from := r.fetchFrom(now)
+func (r *Replica) fetchState(now time.Duration) {
+	from := r.fetchSource(now)
 	if from == "" {
 		return // what has come is kept until somebody is heard
 	}
-	if r.serving() || r.near(now, r.meta.Identity) {
-		r.fetching = nil
+	if r.serving() || r.isNearlyCaughtUp(now, r.meta.Identity) {
+		r.stateFetch = nil
 		return
 	}
-	if r.fetching != nil && now-r.fetching.asked < fetchRetry {
+	if r.stateFetch != nil && now-r.stateFetch.requestedAt < chunkTimeout {
 		return
 	}
-	if r.fetching == nil || r.fetching.from != from {
-		r.fetching = &fetching{from: from}
+	if r.stateFetch == nil || r.stateFetch.from != from {
+		r.stateFetch = &stateFetch{from: from}
 	}
-	r.askPiece(now)
+	r.requestChunk(now)
 }
 
 // fetchFrom is the member of the chain, nearest to its tail, that is heard and has its log.
-func (r *Replica) fetchFrom(now time.Duration) NodeID {
+func (r *Replica) fetchSource(now time.Duration) NodeID {
 	chain := r.meta.View.Chain
 	for _, id := range slices.Backward(chain) {
-		if id != r.meta.Identity && r.hears(now, id) && r.peers[id].beat.LogEpoch == r.meta.View.Epoch {
+		if id != r.meta.Identity && r.isAlive(now, id) && r.peers[id].heartbeat.LogEpoch == r.meta.View.Epoch {
 			return id
 		}
 	}
 	return ""
 }
 
-func (r *Replica) askPiece(now time.Duration) {
-	f := r.fetching
-	f.asked = now
-	r.sendTo(f.from, Message{Fetch: &Fetch{f.seq, len(f.encoded)}})
+func (r *Replica) requestChunk(now time.Duration) {
+	f := r.stateFetch
+	f.requestedAt = now
+	r.sendTo(f.from, Message{FetchState: &FetchState{f.seq, len(f.encoded)}})
 }
 
-func (r *Replica) onFetch(now time.Duration, m *Message) {
+func (r *Replica) onFetchState(now time.Duration, m *Message) {
 	if !r.serving() {
 		return
 	}
-	f := *m.Fetch
-	if r.offer == nil || f.Seq != r.offer.seq {
-		r.offer = &offer{seq: r.state.Seq, encoded: r.state.Encode()}
+	f := *m.FetchState
+	if r.servedState == nil || f.Seq != r.servedState.seq {
+		r.servedState = &servedState{seq: r.state.Seq, encoded: r.state.Encode()}
 		f.Offset = 0
 	}
-	o := r.offer
-	o.used = now
+	o := r.servedState
+	o.lastUsed = now
 	if f.Offset < 0 || f.Offset > len(o.encoded) {
 		return
 	}
-	end := min(f.Offset+r.options.Limits.PieceBytes, len(o.encoded))
-	r.send(m.From, Message{Piece: &Piece{o.seq, f.Offset, len(o.encoded), o.encoded[f.Offset:end]}})
+	end := min(f.Offset+r.options.Limits.ChunkBytes, len(o.encoded))
+	r.send(m.From, Message{StateChunk: &StateChunk{o.seq, f.Offset, len(o.encoded), o.encoded[f.Offset:end]}})
 }
 
 // dropOffer frees a state that nobody fetches any more.
-func (r *Replica) dropOffer(now time.Duration) {
-	if r.offer != nil && now-r.offer.used > offerKept {
-		r.offer = nil
+func (r *Replica) releaseServedState(now time.Duration) {
+	if r.servedState != nil && now-r.servedState.lastUsed > servedStateTTL {
+		r.servedState = nil
 	}
 }
 
-func (r *Replica) onPiece(now time.Duration, m *Message) {
-	f, piece := r.fetching, m.Piece
+func (r *Replica) onStateChunk(now time.Duration, m *Message) {
+	f, piece := r.stateFetch, m.StateChunk
 	if f == nil || m.From.ID != f.from || r.serving() {
 		return
 	}
@@ -156,16 +156,16 @@
 	}
 	f.encoded = append(f.encoded, piece.Bytes...)
 	if len(f.encoded) < f.total {
-		r.askPiece(now)
+		r.requestChunk(now)
 		return
 	}
-	r.fetching = nil
-	r.install(f.encoded)
+	r.stateFetch = nil
+	r.installState(f.encoded)
 }
 
 // install takes over a committed state that is newer than this machine's own. It is a log of no chain: the machine answers for nothing
 // with it before a proposal has brought it the rest.
-func (r *Replica) install(encoded []byte) {
+func (r *Replica) installState(encoded []byte) {
 	if r.meta.LogEpoch >= r.meta.View.Epoch {
 		return // its log is of the chain in force, and may be counted on
 	}
@@ -174,15 +174,15 @@
 		return
 	}
 	r.state, r.meta.LogEpoch = state, 0
-	r.restartLog(encoded)
-	r.out.Committed = true
+	r.startLogGeneration(encoded)
+	r.out.StateChanged = true
 }
 
 // restartLog begins another generation of the log behind the committed state: what else the log had was of another chain.
-func (r *Replica) restartLog(encoded []byte) {
-	r.log, r.first = nil, r.state.Seq+1
+func (r *Replica) startLogGeneration(encoded []byte) {
+	r.log, r.firstSeq = nil, r.state.Seq+1
 	r.meta.Generation++
-	r.written.entries, r.written.bytes = 0, 0
+	r.sinceSnapshot.entries, r.sinceSnapshot.bytes = 0, 0
 	r.out.Records = append(r.out.Records, Record{Snapshot: &Snapshot{r.meta.Generation, encoded}})
 	r.saveMeta()
 }
--- a/internal/chain/fingerprint_test.go
+++ b/internal/chain/fingerprint_test.go
@@ -8,21 +8,21 @@
 )
 
 // Fingerprint tells worlds apart by all that a later step may depend on.
-func (w *core) Fingerprint() string {
+func (w *searchWorld) Fingerprint() string {
 	var b strings.Builder
 	for _, id := range w.ids {
 		r := w.machines[id].replica
-		fmt.Fprint(&b, id, viewText(&r.meta.View), r.meta.Promised, r.meta.Accepted, r.meta.AcceptedView != nil, r.meta.LogEpoch, r.state.Seq, logText(r.log), r.round)
+		fmt.Fprint(&b, id, viewText(&r.meta.View), r.meta.Promised, r.meta.Accepted, r.meta.AcceptedView != nil, r.meta.LogEpoch, r.state.Seq, logText(r.log), r.highestRound)
 		if p := r.proposal; p != nil {
-			fmt.Fprint(&b, p.ballot, promisesText(p.promises), p.source, p.length, slices.Sorted(maps.Keys(p.caught)), p.view != nil, slices.Sorted(maps.Keys(p.accepted)))
+			fmt.Fprint(&b, p.ballot, promisesText(p.promises), p.source, p.sourceLength, slices.Sorted(maps.Keys(p.caughtUp)), p.view != nil, slices.Sorted(maps.Keys(p.accepted)))
 		}
 	}
 	var under []string
-	for _, f := range w.flights {
-		under = append(under, flightText(&f))
+	for _, f := range w.inFlight {
+		under = append(under, inFlightText(&f))
 	}
 	slices.Sort(under)
-	fmt.Fprint(&b, under, w.acked, w.ackEpoch, len(w.script), w.proposes, w.crashes, w.losses, w.wipes, w.wiped)
+	fmt.Fprint(&b, under, w.acked, w.ackEpoch, len(w.pendingWrites), w.proposers, w.remainingCrashes, w.remainingLosses, w.remainingWipes, w.wipedDisks)
 	return b.String()
 }
 
@@ -45,9 +45,9 @@
 	return b.String()
 }
 
-func flightText(f *flight) string {
+func inFlightText(f *inFlightMessage) string {
 	m := f.message
-	text := fmt.Sprint(f.to, m.From.ID, kindOf(&m))
+	text := fmt.Sprint(f.to, m.From.ID, messageKind(&m))
 	switch {
 	case m.Promise != nil:
 		text += fmt.Sprint(m.Promise.Epoch, m.Promise.Ballot, m.Promise.Accepted, m.Promise.LogEpoch, m.Promise.LogLength)
--- a/internal/chain/history_test.go
+++ b/internal/chain/history_test.go
@@ -10,9 +10,9 @@
 // history gives the calls on the configuration for the check of their order.
 func (s *simulation) history() (calls []simtest.Call) {
 	for _, c := range s.calls {
-		h := simtest.Call{Start: c.began, End: c.ended}
+		h := simtest.Call{Start: c.startedAt, End: c.endedAt}
 		switch {
-		case c.operation == nil && c.outcome == outcomeTaken:
+		case c.operation == nil && c.outcome == outcomeCommitted:
 			h.Version, h.Body = c.state.ConfigVersion, string(c.state.Config)
 		case c.operation != nil && c.operation.Kind == replicated.KindConfig:
 			h.Write, h.Base, h.Version, h.Body = true, c.operation.BaseVersion, c.version, string(c.operation.Body)
@@ -20,12 +20,12 @@
 			continue
 		}
 		switch c.outcome {
-		case outcomeTaken:
+		case outcomeCommitted:
 			h.Outcome = simtest.Taken
 		case outcomeRefused:
 			h.Outcome = simtest.Refused
 		}
-		if !c.over() {
+		if !c.done() {
 			h.End = s.now
 		}
 		calls = append(calls, h)
@@ -34,13 +34,13 @@
 }
 
 // configuration is a valid document of a version; mark tells documents of the same version apart.
-func configuration(version int64, mark string) []byte {
+func configDocument(version int64, mark string) []byte {
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[{"host":"h","path_prefix":"/","timeout_ms":10,"service":"s"}],"services":[{"name":"s"}],"mark":%q}`, version, mark))
 }
 
 // put has the operator write a configuration.
-func (s *simulation) put(contact string, base, version int64, mark string) *call {
+func (s *simulation) putConfig(contact string, base, version int64, mark string) *call {
 	c := &call{contact: contact, version: version}
-	c.operation = &replicated.Operation{Kind: replicated.KindConfig, BaseVersion: base, Body: configuration(version, mark)}
-	return s.call(c)
+	c.operation = &replicated.Operation{Kind: replicated.KindConfig, BaseVersion: base, Body: configDocument(version, mark)}
+	return s.startCall(c)
 }
--- a/internal/chain/membership_test.go
+++ b/internal/chain/membership_test.go
@@ -12,17 +12,17 @@
 )
 
 // takenAgainWithin bounds how long writes rest after a loss that leaves a majority of the machines.
-const takenAgainWithin = 3 * time.Second
+const writeRecoveryLimit = 3 * time.Second
 
-func three(seed uint64) *simulation { return newSimulation(seed, 2, "a", "b", "c") }
+func threeNodes(seed uint64) *simulation { return newSimulation(seed, 2, "a", "b", "c") }
 
 // requireWritable has a write taken in time.
 func requireWritable(t *testing.T, s *simulation, within time.Duration, what string, values ...any) {
 	t.Helper()
-	_, taken := s.writable(within)
-	require.NoError(t, s.broken)
+	_, taken := s.waitWritable(within)
+	require.NoError(t, s.violation)
 	if !taken {
-		s.show(t)
+		s.logNodes(t)
 	}
 	require.True(t, taken, fmt.Sprintf(what, values...))
 }
@@ -36,18 +36,18 @@
 				if leaving == lost {
 					continue
 				}
-				s := three(seed)
+				s := threeNodes(seed)
 				s.run(3 * time.Second)
 				s.join("d", "zone-d")
 				s.run(3 * time.Second)
 				s.leave(leaving, 8*time.Second)
 				began := s.now
 				for s.nodes[leaving].up {
-					s.run(tickEvery)
+					s.run(tickInterval)
 				}
 				require.Less(t, s.now-began, 1500*time.Millisecond, "handing over is short")
 				s.kill(lost)
-				requireWritable(t, s, takenAgainWithin, "%s left, then %s was lost", leaving, lost)
+				requireWritable(t, s, writeRecoveryLimit, "%s left, then %s was lost", leaving, lost)
 			}
 		}
 	}
@@ -58,55 +58,55 @@
 func TestLossAfterUnplannedReplacement(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		for _, gap := range []time.Duration{1500, 2000, 2400, 3000} {
-			s := three(seed)
+			s := threeNodes(seed)
 			s.run(3 * time.Second)
 			s.join("d", "zone-d")
 			s.run(3 * time.Second)
 			s.kill("a")
 			s.run(gap * time.Millisecond)
 			s.kill("b")
-			requireWritable(t, s, takenAgainWithin, "b was lost %v ms after a", int(gap))
+			requireWritable(t, s, writeRecoveryLimit, "b was lost %v ms after a", int(gap))
 		}
 	}
 }
 
 // TestEvenNumberOfVotes shows what the learner is for: with the newcomer as a fourth acceptor the same losses stop the core for good.
-func TestEvenNumberOfVotes(t *testing.T) {
+func TestFourAcceptorsStopAfterTwoLosses(t *testing.T) {
 	s := newSimulation(1, 2, "a", "b", "c", "d")
 	s.run(3 * time.Second)
 	s.kill("a")
 	s.run(100 * time.Millisecond)
 	s.kill("b")
-	_, taken := s.writable(10 * time.Second)
+	_, taken := s.waitWritable(10 * time.Second)
 	require.False(t, taken)
 }
 
 // TestZoneAfterZone: five machines in zones of 2, 2 and 1; one zone is cut off, back for a moment, then the other large one is lost. Three of
 // the five, with the whole log, are there.
-func TestZoneAfterZone(t *testing.T) {
+func TestZoneLossAfterPartitionHeals(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		for _, back := range []time.Duration{50, 100, 300, 600, 1000, 2000} {
-			s := zones221(seed)
+			s := fiveNodesInThreeZones(seed)
 			s.run(3 * time.Second)
-			s.separate([]string{"c", "d"}, []string{"a", "b", "e"}, false)
+			s.partition([]string{"c", "d"}, []string{"a", "b", "e"}, false)
 			s.run(4 * time.Second)
-			requireWritable(t, s, takenAgainWithin, "a zone is cut off")
+			requireWritable(t, s, writeRecoveryLimit, "a zone is cut off")
 			s.heal()
 			s.run(back * time.Millisecond)
 			s.kill("a")
 			s.kill("b")
-			requireWritable(t, s, takenAgainWithin, "the zone was lost %v ms after the other was back", int(back))
+			requireWritable(t, s, writeRecoveryLimit, "the zone was lost %v ms after the other was back", int(back))
 		}
 	}
 }
 
-func zones221(seed uint64) *simulation {
+func fiveNodesInThreeZones(seed uint64) *simulation {
 	return newSimulation(seed, 2, "a:x", "b:x", "c:y", "d:y", "e:z")
 }
 
 // TestPartialCuts: every pair of machines that do not reach each other though all others reach both, one way and both ways. The core comes to
 // one chain in at most three views, stays with it, and has a head all the time.
-func TestPartialCuts(t *testing.T) {
+func TestPartialPartitions(t *testing.T) {
 	for _, machines := range [][]string{{"a", "b", "c"}, {"a", "b", "c", "d", "e"}} {
 		for i, from := range machines {
 			for j, to := range machines {
@@ -117,7 +117,7 @@
 					t.Run(fmt.Sprint(len(machines), from, to, oneWay), func(t *testing.T) {
 						s := newSimulation(uint64(10*i+j), 2, machines...)
 						s.run(3 * time.Second)
-						requireSettles(t, s, func() { s.separate([]string{from}, []string{to}, oneWay) })
+						requireSettles(t, s, func() { s.partition([]string{from}, []string{to}, oneWay) })
 						requireSettles(t, s, s.heal)
 					})
 				}
@@ -127,7 +127,7 @@
 }
 
 // TestSeveralPartialCuts draws sets of cut links that leave a chain with a majority possible.
-func TestSeveralPartialCuts(t *testing.T) {
+func TestRandomPartialPartitions(t *testing.T) {
 	machines := []string{"a", "b", "c", "d", "e"}
 	for seed := uint64(1); seed <= 60; seed++ {
 		s := newSimulation(seed, 2, machines...)
@@ -136,7 +136,7 @@
 			for range 3 { // of ten links: three machines at least reach each other
 				from, to := machines[s.random.IntN(5)], machines[s.random.IntN(5)]
 				if from != to {
-					s.separate([]string{from}, []string{to}, s.random.IntN(2) == 0)
+					s.partition([]string{from}, []string{to}, s.random.IntN(2) == 0)
 				}
 			}
 		})
@@ -158,19 +158,19 @@
 	require.LessOrEqual(t, s.epoch(), before+views)
 	settled := s.epoch()
 	for range 200 {
-		s.run(tickEvery)
+		s.run(tickInterval)
 		if s.head() == nil {
-			s.show(t)
+			s.logNodes(t)
 		}
 		require.NotNil(t, s.head())
 	}
 	require.Equal(t, settled, s.epoch(), "no view in the ten seconds after")
-	require.NoError(t, s.broken)
+	require.NoError(t, s.violation)
 	requireWritable(t, s, time.Second, "writes go on")
 }
 
 // TestQuickRestarts: machines that are back before they are missed cost no view, one alone or all at once.
-func TestQuickRestarts(t *testing.T) {
+func TestQuickRestartsKeepView(t *testing.T) {
 	for _, machines := range [][]string{{"a", "b", "c"}, {"a", "b", "c", "d", "e"}, {"a", "b", "c", "d", "e", "f", "g", "h", "i"}} {
 		for seed := uint64(1); seed <= 10; seed++ {
 			s := newSimulation(seed, 2, machines...)
@@ -180,7 +180,7 @@
 				s.kill(addr)
 			}
 			for _, addr := range machines {
-				s.run(s.between(0, 60*time.Millisecond))
+				s.run(s.randomDuration(0, 60*time.Millisecond))
 				s.restart(addr)
 			}
 			requireWritable(t, s, time.Second, "all are back")
@@ -196,13 +196,13 @@
 }
 
 // TestLeavingHead: a head that is told to end with a write under way loses nothing, and the others go on at once.
-func TestLeavingHead(t *testing.T) {
+func TestHeadShutdownDuringWrite(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
-		s := three(seed)
+		s := threeNodes(seed)
 		s.run(3 * time.Second)
 		head := s.head().addr
 		s.submit(head, &replicated.Operation{Kind: replicated.KindVersion, Model: "m", Version: 1})
-		s.run(s.between(0, 20*time.Millisecond))
+		s.run(s.randomDuration(0, 20*time.Millisecond))
 		s.leave(head, 8*time.Second)
 		requireWritable(t, s, 700*time.Millisecond, "the head leaves")
 		s.run(time.Second)
@@ -214,8 +214,8 @@
 }
 
 // TestAllToldToEnd: where all are told to end at once nobody can hand over, and nothing is given up before the grace is.
-func TestAllToldToEnd(t *testing.T) {
-	s := three(1)
+func TestShutdownOfAllNodes(t *testing.T) {
+	s := threeNodes(1)
 	s.run(3 * time.Second)
 	for _, addr := range s.addrs {
 		s.leave(addr, 4*time.Second)
@@ -227,11 +227,11 @@
 		require.False(t, s.nodes[addr].up)
 		s.restart(addr)
 	}
-	requireWritable(t, s, takenAgainWithin, "all are back")
+	requireWritable(t, s, writeRecoveryLimit, "all are back")
 }
 
 // TestAcceptorsGrowByTwo: newcomers vote in pairs, and no further where a zone would hold too many.
-func TestAcceptorsGrowByTwo(t *testing.T) {
+func TestAcceptorsGrowInPairs(t *testing.T) {
 	s := newSimulation(1, 2, "a:x", "b:y", "c:z")
 	s.run(3 * time.Second)
 	for _, step := range []struct {
@@ -248,7 +248,7 @@
 }
 
 // TestLostDiskWithAllOthersDark: a disk is lost and at the same moment all others lose power; also with the newest order just taken.
-func TestLostDiskWithAllOthersDark(t *testing.T) {
+func TestDiskLossDuringPowerOutage(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		for n := 3; n <= 5; n++ {
 			machines := []string{"a", "b", "c", "d", "e"}[:n]
@@ -259,22 +259,22 @@
 			}
 			s.run(3 * time.Second)
 			c := s.submit(machines[s.random.IntN(n)], &replicated.Operation{Kind: replicated.KindVersion, Model: "kept", Version: 7})
-			for c.outcome != outcomeTaken {
+			for c.outcome != outcomeCommitted {
 				s.run(time.Millisecond)
-				require.False(t, c.over() && c.outcome != outcomeTaken)
+				require.False(t, c.done() && c.outcome != outcomeCommitted)
 			}
 			lost := machines[s.random.IntN(n)]
 			for _, addr := range machines {
 				s.kill(addr)
 			}
-			s.run(s.between(0, 2*time.Second))
+			s.run(s.randomDuration(0, 2*time.Second))
 			for _, addr := range machines {
 				if addr == lost {
 					s.join(addr, "zone-"+addr)
 				} else {
 					s.restart(addr)
 				}
-				s.run(s.between(0, 300*time.Millisecond))
+				s.run(s.randomDuration(0, 300*time.Millisecond))
 			}
 			requireWritable(t, s, 5*time.Second, "%d machines, %s lost its disk", n, lost)
 			s.run(time.Second)
@@ -284,9 +284,9 @@
 }
 
 // TestHundredsOfChanges: a machine is down for hundreds of changes, comes back with its old disk, is cut off midway, and is whole again soon.
-func TestHundredsOfChanges(t *testing.T) {
+func TestCatchUpAfterHundredsOfChanges(t *testing.T) {
 	for _, changes := range []int{10, 130, 400} {
-		s := three(uint64(changes))
+		s := threeNodes(uint64(changes))
 		s.run(3 * time.Second)
 		s.kill("c")
 		s.run(2 * time.Second)
@@ -295,12 +295,12 @@
 			s.run(30 * time.Millisecond)
 		}
 		s.restart("c")
-		s.run(s.between(100*time.Millisecond, 600*time.Millisecond))
-		s.separate([]string{"c"}, []string{"a", "b"}, false)
+		s.run(s.randomDuration(100*time.Millisecond, 600*time.Millisecond))
+		s.partition([]string{"c"}, []string{"a", "b"}, false)
 		s.run(2 * time.Second)
 		s.heal()
 		s.run(2 * time.Second)
-		require.NoError(t, s.broken)
+		require.NoError(t, s.violation)
 		c := s.nodes["c"].replica
 		require.True(t, c.Serving())
 		require.Equal(t, int64(changes), c.State().Models["m"].Version)
@@ -309,21 +309,21 @@
 
 // TestLargeStateOverASlowLink: a state of 8 MB reaches a machine that lost its disk over links of 5 MB a second, beside heartbeats and writes,
 // and a cut in the middle of it does not begin it anew. No view is lost over it, and none waits for it.
-func TestLargeStateOverASlowLink(t *testing.T) {
+func TestLargeStateTransferOverSlowLink(t *testing.T) {
 	const size = 8 << 20
-	s := three(3)
+	s := threeNodes(3)
 	s.run(3 * time.Second)
-	large := s.put("a", 0, 1, strings.Repeat("x", size))
+	large := s.putConfig("a", 0, 1, strings.Repeat("x", size))
 	s.run(900 * time.Millisecond)
-	require.Equal(t, outcomeTaken, large.outcome)
-	s.rate = 5 << 20
+	require.Equal(t, outcomeCommitted, large.outcome)
+	s.bytesPerSecond = 5 << 20
 	s.kill("c")
 	s.run(2 * time.Second)
 	settled := s.epoch()
 	s.join("c", "zone-c")
 	s.run(800 * time.Millisecond)
-	require.Greater(t, s.pieces, 2<<20, "it has begun")
-	s.separate([]string{"c"}, []string{"a", "b"}, false)
+	require.Greater(t, s.chunkBytesSent, 2<<20, "it has begun")
+	s.partition([]string{"c"}, []string{"a", "b"}, false)
 	s.run(2 * time.Second)
 	s.heal()
 	began, without := s.now, 0
@@ -332,11 +332,11 @@
 			without++
 		}
 		require.Less(t, s.now-began, 6*time.Second)
-		s.run(tickEvery)
+		s.run(tickInterval)
 	}
 	require.LessOrEqual(t, without, 6, "the others go on, but for the change of the view")
 	requireWritable(t, s, time.Second, "whole again")
 	require.Equal(t, int64(1), s.nodes["c"].replica.State().ConfigVersion)
 	require.LessOrEqual(t, s.epoch(), settled+2)
-	require.Less(t, s.pieces, size+size/4, "what had come was not sent again")
+	require.Less(t, s.chunkBytesSent, size+size/4, "what had come was not sent again")
 }
--- a/internal/chain/messages.go
+++ b/internal/chain/messages.go
@@ -4,54 +4,54 @@
 
 // Message is one of the fields below, sent by From.
 type Message struct {
-	From      Member     `cbor:"1,keyasint"`
-	Heartbeat *Heartbeat `cbor:"2,keyasint,omitempty"`
-	Prepare   *Prepare   `cbor:"3,keyasint,omitempty"`
-	Promise   *Promise   `cbor:"4,keyasint,omitempty"`
-	Transfer  *Transfer  `cbor:"5,keyasint,omitempty"`
-	CatchUp   *CatchUp   `cbor:"6,keyasint,omitempty"`
-	CaughtUp  *CaughtUp  `cbor:"7,keyasint,omitempty"`
-	Accept    *Accept    `cbor:"8,keyasint,omitempty"`
-	Accepted  *Accepted  `cbor:"9,keyasint,omitempty"`
-	Decided   *View      `cbor:"10,keyasint,omitempty"`
-	Append    *Append    `cbor:"11,keyasint,omitempty"`
-	Commit    *Commit    `cbor:"12,keyasint,omitempty"`
-	Confirm   *Confirm   `cbor:"13,keyasint,omitempty"`
-	Confirmed *Confirm   `cbor:"14,keyasint,omitempty"`
-	Rejected  *Ballot    `cbor:"15,keyasint,omitempty"` // the ballot that was promised to another
-	Fetch     *Fetch     `cbor:"16,keyasint,omitempty"`
-	Piece     *Piece     `cbor:"17,keyasint,omitempty"`
+	From       Member      `cbor:"1,keyasint"`
+	Heartbeat  *Heartbeat  `cbor:"2,keyasint,omitempty"`
+	Prepare    *Prepare    `cbor:"3,keyasint,omitempty"`
+	Promise    *Promise    `cbor:"4,keyasint,omitempty"`
+	Transfer   *Transfer   `cbor:"5,keyasint,omitempty"`
+	CatchUp    *CatchUp    `cbor:"6,keyasint,omitempty"`
+	CaughtUp   *CaughtUp   `cbor:"7,keyasint,omitempty"`
+	Accept     *Accept     `cbor:"8,keyasint,omitempty"`
+	Accepted   *Accepted   `cbor:"9,keyasint,omitempty"`
+	Decided    *View       `cbor:"10,keyasint,omitempty"`
+	Append     *Append     `cbor:"11,keyasint,omitempty"`
+	Commit     *Commit     `cbor:"12,keyasint,omitempty"`
+	Confirm    *Confirm    `cbor:"13,keyasint,omitempty"`
+	Confirmed  *Confirm    `cbor:"14,keyasint,omitempty"`
+	Rejected   *Ballot     `cbor:"15,keyasint,omitempty"` // the ballot that was promised to another
+	FetchState *FetchState `cbor:"16,keyasint,omitempty"`
+	StateChunk *StateChunk `cbor:"17,keyasint,omitempty"`
 }
 
 // Heartbeat tells that its sender lives, and where it stands.
 type Heartbeat struct {
-	Epoch     uint64   `cbor:"1,keyasint"` // of the newest view that it knows
-	LogEpoch  uint64   `cbor:"2,keyasint"`
-	LogLength uint64   `cbor:"3,keyasint"`
-	Commit    uint64   `cbor:"4,keyasint"`
-	Sealed    bool     `cbor:"5,keyasint,omitempty"`
-	Heard     []NodeID `cbor:"6,keyasint,omitempty"` // from whom it heard lately, left out if that is all other members of the view
-	HeardAll  bool     `cbor:"8,keyasint,omitempty"`
-	Applied   uint64   `cbor:"7,keyasint"`            // that all its sessions' agents have applied; NoSessions if it has none
-	Leaving   bool     `cbor:"9,keyasint,omitempty"`  // it was told to end, and waits for a view without it
-	Near      uint64   `cbor:"10,keyasint,omitempty"` // who has committed so much can be brought the rest at once
-	Fresh     bool     `cbor:"11,keyasint,omitempty"` // it has just started, and may not have heard yet whom it can hear
-	Newcomers []Member `cbor:"12,keyasint,omitempty"` // machines that it hears and that are no members of its view: they are to meet each other
+	Epoch           uint64   `cbor:"1,keyasint"` // of the newest view that it knows
+	LogEpoch        uint64   `cbor:"2,keyasint"`
+	LogLength       uint64   `cbor:"3,keyasint"`
+	Commit          uint64   `cbor:"4,keyasint"`
+	Sealed          bool     `cbor:"5,keyasint,omitempty"`
+	AlivePeers      []NodeID `cbor:"6,keyasint,omitempty"` // from whom it heard lately, left out if that is all other members of the view
+	AllMembersAlive bool     `cbor:"8,keyasint,omitempty"`
+	Applied         uint64   `cbor:"7,keyasint"`            // that all its sessions' agents have applied; NoSessions if it has none
+	Leaving         bool     `cbor:"9,keyasint,omitempty"`  // it was told to end, and waits for a view without it
+	MinCatchUpSeq   uint64   `cbor:"10,keyasint,omitempty"` // who has committed so much can be brought the rest at once
+	RecentlyStarted bool     `cbor:"11,keyasint,omitempty"` // it has just started, and may not have heard yet whom it can hear
+	JoiningNodes    []Member `cbor:"12,keyasint,omitempty"` // machines that it hears and that are no members of its view: they are to meet each other
 }
 
 // Hears tells whether its sender hears a member of a view.
-func (h *Heartbeat) Hears(view *View, id NodeID) bool {
-	if h.HeardAll && h.Epoch == view.Epoch {
+func (h *Heartbeat) SeesAlive(view *View, id NodeID) bool {
+	if h.AllMembersAlive && h.Epoch == view.Epoch {
 		_, member := view.Member(id)
 		return member
 	}
-	return slices.Contains(h.Heard, id)
+	return slices.Contains(h.AlivePeers, id)
 }
 
 // MayHear is Hears, but takes a sender for hearing everybody that says so of another view, or has just started: views differ for a moment
 // whenever one begins, and neither is the loss of a link.
-func (h *Heartbeat) MayHear(view *View, id NodeID) bool {
-	return h.Fresh || h.HeardAll && h.Epoch != view.Epoch || h.Hears(view, id)
+func (h *Heartbeat) MaySeeAlive(view *View, id NodeID) bool {
+	return h.RecentlyStarted || h.AllMembersAlive && h.Epoch != view.Epoch || h.SeesAlive(view, id)
 }
 
 // Prepare asks for a promise under a ballot, for the epoch after View's.
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -11,79 +11,79 @@
 
 // proposal is one attempt at the next view.
 type proposal struct {
-	ballot   Ballot
-	want     wanted
-	started  time.Duration
-	asked    []Member
-	promises map[NodeID]*Promise
-	source   NodeID
-	length   uint64 // of the source's log
-	caught   map[NodeID]bool
-	targets  []Target
-	view     *View // once it is put to the vote
-	accepted map[NodeID]bool
+	ballot       Ballot
+	desired      desiredView
+	startedAt    time.Duration
+	participants []Member
+	promises     map[NodeID]*Promise
+	source       NodeID
+	sourceLength uint64 // of the source's log
+	caughtUp     map[NodeID]bool
+	targets      []Target
+	view         *View // once it is put to the vote
+	accepted     map[NodeID]bool
 }
 
 // passedOverFor is how long a member is left alone that did not catch up in time: each proposal holds up the writes.
-const passedOverFor = 1500 * time.Millisecond
+const catchUpBackoff = 1500 * time.Millisecond
 
 // propel starts a proposal where one is wanted, moves one on, or gives it up. Of those that want one the first acceptor that is
 // heard begins; others wait for longer the further behind they are, so that they seldom meet.
-func (r *Replica) propel(now time.Duration) {
+func (r *Replica) driveProposal(now time.Duration) {
 	if p := r.proposal; p != nil {
-		if now-p.started > r.options.Timing.Round {
-			r.out.GivenUp = p.givenUp(r.meta.View.Epoch)
+		if now-p.startedAt > r.options.Timing.ProposalTimeout {
+			r.out.ProposalTimedOut = p.describeTimeout(r.meta.View.Epoch)
 			r.proposal = nil
-			want, _ := r.want(now)
-			r.retryAt = now + r.delay(now, want)
+			want, _ := r.desiredView(now)
+			r.retryAt = now + r.proposalDelay(now, want)
 			return
 		}
-		r.advance(now)
+		r.advanceProposal(now)
 		return
 	}
-	want, need := r.want(now)
+	want, need := r.desiredView(now)
 	if !need {
-		r.needSince = 0
+		r.changeNeededSince = 0
 		return
 	}
-	if r.needSince == 0 {
-		r.needSince = now
+	if r.changeNeededSince == 0 {
+		r.changeNeededSince = now
 	}
-	if now < r.retryAt || now-r.needSince < r.delay(now, want) || !r.possible(now, want) {
+	if now < r.retryAt || now-r.changeNeededSince < r.proposalDelay(now, want) || !r.canPropose(now, want) {
 		return
 	}
-	r.begin(now, want)
+	r.startProposal(now, want)
 }
 
-func (r *Replica) begin(now time.Duration, want wanted) {
-	r.round = max(r.round, r.meta.Promised.Round) + 1
+func (r *Replica) startProposal(now time.Duration, want desiredView) {
+	r.highestRound = max(r.highestRound, r.meta.Promised.Round) + 1
 	p := &proposal{
-		ballot:   Ballot{r.round, r.meta.Identity},
-		want:     want,
-		started:  now,
-		promises: map[NodeID]*Promise{},
-		caught:   map[NodeID]bool{},
-		accepted: map[NodeID]bool{},
+		ballot:    Ballot{r.highestRound, r.meta.Identity},
+		desired:   want,
+		startedAt: now,
+		promises:  map[NodeID]*Promise{},
+		caughtUp:  map[NodeID]bool{},
+		accepted:  map[NodeID]bool{},
 	}
 	r.proposal = p
-	r.out.Attempt = r.attempt(now, p)
-	p.asked = slices.Clone(r.meta.View.Acceptors)
+	r.out.ProposalStarted = r.describeStart(now, p)
+	p.participants = slices.Clone(r.meta.View.Acceptors)
 	for _, id := range want.chain {
 		if _, acceptor := r.meta.View.Acceptor(id); !acceptor {
-			p.asked = append(p.asked, r.member(id))
+			p.participants = append(p.participants, r.memberInfo(id))
 		}
 	}
-	for _, m := range p.asked {
+	for _, m := range p.participants {
 		r.send(m, Message{Prepare: &Prepare{r.meta.View, p.ballot}})
 	}
 }
 
 func (r *Replica) onPrepare(m *Message) {
 	prepare := m.Prepare
-	r.round = max(r.round, prepare.Ballot.Round)
+	r.highestRound = max(r.highestRound, prepare.Ballot.Round)
 	if prepare.View.Epoch > r.meta.View.Epoch {
 		view := prepare.View
-		r.adopt(&view)
+		r.adoptView(&view)
 	}
 	if prepare.View.Epoch < r.meta.View.Epoch {
 		view := r.meta.View
@@ -102,7 +102,7 @@
 	r.send(m.From, Message{Promise: &Promise{
 		Epoch: r.meta.View.Epoch, Ballot: prepare.Ballot,
 		Accepted: r.meta.Accepted, AcceptedView: r.meta.AcceptedView,
-		LogEpoch: r.meta.LogEpoch, LogLength: r.length(), Commit: r.state.Seq,
+		LogEpoch: r.meta.LogEpoch, LogLength: r.lastSeq(), Commit: r.state.Seq,
 	}})
 }
 
@@ -112,42 +112,42 @@
 		return
 	}
 	p.promises[m.From.ID] = m.Promise
-	r.advance(r.lastTick) // a tick judges who is late: more answers may wait behind this one
+	r.advanceProposal(r.lastTick) // a tick judges who is late: more answers may wait behind this one
 }
 
 // advance goes on to the next step of a proposal when enough answered: all that were asked, or a majority and some time for the rest.
-func (r *Replica) advance(now time.Duration) {
+func (r *Replica) advanceProposal(now time.Duration) {
 	p := r.proposal
-	waited := now - p.started
+	waited := now - p.startedAt
 	switch {
 	case p.view != nil:
 	case p.source == "":
-		if r.promised() >= r.meta.View.Majority() && r.enoughPromised(now, waited) {
+		if r.promisedAcceptors() >= r.meta.View.Majority() && r.enoughPromised(now, waited) {
 			r.chooseSource()
 		}
 	case r.enoughCaughtUp(waited):
-		r.vote(now)
+		r.proposeView(now)
 	}
 }
 
 // enoughPromised tells whether it is time to go on without the promises that lack: soon without those of machines that are not heard, later
 // without any, as each that is left out costs another view.
 func (r *Replica) enoughPromised(now, waited time.Duration) bool {
-	p, patience := r.proposal, r.options.Timing.Heartbeat
-	if len(p.promises) == len(p.asked) || waited >= 3*patience {
+	p, patience := r.proposal, r.options.Timing.HeartbeatInterval
+	if len(p.promises) == len(p.participants) || waited >= 3*patience {
 		return true
 	}
-	return waited >= patience && !slices.ContainsFunc(p.want.chain, func(id NodeID) bool { return p.promises[id] == nil && r.hears(now, id) })
+	return waited >= patience && !slices.ContainsFunc(p.desired.chain, func(id NodeID) bool { return p.promises[id] == nil && r.isAlive(now, id) })
 }
 
 // enoughCaughtUp tells whether it is time to vote: all that promised hold the log, or enough do and the others had their time.
 func (r *Replica) enoughCaughtUp(waited time.Duration) bool {
-	p, patience := r.proposal, r.options.Timing.Heartbeat
-	return len(p.caught) == len(p.targets)+1 || waited >= 4*patience && len(p.caught) >= r.options.Copies
+	p, patience := r.proposal, r.options.Timing.HeartbeatInterval
+	return len(p.caughtUp) == len(p.targets)+1 || waited >= 4*patience && len(p.caughtUp) >= r.options.MinCopies
 }
 
 // promised counts the acceptors that promised.
-func (r *Replica) promised() (n int) {
+func (r *Replica) promisedAcceptors() (n int) {
 	for id := range r.proposal.promises {
 		if _, acceptor := r.meta.View.Acceptor(id); acceptor {
 			n++
@@ -168,10 +168,10 @@
 		}
 	}
 	if newest != nil {
-		r.put(newest.AcceptedView)
+		r.sendAccepts(newest.AcceptedView)
 		return
 	}
-	r.pickSource(p.want.chain)
+	r.pickSource(p.desired.chain)
 	if p.source == "" {
 		r.pickSource(r.meta.View.Chain)
 	}
@@ -179,8 +179,8 @@
 		r.proposal = nil
 		return
 	}
-	p.caught[p.source] = true
-	for _, m := range p.asked {
+	p.caughtUp[p.source] = true
+	for _, m := range p.participants {
 		if promise := p.promises[m.ID]; promise != nil && m.ID != p.source {
 			p.targets = append(p.targets, Target{m, promise.LogEpoch, promise.LogLength, promise.Commit})
 		}
@@ -196,47 +196,47 @@
 		if promise == nil || promise.LogEpoch != r.meta.View.Epoch || !slices.Contains(among, id) {
 			continue
 		}
-		if p.source == "" || promise.LogLength > p.length {
-			p.source, p.length = id, promise.LogLength
+		if p.source == "" || promise.LogLength > p.sourceLength {
+			p.source, p.sourceLength = id, promise.LogLength
 		}
 	}
 }
 
 // vote puts the new view to the vote: its chain is those that hold the source's log.
-func (r *Replica) vote(now time.Duration) {
+func (r *Replica) proposeView(now time.Duration) {
 	p, view := r.proposal, &r.meta.View
-	if len(p.caught) < r.options.Copies {
+	if len(p.caughtUp) < r.options.MinCopies {
 		r.proposal = nil
 		return
 	}
-	next := &View{Epoch: view.Epoch + 1, LogLength: p.length}
-	for _, id := range p.want.chain {
-		if p.caught[id] {
+	next := &View{Epoch: view.Epoch + 1, LogLength: p.sourceLength}
+	for _, id := range p.desired.chain {
+		if p.caughtUp[id] {
 			next.Chain = append(next.Chain, id)
 		}
 	}
-	if len(next.Chain) < r.options.Copies {
+	if len(next.Chain) < r.options.MinCopies {
 		r.proposal = nil
 		return
 	}
-	next.Acceptors = r.wantedAcceptors(now, next.Chain)
+	next.Acceptors = r.nextAcceptors(now, next.Chain)
 	for _, id := range next.Chain {
 		if _, acceptor := next.Acceptor(id); !acceptor {
-			next.Learners = append(next.Learners, r.member(id))
+			next.Learners = append(next.Learners, r.memberInfo(id))
 		}
 	}
-	for _, m := range p.asked {
-		if other := r.peers[m.ID]; other != nil && !p.caught[m.ID] {
-			other.passedOver = now + passedOverFor
+	for _, m := range p.participants {
+		if other := r.peers[m.ID]; other != nil && !p.caughtUp[m.ID] {
+			other.backoffUntil = now + catchUpBackoff
 		}
 	}
-	r.order(now, next)
-	r.put(next)
+	r.orderChain(now, next)
+	r.sendAccepts(next)
 }
 
 // order keeps the chain's order, newcomers last; after a write was stuck it takes another, as one link of the old may be at fault.
-func (r *Replica) order(now time.Duration, next *View) {
-	if r.stuck(now) {
+func (r *Replica) orderChain(now time.Duration, next *View) {
+	if r.writeStuck(now) {
 		key := strconv.FormatUint(next.Epoch, 10)
 		slices.SortFunc(next.Chain, func(a, b NodeID) int {
 			return cmp.Compare(rendezvous.Weight(key, string(a)), rendezvous.Weight(key, string(b)))
@@ -252,7 +252,7 @@
 	slices.SortStableFunc(next.Chain, func(a, b NodeID) int { return cmp.Compare(place(a), place(b)) })
 }
 
-func (r *Replica) put(view *View) {
+func (r *Replica) sendAccepts(view *View) {
 	p := r.proposal
 	p.view = view
 	for _, m := range r.meta.View.Acceptors {
@@ -285,7 +285,7 @@
 	}
 	view := p.view
 	told := append(r.meta.View.Members(), view.Members()...)
-	r.adopt(view)
+	r.adoptView(view)
 	for _, m := range told {
 		if m.ID != r.meta.Identity {
 			r.send(m, Message{Decided: view})
@@ -294,22 +294,22 @@
 }
 
 // adopt takes a decided view. A member of its chain that holds the log it starts from cuts off what goes beyond, and serves.
-func (r *Replica) adopt(view *View) {
+func (r *Replica) adoptView(view *View) {
 	if view.Epoch <= r.meta.View.Epoch {
 		return
 	}
-	intact := view.InChain(r.meta.Identity) && r.meta.LogEpoch+1 == view.Epoch && r.length() >= view.LogLength && r.state.Seq <= view.LogLength
+	intact := view.InChain(r.meta.Identity) && r.meta.LogEpoch+1 == view.Epoch && r.lastSeq() >= view.LogLength && r.state.Seq <= view.LogLength
 	r.meta.View = *view
 	r.meta.Promised, r.meta.Accepted, r.meta.AcceptedView = Ballot{}, Ballot{}, nil
-	r.proposal, r.needSince, r.pending = nil, 0, 0
-	clear(r.reads)
+	r.proposal, r.changeNeededSince, r.pendingSince = nil, 0, 0
+	clear(r.pendingReads)
 	if intact {
-		r.log = r.log[:view.LogLength+1-r.first]
+		r.log = r.log[:view.LogLength+1-r.firstSeq]
 		r.meta.LogEpoch = view.Epoch
 		r.commitTo(view.LogLength)
 	}
 	r.saveMeta()
-	r.out.ViewNew = true
+	r.out.ViewChanged = true
 }
 
 func sameMembers(a, b []Member) bool {
@@ -319,10 +319,10 @@
 		}
 		return ids
 	}
-	return sameSet(ids(a), ids(b))
+	return sameIDs(ids(a), ids(b))
 }
 
-func sameSet(a, b []NodeID) bool {
+func sameIDs(a, b []NodeID) bool {
 	a, b = slices.Clone(a), slices.Clone(b)
 	slices.Sort(a)
 	slices.Sort(b)
--- a/internal/chain/random_runs_test.go
+++ b/internal/chain/random_runs_test.go
@@ -14,23 +14,23 @@
 )
 
 // recoveredWithin bounds how long writes rest once all machines are back after whatever happened to them.
-const recoveredWithin = 6 * time.Second
+const fullRecoveryLimit = 6 * time.Second
 
 // trouble is a random run: machines, what happens to them, and two operators.
-type trouble struct {
+type randomRun struct {
 	*simulation
-	machines []string
-	tolerate int // disks that may be lost at once
-	gone     map[string]bool
+	machines     []string
+	maxLostDisks int // disks that may be lost at once
+	wipedNodes   map[string]bool
 	// replacing is machines that go for good, and the newcomers at other addresses that come for them.
-	replacing map[string]string
-	newcomers int
-	newest    int64 // configuration that the operators know
-	pending   []*call
-	mark      int
+	replacing     map[string]string
+	joinedCount   int
+	newestVersion int64 // configuration that the operators know
+	pendingCalls  []*call
+	lastMark      int
 }
 
-func newTrouble(seed uint64, planted fault) *trouble {
+func newRandomRun(seed uint64, planted fault) *randomRun {
 	shapes := [][]string{{"a:x", "b:y", "c:z"}, {"a:x", "b:x", "c:y"}, {"a:x", "b:y", "c:z", "d:x"}, {"a:x", "b:x", "c:y", "d:y", "e:z"}}
 	machines := shapes[seed%uint64(len(shapes))]
 	copies := 2
@@ -40,17 +40,17 @@
 	if seed%10 == 7 {
 		machines, copies = []string{"a:x", "b:y", "c:z", "d:x", "e:x", "f:y", "g:z", "h:w", "i:w"}, 3
 	}
-	tr := &trouble{simulation: newSimulation(seed, copies, machines[:3]...), tolerate: copies - 1, gone: map[string]bool{}, replacing: map[string]string{}}
-	tr.fault = planted
+	tr := &randomRun{simulation: newSimulation(seed, copies, machines[:3]...), maxLostDisks: copies - 1, wipedNodes: map[string]bool{}, replacing: map[string]string{}}
+	tr.injected = planted
 	if seed%2 == 0 { // short logs, and states that are always fetched in pieces
-		tr.limits = Limits{KeptEntries: 3, SnapshotEntries: 2, SnapshotBytes: 1 << 20, WholeBytes: 100, PieceBytes: 60}
+		tr.limits = Limits{RetainedEntries: 3, SnapshotEntries: 2, SnapshotBytes: 1 << 20, CatchUpBytes: 100, ChunkBytes: 60}
 		for _, text := range machines[:3] {
-			addr, _ := splitMachine(text)
+			addr, _ := splitAddrZone(text)
 			tr.start(tr.nodes[addr])
 		}
 	}
 	for _, text := range machines[3:] {
-		addr, zone := splitMachine(text)
+		addr, zone := splitAddrZone(text)
 		tr.join(addr, zone)
 	}
 	tr.machines = slices.Clone(tr.addrs)
@@ -58,10 +58,10 @@
 	return tr
 }
 
-func (tr *trouble) pick() string { return tr.machines[tr.random.IntN(len(tr.machines))] }
+func (tr *randomRun) pick() string { return tr.machines[tr.random.IntN(len(tr.machines))] }
 
 // lostDisks counts machines that came back empty and are in no chain yet, and those that go for good and are not replaced yet.
-func (tr *trouble) lostDisks() (n int) {
+func (tr *randomRun) lostDisks() (n int) {
 	for addr, newcomer := range tr.replacing {
 		if tr.replaced(addr, newcomer) {
 			delete(tr.replacing, addr)
@@ -69,11 +69,11 @@
 		}
 		n++
 	}
-	for addr := range tr.gone {
+	for addr := range tr.wipedNodes {
 		node := tr.nodes[addr]
 		view := node.replica.View()
 		if node.up && view.Epoch == tr.epoch() && view.InChain(node.replica.Self().ID) {
-			delete(tr.gone, addr)
+			delete(tr.wipedNodes, addr)
 			continue
 		}
 		n++
@@ -82,53 +82,53 @@
 }
 
 // hit lets one thing happen to the machines.
-func (tr *trouble) hit() {
+func (tr *randomRun) injectFault() {
 	addr, rest := tr.pick(), time.Duration(200+tr.random.IntN(5000))*time.Millisecond
 	n := tr.nodes[addr]
 	back := func() {
-		if n := tr.nodes[addr]; !n.up && !n.departed {
+		if n := tr.nodes[addr]; !n.up && !n.retired {
 			tr.restart(addr)
 		}
 	}
-	tr.hold = tr.hold || tr.random.IntN(2) == 0
+	tr.holdMessages = tr.holdMessages || tr.random.IntN(2) == 0
 	switch tr.random.IntN(14) {
 	case 0:
 		tr.kill(addr)
-		tr.after(rest, back)
+		tr.schedule(rest, back)
 	case 1:
 		tr.powerOff(addr)
-		tr.after(rest, back)
+		tr.schedule(rest, back)
 	case 2:
 		if n.up {
 			tr.freeze(addr)
-			tr.after(rest, func() { tr.thaw(addr) })
+			tr.schedule(rest, func() { tr.thaw(addr) })
 		}
 	case 3:
-		tr.separate([]string{addr}, slices.DeleteFunc(slices.Clone(tr.machines), func(a string) bool { return a == addr }), tr.random.IntN(3) == 0)
-		tr.after(rest, tr.heal)
+		tr.partition([]string{addr}, slices.DeleteFunc(slices.Clone(tr.machines), func(a string) bool { return a == addr }), tr.random.IntN(3) == 0)
+		tr.schedule(rest, tr.heal)
 	case 4:
 		if other := tr.pick(); other != addr {
-			tr.separate([]string{addr}, []string{other}, tr.random.IntN(2) == 0)
-			tr.after(rest, tr.heal)
+			tr.partition([]string{addr}, []string{other}, tr.random.IntN(2) == 0)
+			tr.schedule(rest, tr.heal)
 		}
 	case 5:
 		half := len(tr.machines) / 2
-		tr.separate(tr.machines[:half], tr.machines[half:], false)
-		tr.after(rest, tr.heal)
+		tr.partition(tr.machines[:half], tr.machines[half:], false)
+		tr.schedule(rest, tr.heal)
 	case 6:
-		if tr.lostDisks() < tr.tolerate {
-			tr.gone[addr] = true
+		if tr.lostDisks() < tr.maxLostDisks {
+			tr.wipedNodes[addr] = true
 			tr.kill(addr)
 			tr.join(addr, n.zone)
 		}
 	case 7:
 		if n.up && !n.frozen {
 			tr.leave(addr, 3*time.Second)
-			tr.after(4*time.Second, back)
+			tr.schedule(4*time.Second, back)
 		}
 	case 8:
-		n.sync = time.Duration(tr.random.IntN(900)) * time.Millisecond
-		tr.after(rest, func() { n.sync = simSync })
+		n.syncTime = time.Duration(tr.random.IntN(900)) * time.Millisecond
+		tr.schedule(rest, func() { n.syncTime = simSyncTime })
 	case 9:
 		end := tr.kill
 		if tr.random.IntN(2) == 0 {
@@ -137,7 +137,7 @@
 		for _, a := range tr.machines {
 			end(a)
 		}
-		tr.after(rest/4, func() {
+		tr.schedule(rest/4, func() {
 			for _, a := range tr.machines {
 				if !tr.nodes[a].up {
 					tr.restart(a)
@@ -147,18 +147,18 @@
 	case 11, 12:
 		tr.replace(addr, rest)
 	case 10:
-		n.failing = true
-		tr.after(rest, func() { n.failing = false })
+		n.diskFailing = true
+		tr.schedule(rest, func() { n.diskFailing = false })
 	}
 }
 
 // replace has a machine go for good, and an empty one come at another address: before it, which is planned and ends with SIGTERM, or after it.
-func (tr *trouble) replace(addr string, gap time.Duration) {
-	if tr.lostDisks() >= tr.tolerate || !tr.nodes[addr].up || tr.nodes[addr].frozen {
+func (tr *randomRun) replace(addr string, gap time.Duration) {
+	if tr.lostDisks() >= tr.maxLostDisks || !tr.nodes[addr].up || tr.nodes[addr].frozen {
 		return
 	}
-	tr.newcomers++
-	newcomer, zone := fmt.Sprintf("n%d", tr.newcomers), tr.nodes[addr].zone
+	tr.joinedCount++
+	newcomer, zone := fmt.Sprintf("n%d", tr.joinedCount), tr.nodes[addr].zone
 	tr.replacing[addr] = newcomer
 	tr.machines = slices.DeleteFunc(slices.Clone(tr.machines), func(a string) bool { return a == addr })
 	join := func() {
@@ -167,24 +167,24 @@
 	}
 	if tr.random.IntN(2) == 0 { // planned
 		join()
-		tr.after(gap, func() {
-			tr.nodes[addr].departed = true
+		tr.schedule(gap, func() {
+			tr.nodes[addr].retired = true
 			if tr.nodes[addr].up {
 				tr.leave(addr, 3*time.Second)
 			}
 		})
 		return
 	}
-	tr.nodes[addr].departed = true
+	tr.nodes[addr].retired = true
 	tr.powerOff(addr)
-	tr.after(gap, join)
+	tr.schedule(gap, join)
 }
 
 // replaced tells whether a newcomer has taken the place of a machine that goes for good: it holds the log, and the other neither votes nor is
 // counted on as a copy. One that is told to end while too few others are there stays in the chain until its grace is over.
-func (tr *trouble) replaced(addr, newcomer string) bool {
+func (tr *randomRun) replaced(addr, newcomer string) bool {
 	node := tr.nodes[newcomer]
-	if node == nil || !node.up || !tr.nodes[addr].departed {
+	if node == nil || !node.up || !tr.nodes[addr].retired {
 		return false
 	}
 	view := node.replica.View()
@@ -193,29 +193,29 @@
 }
 
 // operate lets an operator send something, or send again what got no clear answer.
-func (tr *trouble) operate() {
+func (tr *randomRun) operatorStep() {
 	addr := tr.pick()
-	if i := slices.IndexFunc(tr.pending, (*call).over); i >= 0 {
-		c := tr.pending[i]
-		tr.pending = slices.Delete(tr.pending, i, i+1)
-		if c.outcome == outcomeUnclear {
-			again := tr.call(&call{operation: c.operation, contact: addr, version: c.version})
-			tr.pending = append(tr.pending, again)
+	if i := slices.IndexFunc(tr.pendingCalls, (*call).done); i >= 0 {
+		c := tr.pendingCalls[i]
+		tr.pendingCalls = slices.Delete(tr.pendingCalls, i, i+1)
+		if c.outcome == outcomeUnknown {
+			again := tr.startCall(&call{operation: c.operation, contact: addr, version: c.version})
+			tr.pendingCalls = append(tr.pendingCalls, again)
 			return
 		}
-		if c.outcome == outcomeTaken && c.version > tr.newest {
-			tr.newest = c.version
+		if c.outcome == outcomeCommitted && c.version > tr.newestVersion {
+			tr.newestVersion = c.version
 		}
 	}
 	switch tr.random.IntN(6) {
 	case 0:
-		tr.pending = append(tr.pending, tr.read(addr))
+		tr.pendingCalls = append(tr.pendingCalls, tr.read(addr))
 	case 1, 2:
-		tr.mark++
-		version := tr.newest + 1 + int64(tr.random.IntN(2))
-		tr.pending = append(tr.pending, tr.put(addr, tr.newest, version, fmt.Sprint("one ", tr.mark)))
+		tr.lastMark++
+		version := tr.newestVersion + 1 + int64(tr.random.IntN(2))
+		tr.pendingCalls = append(tr.pendingCalls, tr.putConfig(addr, tr.newestVersion, version, fmt.Sprint("one ", tr.lastMark)))
 		if tr.random.IntN(2) == 0 { // the other operator, with the same number
-			tr.pending = append(tr.pending, tr.put(tr.pick(), tr.newest, version, fmt.Sprint("two ", tr.mark)))
+			tr.pendingCalls = append(tr.pendingCalls, tr.putConfig(tr.pick(), tr.newestVersion, version, fmt.Sprint("two ", tr.lastMark)))
 		}
 	case 3, 4:
 		kind := replicated.KindEvacuate
@@ -225,19 +225,19 @@
 		tr.submit(addr, &replicated.Operation{Kind: kind, Zone: "x"})
 	}
 	for i, c := range tr.calls {
-		if c.operation == nil && c.outcome == outcomeTaken && c.state.ConfigVersion > tr.newest && i >= len(tr.calls)-8 {
-			tr.newest = c.state.ConfigVersion
+		if c.operation == nil && c.outcome == outcomeCommitted && c.state.ConfigVersion > tr.newestVersion && i >= len(tr.calls)-8 {
+			tr.newestVersion = c.state.ConfigVersion
 		}
 	}
 }
 
 // play lets things happen for a while, then puts all right.
-func (tr *trouble) play(hits int) {
+func (tr *randomRun) play(hits int) {
 	for range hits {
-		tr.hit()
+		tr.injectFault()
 		for range 1 + tr.random.IntN(8) {
-			tr.operate()
-			tr.run(tr.between(0, 400*time.Millisecond))
+			tr.operatorStep()
+			tr.run(tr.randomDuration(0, 400*time.Millisecond))
 		}
 	}
 	tr.run(6 * time.Second)
@@ -248,20 +248,20 @@
 		} else if n.frozen {
 			tr.thaw(addr)
 		}
-		tr.nodes[addr].sync, tr.nodes[addr].failing = simSync, false
-		tr.nodes[addr].busy = min(tr.nodes[addr].busy, tr.now) // nothing is left of a slow disk's queue
+		tr.nodes[addr].syncTime, tr.nodes[addr].diskFailing = simSyncTime, false
+		tr.nodes[addr].busyUntil = min(tr.nodes[addr].busyUntil, tr.now) // nothing is left of a slow disk's queue
 	}
 }
 
 // lost gives an acknowledged order that the newest state does not have.
-func (tr *trouble) lost() error {
+func (tr *randomRun) checkAcknowledged() error {
 	head := tr.head()
 	if head == nil {
 		return nil
 	}
 	state := head.replica.State()
 	for _, c := range tr.calls {
-		if c.outcome != outcomeTaken || c.operation == nil {
+		if c.outcome != outcomeCommitted || c.operation == nil {
 			continue
 		}
 		if c.operation.Kind == replicated.KindConfig && state.ConfigVersion < c.version {
@@ -272,20 +272,20 @@
 }
 
 // judge plays a run to its end and gives what was wrong with it.
-func judge(seed uint64, planted fault) error {
-	tr := newTrouble(seed, planted)
+func checkRandomRun(seed uint64, planted fault) error {
+	tr := newRandomRun(seed, planted)
 	tr.play(12)
-	took, taken := tr.writable(recoveredWithin)
+	took, taken := tr.waitWritable(fullRecoveryLimit)
 	tr.run(time.Second)
 	switch {
-	case tr.broken != nil:
-		return tr.broken
+	case tr.violation != nil:
+		return tr.violation
 	case !taken:
 		return fmt.Errorf("no write was taken for %v after all was well", took)
 	case !simtest.Linearizable(tr.history()):
 		return fmt.Errorf("the operators' calls are not linearizable")
 	}
-	return tr.lost()
+	return tr.checkAcknowledged()
 }
 
 const randomRuns = 300
@@ -299,22 +299,22 @@
 // TestRandomRuns plays troubles of all kinds, one over the other, on several shapes of a core; no more disks are lost than may be.
 func TestRandomRuns(t *testing.T) {
 	for seed := *firstFlag; seed < *firstFlag+*runsFlag; seed++ {
-		if err := judge(seed, sound); err != nil {
+		if err := checkRandomRun(seed, noFault); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
 }
 
 // TestRandomRunsFindPlantedFaults shows that the runs would find each of these.
-func TestRandomRunsFindPlantedFaults(t *testing.T) {
+func TestRandomRunsFindInjectedFaults(t *testing.T) {
 	for name, planted := range map[string]struct {
 		fault fault
 		first uint64 // a seed that finds it, tried before all others
 	}{
-		"answers without a majority":       {answersUnconfirmed, 15},
-		"orders taken whatever their base": {ordersUnbased, 220},
-		"entries that are not durable":     {forgetsEntries, 2},
-		"acknowledged by number alone":     {acksByNumber, 1530},
+		"answers without a majority":       {faultUnconfirmedAnswers, 15},
+		"orders taken whatever their base": {faultIgnoredBase, 220},
+		"entries that are not durable":     {faultVolatileEntries, 2},
+		"acknowledged by number alone":     {faultAckByNumber, 1530},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(0); seed <= 4*randomRuns; seed++ {
@@ -322,7 +322,7 @@
 				if seed == 0 {
 					tried = planted.first
 				}
-				if err := judge(tried, planted.fault); err != nil {
+				if err := checkRandomRun(tried, planted.fault); err != nil {
 					t.Logf("seed %d: %v", tried, err)
 					return
 				}
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -14,8 +14,8 @@
 const NoSessions = math.MaxUint64
 
 const (
-	resentEntries    = 64   // in one message
-	confirmKeptBelow = 4096 // reads that wait
+	maxResentEntries = 64   // in one message
+	maxPendingReads  = 4096 // reads that wait
 )
 
 // Errors of Propose. What was refused with them did not enter the log.
@@ -35,72 +35,72 @@
 
 // Replica is one core machine's part.
 type Replica struct {
-	options Options
-	meta    Meta
-	state   *replicated.State // committed
-	log     []Entry           // numbers first.. in order, some of them committed
-	first   uint64            // number of log[0]; one above the newest where the log is empty
-	written struct {          // since the newest snapshot
+	options       Options
+	meta          Meta
+	state         *replicated.State // committed
+	log           []Entry           // numbers first.. in order, some of them committed
+	firstSeq      uint64            // number of log[0]; one above the newest where the log is empty
+	sinceSnapshot struct {          // since the newest snapshot
 		entries int
 		bytes   int
 	}
 
-	peers     map[NodeID]*peer
-	seeds     []string
-	told      map[string]toldOf // newcomers that members of the view told of, by address
-	lastTick  time.Duration
-	started   time.Duration
-	lastBeat  time.Duration
-	needSince time.Duration // since when another view is wanted, 0 if none is
-	pending   time.Duration // since when an entry waits to be committed, 0 if none does
-	proposal  *proposal
-	round     uint64 // the highest seen
-	retryAt   time.Duration
-	applied   uint64 // by the agents with sessions here
-	leaving   bool   // told to end
-	fetching  *fetching
-	offer     *offer
-	reads     map[uint64]*read
-	nonce     uint64
-
-	out   Output
-	local []Message // to itself, handled within the step
-	begun bool
+	peers             map[NodeID]*peer
+	seeds             []string
+	announced         map[string]announcement // newcomers that members of the view told of, by address
+	lastTick          time.Duration
+	startedAt         time.Duration
+	lastHeartbeat     time.Duration
+	changeNeededSince time.Duration // since when another view is wanted, 0 if none is
+	pendingSince      time.Duration // since when an entry waits to be committed, 0 if none does
+	proposal          *proposal
+	highestRound      uint64 // the highest seen
+	retryAt           time.Duration
+	applied           uint64 // by the agents with sessions here
+	leaving           bool   // told to end
+	stateFetch        *stateFetch
+	servedState       *servedState
+	pendingReads      map[uint64]*pendingRead
+	lastNonce         uint64
+
+	out        Output
+	loopback   []Message // to itself, handled within the step
+	hasStepped bool
 }
 
 // peer is what is known of another core machine.
 type peer struct {
-	member Member
-	first  time.Duration // since when it is heard without a gap
-	heard  time.Duration
-	beat   Heartbeat
+	member        Member
+	aliveSince    time.Duration // since when it is heard without a gap
+	lastHeartbeat time.Duration
+	heartbeat     Heartbeat
 	// passedOver is until when it is not taken into the chain, as it did not catch up in time.
-	passedOver time.Duration
+	backoffUntil time.Duration
 }
 
 // toldOf is a machine that another told of.
-type toldOf struct {
-	member Member
-	at     time.Duration
+type announcement struct {
+	member     Member
+	receivedAt time.Duration
 }
 
 // read waits until a majority has confirmed the epoch.
-type read struct {
-	epoch uint64
-	by    map[NodeID]bool
+type pendingRead struct {
+	epoch       uint64
+	confirmedBy map[NodeID]bool
 }
 
 // New makes a replica of what is on its disk.
-func New(options Options, saved Saved) *Replica {
+func New(options Options, saved PersistedState) *Replica {
 	r := &Replica{
-		options: options,
-		meta:    saved.Meta,
-		state:   saved.State,
-		peers:   map[NodeID]*peer{},
-		told:    map[string]toldOf{},
-		reads:   map[uint64]*read{},
-		applied: NoSessions,
-		nonce:   options.FirstNonce,
+		options:      options,
+		meta:         saved.Meta,
+		state:        saved.State,
+		peers:        map[NodeID]*peer{},
+		announced:    map[string]announcement{},
+		pendingReads: map[uint64]*pendingRead{},
+		applied:      NoSessions,
+		lastNonce:    options.FirstNonce,
 	}
 	if r.state == nil {
 		r.state = replicated.New()
@@ -109,28 +109,28 @@
 		r.options.Limits = DefaultLimits()
 	}
 	r.options.Self.ID = saved.Meta.Identity
-	r.first = r.state.Seq + 1
+	r.firstSeq = r.state.Seq + 1
 	for _, e := range saved.Entries {
-		if e.Seq == r.length()+1 && r.belongs(&e) {
+		if e.Seq == r.lastSeq()+1 && r.isCurrentEntry(&e) {
 			r.log = append(r.log, e)
 		}
 	}
 	if r.serving() {
-		r.commitTo(min(r.length(), r.meta.View.LogLength))
+		r.commitTo(min(r.lastSeq(), r.meta.View.LogLength))
 	}
 	return r
 }
 
 // belongs tells whether an entry found on disk is of the log: one beyond the view's start must be of its epoch, else it was cut off
 // when the view began.
-func (r *Replica) belongs(e *Entry) bool {
+func (r *Replica) isCurrentEntry(e *Entry) bool {
 	return r.meta.LogEpoch != r.meta.View.Epoch || e.Seq <= r.meta.View.LogLength || e.Epoch == r.meta.View.Epoch
 }
 
 // length is the number of the newest entry.
-func (r *Replica) length() uint64 { return r.first + uint64(len(r.log)) - 1 }
+func (r *Replica) lastSeq() uint64 { return r.firstSeq + uint64(len(r.log)) - 1 }
 
-func (r *Replica) sealed() bool { return r.meta.Promised != Ballot{} }
+func (r *Replica) isSealed() bool { return r.meta.Promised != Ballot{} }
 
 // serving tells whether this replica is an intact member of its view's chain.
 func (r *Replica) serving() bool {
@@ -139,17 +139,17 @@
 
 // step runs one input, and the messages to itself that follow, and gives what it wants done.
 func (r *Replica) step(now time.Duration, input func()) Output {
-	if !r.begun {
-		r.begun, r.started, r.lastTick = true, now, now
+	if !r.hasStepped {
+		r.hasStepped, r.startedAt, r.lastTick = true, now, now
 	}
 	r.out = Output{}
 	input()
-	for len(r.local) > 0 {
-		m := r.local[0]
-		r.local = r.local[1:]
+	for len(r.loopback) > 0 {
+		m := r.loopback[0]
+		r.loopback = r.loopback[1:]
 		r.handle(now, &m)
 	}
-	r.settle(now)
+	r.finishStep(now)
 	out := r.out
 	r.out = Output{}
 	return out
@@ -169,7 +169,7 @@
 	case m.Promise != nil:
 		r.onPromise(m)
 	case m.Rejected != nil:
-		r.round = max(r.round, m.Rejected.Round)
+		r.highestRound = max(r.highestRound, m.Rejected.Round)
 	case m.Transfer != nil:
 		r.onTransfer(m)
 	case m.CatchUp != nil:
@@ -181,17 +181,17 @@
 	case m.Accepted != nil:
 		r.onAccepted(m)
 	case m.Decided != nil:
-		r.adopt(m.Decided)
+		r.adoptView(m.Decided)
 	case m.Append != nil:
 		r.onAppend(m)
 	case m.Commit != nil:
 		if m.Commit.Epoch == r.meta.View.Epoch && r.serving() {
 			r.commitTo(m.Commit.Seq)
 		}
-	case m.Fetch != nil:
-		r.onFetch(now, m)
-	case m.Piece != nil:
-		r.onPiece(now, m)
+	case m.FetchState != nil:
+		r.onFetchState(now, m)
+	case m.StateChunk != nil:
+		r.onStateChunk(now, m)
 	case m.Confirm != nil:
 		r.onConfirm(m)
 	case m.Confirmed != nil:
@@ -202,7 +202,7 @@
 func (r *Replica) send(to Member, m Message) {
 	m.From = r.options.Self
 	if to.ID == r.meta.Identity {
-		r.local = append(r.local, m)
+		r.loopback = append(r.loopback, m)
 		return
 	}
 	r.out.Messages = append(r.out.Messages, Envelope{to, m})
@@ -234,9 +234,9 @@
 	switch {
 	case view.Head() != r.meta.Identity:
 		return 0, ErrNotHead
-	case r.sealed() || !r.serving() || len(view.Chain) < r.options.Copies:
+	case r.isSealed() || !r.serving() || len(view.Chain) < r.options.MinCopies:
 		return 0, ErrNoChain
-	case r.length() > r.state.Seq:
+	case r.lastSeq() > r.state.Seq:
 		return 0, ErrPending
 	}
 	verdict, err := r.state.Check(o)
@@ -246,21 +246,21 @@
 	case replicated.Conflict, replicated.Invalid, replicated.Outdated:
 		return 0, &RefusedError{verdict, err}
 	}
-	r.take(Entry{Seq: r.length() + 1, Epoch: view.Epoch, Operation: o.Encode()})
-	r.pass()
-	return r.length(), nil
+	r.appendEntry(Entry{Seq: r.lastSeq() + 1, Epoch: view.Epoch, Operation: o.Encode()})
+	r.forwardNewest()
+	return r.lastSeq(), nil
 }
 
 // take adds an entry to the log and has it written.
-func (r *Replica) take(e Entry) {
+func (r *Replica) appendEntry(e Entry) {
 	r.log = append(r.log, e)
-	r.written.entries++
-	r.written.bytes += len(e.Operation)
+	r.sinceSnapshot.entries++
+	r.sinceSnapshot.bytes += len(e.Operation)
 	r.out.Records = append(r.out.Records, Record{Entry: &e, Generation: r.meta.Generation})
 }
 
 // pass sends the newest entry on, or commits it at the tail.
-func (r *Replica) pass() {
+func (r *Replica) forwardNewest() {
 	view := &r.meta.View
 	if next := view.neighbour(r.meta.Identity, 1); next != "" {
 		r.sendTo(next, Message{Append: &Append{view.Epoch, []Entry{r.log[len(r.log)-1]}, r.state.Seq}})
@@ -272,13 +272,13 @@
 // commitAtTail commits all that the tail has: it came through every member of the chain, each of which synced it before.
 func (r *Replica) commitAtTail() {
 	view := &r.meta.View
-	if r.sealed() || !r.serving() || view.Tail() != r.meta.Identity || len(view.Chain) < r.options.Copies {
+	if r.isSealed() || !r.serving() || view.Tail() != r.meta.Identity || len(view.Chain) < r.options.MinCopies {
 		return
 	}
-	if r.length() == r.state.Seq {
+	if r.lastSeq() == r.state.Seq {
 		return
 	}
-	r.commitTo(r.length())
+	r.commitTo(r.lastSeq())
 	for _, id := range view.Chain[:len(view.Chain)-1] {
 		r.sendTo(id, Message{Commit: &Commit{view.Epoch, r.state.Seq}})
 	}
@@ -286,52 +286,52 @@
 
 func (r *Replica) onAppend(m *Message) {
 	a, view := m.Append, &r.meta.View
-	if a.Epoch != view.Epoch || r.sealed() || !r.serving() || view.neighbour(r.meta.Identity, -1) != m.From.ID {
+	if a.Epoch != view.Epoch || r.isSealed() || !r.serving() || view.neighbour(r.meta.Identity, -1) != m.From.ID {
 		return
 	}
 	for _, e := range a.Entries {
-		if e.Seq == r.length()+1 {
-			r.take(e)
-			r.pass()
+		if e.Seq == r.lastSeq()+1 {
+			r.appendEntry(e)
+			r.forwardNewest()
 		}
 	}
-	r.commitTo(min(a.Commit, r.length()))
+	r.commitTo(min(a.Commit, r.lastSeq()))
 }
 
 // commitTo applies entries up to a number that is known to be committed.
 func (r *Replica) commitTo(seq uint64) {
-	seq = min(seq, r.length())
+	seq = min(seq, r.lastSeq())
 	for r.state.Seq < seq {
-		e := &r.log[r.state.Seq+1-r.first]
+		e := &r.log[r.state.Seq+1-r.firstSeq]
 		o, err := replicated.DecodeOperation(e.Operation)
 		if err != nil {
 			panic(fmt.Sprintf("committed entry %d: %v", e.Seq, err)) // it was encoded by a head and kept under a checksum
 		}
 		r.state = r.state.Clone()
 		r.state.Apply(e.Seq, o)
-		r.out.Committed = true
+		r.out.StateChanged = true
 	}
 }
 
 // settle is what follows each input: a snapshot when one is due, and the age of what waits.
-func (r *Replica) settle(now time.Duration) {
+func (r *Replica) finishStep(now time.Duration) {
 	r.commitAtTail()
-	if r.written.entries >= r.options.Limits.SnapshotEntries || r.written.bytes >= r.options.Limits.SnapshotBytes {
-		r.snapshot()
+	if r.sinceSnapshot.entries >= r.options.Limits.SnapshotEntries || r.sinceSnapshot.bytes >= r.options.Limits.SnapshotBytes {
+		r.takeSnapshot()
 	}
-	if r.length() == r.state.Seq {
-		r.pending = 0
-	} else if r.pending == 0 {
-		r.pending = now
+	if r.lastSeq() == r.state.Seq {
+		r.pendingSince = 0
+	} else if r.pendingSince == 0 {
+		r.pendingSince = now
 	}
 }
 
-func (r *Replica) snapshot() {
-	r.written.entries, r.written.bytes = 0, 0
+func (r *Replica) takeSnapshot() {
+	r.sinceSnapshot.entries, r.sinceSnapshot.bytes = 0, 0
 	r.out.Records = append(r.out.Records, Record{Snapshot: &Snapshot{r.meta.Generation, r.state.Encode()}})
-	if over := int(r.state.Seq+1-r.first) - r.options.Limits.KeptEntries; over > 0 {
+	if over := int(r.state.Seq+1-r.firstSeq) - r.options.Limits.RetainedEntries; over > 0 {
 		r.log = slices.Clone(r.log[over:])
-		r.first += uint64(over)
+		r.firstSeq += uint64(over)
 	}
 }
 
@@ -345,7 +345,7 @@
 func (r *Replica) Self() Member { return r.options.Self }
 
 // Serving tells whether this replica is an intact member of the chain of a view that is not being replaced.
-func (r *Replica) Serving() bool { return r.serving() && !r.sealed() }
+func (r *Replica) Serving() bool { return r.serving() && !r.isSealed() }
 
 // SetApplied takes what the agents with sessions here have applied, for the next heartbeat.
 func (r *Replica) SetApplied(seq uint64) (changed bool) {
@@ -360,7 +360,7 @@
 		return false
 	}
 	for _, p := range r.peers {
-		if now-p.heard < r.options.Timing.Suspect && p.beat.Applied < seq {
+		if now-p.lastHeartbeat < r.options.Timing.SuspectTimeout && p.heartbeat.Applied < seq {
 			return false
 		}
 	}
--- a/internal/chain/world_check_test.go
+++ b/internal/chain/search_check_test.go
@@ -6,7 +6,7 @@
 )
 
 // Check holds the world to what must never break.
-func (w *core) Check() error {
+func (w *searchWorld) Check() error {
 	views := map[uint64]string{}
 	committed := maps.Clone(w.acked)
 	for _, id := range w.ids {
@@ -30,12 +30,12 @@
 				return fmt.Errorf("view %d begins without number %d, which was acknowledged", r.meta.View.Epoch, seq)
 			}
 		}
-		if r.serving() && r.length() < r.meta.View.LogLength {
+		if r.serving() && r.lastSeq() < r.meta.View.LogLength {
 			return fmt.Errorf("%s serves in view %d without its log", id, r.meta.View.Epoch)
 		}
 	}
 	for seq, epoch := range w.ackEpoch {
-		if n := w.disks(seq); n < 2-w.wiped {
+		if n := w.disks(seq); n < 2-w.wipedDisks {
 			return fmt.Errorf("number %d was acknowledged in view %d and is on %d disks", seq, epoch, n)
 		}
 	}
@@ -43,7 +43,7 @@
 }
 
 // disks counts the disks that hold an operation.
-func (w *core) disks(seq uint64) (n int) {
+func (w *searchWorld) disks(seq uint64) (n int) {
 	for _, m := range w.machines {
 		held := m.disk.State != nil && m.disk.State.Seq >= seq
 		for _, e := range m.disk.Entries {
--- /dev/null
+++ b/internal/chain/search_test.go
@@ -0,0 +1,130 @@
+package chain
+
+import (
+	"flag"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"nettlefold/internal/simtest"
+)
+
+// mostStates bounds a search in CI. Searches that stop at it can be had whole: go test ./internal/chain -run Orders -timeout 0 -states 5000000.
+const maxSearchStates = 25000
+
+var statesFlag = flag.Int("states", maxSearchStates, "states that a search through orders may see")
+
+func TestSearchTwoWrites(t *testing.T) {
+	w := newSearchWorld(3, noFault)
+	w.pendingWrites = []string{"x", "y"}
+	w.remainingLosses = 1
+	w.remainingCrashes = 1
+	result := simtest.Search(w, *statesFlag)
+	require.NoError(t, result.Broken, result.String())
+	require.True(t, result.Whole, result.String())
+}
+
+func TestSearchWriteDuringViewChange(t *testing.T) {
+	w := newSearchWorld(3, noFault)
+	w.pendingWrites = []string{"x"}
+	w.proposers = []NodeID{"b"}
+	result := simtest.Search(w, *statesFlag)
+	require.NoError(t, result.Broken, result.String())
+	t.Log(result.String())
+}
+
+func TestSearchTwoProposers(t *testing.T) {
+	w := newSearchWorld(3, noFault)
+	w.proposers = []NodeID{"a", "c"}
+	result := simtest.Search(w, *statesFlag)
+	require.NoError(t, result.Broken, result.String())
+	t.Log(result.String())
+}
+
+func TestSearchPowerLoss(t *testing.T) {
+	w := newSearchWorld(3, noFault)
+	w.pendingWrites = []string{"x", "y"}
+	w.proposers = []NodeID{"c"}
+	w.remainingCrashes = 1
+	result := simtest.Search(w, *statesFlag)
+	require.NoError(t, result.Broken, result.String())
+	t.Log(result.String())
+}
+
+// TestOrdersOfAReplacement: a newcomer is brought the log and votes in the place of a machine that leaves, beside a write.
+func TestSearchReplacement(t *testing.T) {
+	for _, leaving := range []NodeID{"a", "b", "c"} {
+		w := replacementWorld(noFault, leaving)
+		w.pendingWrites = []string{"x"}
+		w.proposers = []NodeID{w.nextChain[0]}
+		result := simtest.Search(w, *statesFlag)
+		require.NoError(t, result.Broken, result.String())
+		t.Log(result.String())
+	}
+}
+
+// TestOrdersOfAReplacementWithALoss: the same, and a disk is lost, or power, at any step.
+func TestSearchReplacementWithLoss(t *testing.T) {
+	for _, leaving := range []NodeID{"a", "b", "c"} {
+		for _, wipes := range []int{0, 1} {
+			w := replacementWorld(noFault, leaving)
+			w.pendingWrites = []string{"x", "y"}
+			w.proposers = []NodeID{w.nextChain[0], w.nextChain[1]}
+			w.remainingWipes, w.remainingCrashes = wipes, 1-wipes
+			result := simtest.Search(w, *statesFlag)
+			require.NoError(t, result.Broken, result.String())
+			result = simtest.Walk(w, 300, 80, 1)
+			require.NoError(t, result.Broken, result.String())
+		}
+	}
+}
+
+// large is a world with everything at once, too large to be searched whole.
+func largeWorld(f fault) *searchWorld {
+	w := newSearchWorld(3, f)
+	w.pendingWrites = []string{"x", "y", "z"}
+	w.proposers = []NodeID{"a", "b", "c", "b", "c", "a"}
+	w.remainingCrashes, w.remainingLosses = 3, 3
+	return w
+}
+
+func TestRandomWalkLargeWorld(t *testing.T) {
+	result := simtest.Walk(largeWorld(noFault), 1500, 120, 1)
+	require.NoError(t, result.Broken, result.String())
+}
+
+// TestSearchFindsPlantedFaults shows that the search would see each fault that the design guards against.
+func TestSearchFindsInjectedFaults(t *testing.T) {
+	for name, world := range map[string]func() *searchWorld{
+		"entries that are not durable": func() *searchWorld {
+			w := newSearchWorld(3, faultVolatileEntries)
+			w.pendingWrites, w.remainingCrashes = []string{"x"}, 1
+			return w
+		},
+		"promises that are not durable": func() *searchWorld {
+			w := newSearchWorld(2, faultVolatilePromises)
+			w.pendingWrites, w.proposers, w.remainingCrashes = []string{"x"}, []NodeID{"b", "a"}, 2
+			return w
+		},
+		"acknowledged at the head": func() *searchWorld {
+			w := newSearchWorld(3, faultAckAtHead)
+			w.pendingWrites = []string{"x"}
+			return w
+		},
+		"acknowledged at the head beside a lost disk": func() *searchWorld {
+			w := replacementWorld(faultAckAtHead, "a")
+			w.pendingWrites, w.proposers, w.remainingWipes = []string{"x"}, []NodeID{"b"}, 1
+			return w
+		},
+		"writes while sealed": func() *searchWorld {
+			w := newSearchWorld(3, faultWritesWhileSealed)
+			w.pendingWrites, w.proposers = []string{"x"}, []NodeID{"b"}
+			return w
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			result := simtest.Search(world(), 4*maxSearchStates)
+			require.Error(t, result.Broken, result.String())
+		})
+	}
+}
--- a/internal/chain/world_test.go
+++ b/internal/chain/search_world_test.go
@@ -15,52 +15,52 @@
 type fault int
 
 const (
-	sound              fault = iota
-	forgetsPromise           // promises are not durable
-	forgetsEntries           // entries are not durable
-	writesSealed             // a sealed replica goes on taking writes
-	ackAtHead                // the head acknowledges before the tail has the entry
-	answersUnconfirmed       // a head or tail answers without asking a majority
-	ordersUnbased            // evacuations are taken whatever they were based on
-	noncesReused             // a replica numbers its confirmations as an earlier one did
-	acksByNumber             // a write is acknowledged by its number, whichever replica of the process commits that
+	noFault                 fault = iota
+	faultVolatilePromises         // promises are not durable
+	faultVolatileEntries          // entries are not durable
+	faultWritesWhileSealed        // a sealed replica goes on taking writes
+	faultAckAtHead                // the head acknowledges before the tail has the entry
+	faultUnconfirmedAnswers       // a head or tail answers without asking a majority
+	faultIgnoredBase              // evacuations are taken whatever they were based on
+	faultReusedNonces             // a replica numbers its confirmations as an earlier one did
+	faultAckByNumber              // a write is acknowledged by its number, whichever replica of the process commits that
 )
 
-type flight struct {
+type inFlightMessage struct {
 	to      NodeID
 	message Message
 }
 
 // machine is a replica and its disk.
-type machine struct {
-	replica   *Replica
-	disk      Saved
-	introduce func() // after a start, what heartbeats would tell; nil for nothing
+type testReplica struct {
+	replica      *Replica
+	disk         PersistedState
+	restorePeers func() // after a start, what heartbeats would tell; nil for nothing
 }
 
 // core is the world: machines, messages under way, and what was promised to the operator.
-type core struct {
-	fault    fault
-	ids      []NodeID
-	machines map[NodeID]*machine
-	flights  []flight
-	acked    map[uint64]string // operation by number
-	ackEpoch map[uint64]uint64
-	script   []string // operations still to be proposed
-	proposes []NodeID // who may still propose a view
-	want     []NodeID // its chain, nil for that in force
-	wipes    int      // disks that may still be lost
-	wiped    int
-	crashes  int
-	losses   int
+type searchWorld struct {
+	injected         fault
+	ids              []NodeID
+	machines         map[NodeID]*testReplica
+	inFlight         []inFlightMessage
+	acked            map[uint64]string // operation by number
+	ackEpoch         map[uint64]uint64
+	pendingWrites    []string // operations still to be proposed
+	proposers        []NodeID // who may still propose a view
+	nextChain        []NodeID // its chain, nil for that in force
+	remainingWipes   int      // disks that may still be lost
+	wipedDisks       int
+	remainingCrashes int
+	remainingLosses  int
 }
 
-func operation(zone string) *replicated.Operation {
+func evacuateOperation(zone string) *replicated.Operation {
 	return &replicated.Operation{Kind: replicated.KindEvacuate, Zone: zone}
 }
 
-func newCore(n int, f fault) *core {
-	w := &core{fault: f, machines: map[NodeID]*machine{}, acked: map[uint64]string{}, ackEpoch: map[uint64]uint64{}}
+func newSearchWorld(n int, f fault) *searchWorld {
+	w := &searchWorld{injected: f, machines: map[NodeID]*testReplica{}, acked: map[uint64]string{}, ackEpoch: map[uint64]uint64{}}
 	view := View{Epoch: 1}
 	for i := range n {
 		id := NodeID(rune('a' + i))
@@ -69,7 +69,7 @@
 		view.Chain = append(view.Chain, id)
 	}
 	for _, id := range w.ids {
-		m := &machine{disk: Saved{Meta: Meta{Identity: id, View: view, LogEpoch: 1}}}
+		m := &testReplica{disk: PersistedState{Meta: Meta{Identity: id, View: view, LogEpoch: 1}}}
 		m.start()
 		w.machines[id] = m
 	}
@@ -77,24 +77,24 @@
 }
 
 // timing lets every step follow at once: the order of messages alone decides.
-var timing = Timing{Suspect: 1 << 40, Drop: 1 << 40, Replace: 1 << 40, Settle: 0, Stuck: 1 << 40, Round: 1 << 40, Heartbeat: 0}
+var searchTiming = Timing{SuspectTimeout: 1 << 40, AcceptorRemovalTimeout: 1 << 40, AcceptorReplaceTimeout: 1 << 40, JoinDelay: 0, WriteTimeout: 1 << 40, ProposalTimeout: 1 << 40, HeartbeatInterval: 0}
 
-func (m *machine) start() {
+func (m *testReplica) start() {
 	saved := m.disk
 	saved.Entries = slices.Clone(saved.Entries)
 	if saved.State != nil {
 		saved.State = saved.State.Clone()
 	}
-	m.replica = New(Options{Self: Member{ID: saved.Meta.Identity, Addr: string(saved.Meta.Identity)}, Copies: 2, Timing: timing}, saved)
+	m.replica = New(Options{Self: Member{ID: saved.Meta.Identity, Addr: string(saved.Meta.Identity)}, MinCopies: 2, Timing: searchTiming}, saved)
 }
 
 // write makes records durable, as the store does.
-func (m *machine) write(planted fault, records []Record) {
+func (m *testReplica) write(planted fault, records []Record) {
 	for _, r := range records {
 		switch {
 		case r.Meta != nil:
 			meta := *r.Meta
-			if planted == forgetsPromise {
+			if planted == faultVolatilePromises {
 				meta.Promised, meta.Accepted, meta.AcceptedView = Ballot{}, Ballot{}, nil
 			}
 			if meta.Generation != m.disk.Meta.Generation {
@@ -102,7 +102,7 @@
 			}
 			m.disk.Meta = meta
 		case r.Entry != nil:
-			if planted == forgetsEntries {
+			if planted == faultVolatileEntries {
 				continue
 			}
 			m.disk.Entries = slices.DeleteFunc(slices.Clone(m.disk.Entries), func(e Entry) bool { return e.Seq == r.Entry.Seq })
@@ -118,26 +118,26 @@
 	}
 }
 
-func (w *core) perform(id NodeID, out Output) {
+func (w *searchWorld) perform(id NodeID, out Output) {
 	m := w.machines[id]
-	m.write(w.fault, out.Records)
+	m.write(w.injected, out.Records)
 	for _, e := range out.Messages {
 		if w.machines[e.To.ID] != nil && e.Message.Heartbeat == nil {
-			w.flights = append(w.flights, flight{e.To.ID, e.Message})
+			w.inFlight = append(w.inFlight, inFlightMessage{e.To.ID, e.Message})
 		}
 	}
 	w.acknowledge(m)
 }
 
 // acknowledge notes what the head knows to be committed: that is told to the operator.
-func (w *core) acknowledge(m *machine) {
+func (w *searchWorld) acknowledge(m *testReplica) {
 	view := m.replica.View()
 	if view.Head() != m.replica.Self().ID || !m.replica.serving() {
 		return
 	}
 	upTo := m.replica.state.Seq
-	if w.fault == ackAtHead {
-		upTo = m.replica.length()
+	if w.injected == faultAckAtHead {
+		upTo = m.replica.lastSeq()
 	}
 	for _, e := range m.replica.log {
 		if e.Seq <= upTo {
@@ -151,44 +151,47 @@
 // event is one thing that may come next.
 type event struct {
 	name string
-	do   func(w *core)
+	do   func(w *searchWorld)
 }
 
-func (w *core) events() (events []event) {
-	for i, f := range w.flights {
-		what := kindOf(&f.message) + " from " + string(f.message.From.ID) + " to " + string(f.to)
-		events = append(events, event{what, func(w *core) { w.deliver(i) }})
-		if w.losses > 0 {
-			events = append(events, event{"lost: " + what, func(w *core) { w.losses--; w.flights = slices.Delete(slices.Clone(w.flights), i, i+1) }})
+func (w *searchWorld) events() (events []event) {
+	for i, f := range w.inFlight {
+		what := messageKind(&f.message) + " from " + string(f.message.From.ID) + " to " + string(f.to)
+		events = append(events, event{what, func(w *searchWorld) { w.deliver(i) }})
+		if w.remainingLosses > 0 {
+			events = append(events, event{"lost: " + what, func(w *searchWorld) {
+				w.remainingLosses--
+				w.inFlight = slices.Delete(slices.Clone(w.inFlight), i, i+1)
+			}})
 		}
 	}
-	if len(w.script) > 0 {
+	if len(w.pendingWrites) > 0 {
 		for _, id := range w.ids {
 			if w.machines[id].replica.meta.View.Head() == id {
-				events = append(events, event{"write at " + string(id), func(w *core) { w.propose(id) }})
+				events = append(events, event{"write at " + string(id), func(w *searchWorld) { w.propose(id) }})
 			}
 		}
 	}
-	for i, id := range w.proposes {
+	for i, id := range w.proposers {
 		if w.machines[id] == nil {
 			continue // it lost its disk
 		}
-		events = append(events, event{"view proposed by " + string(id), func(w *core) { w.proposeView(i) }})
+		events = append(events, event{"view proposed by " + string(id), func(w *searchWorld) { w.proposeView(i) }})
 	}
-	if w.wipes > 0 {
+	if w.remainingWipes > 0 {
 		for _, id := range w.ids {
-			events = append(events, event{"disk lost at " + string(id), func(w *core) { w.wipe(id) }})
+			events = append(events, event{"disk lost at " + string(id), func(w *searchWorld) { w.wipe(id) }})
 		}
 	}
-	if w.crashes > 0 {
+	if w.remainingCrashes > 0 {
 		for _, id := range w.ids {
-			events = append(events, event{"power lost at " + string(id), func(w *core) { w.crash(id) }})
+			events = append(events, event{"power lost at " + string(id), func(w *searchWorld) { w.crash(id) }})
 		}
 	}
 	return events
 }
 
-func kindOf(m *Message) string {
+func messageKind(m *Message) string {
 	switch {
 	case m.Prepare != nil:
 		return "prepare"
@@ -214,12 +217,12 @@
 	return "message"
 }
 
-func (w *core) deliver(i int) {
-	f := w.flights[i]
-	w.flights = slices.Delete(slices.Clone(w.flights), i, i+1)
+func (w *searchWorld) deliver(i int) {
+	f := w.inFlight[i]
+	w.inFlight = slices.Delete(slices.Clone(w.inFlight), i, i+1)
 	r := w.machines[f.to].replica
 	m := f.message
-	if w.fault == writesSealed && m.Append != nil {
+	if w.injected == faultWritesWhileSealed && m.Append != nil {
 		promised := r.meta.Promised
 		r.meta.Promised = Ballot{}
 		out := r.Receive(0, &m)
@@ -232,88 +235,88 @@
 	w.perform(f.to, r.Receive(0, &m))
 }
 
-func (w *core) propose(id NodeID) {
-	zone := w.script[0]
-	w.script = w.script[1:]
-	_, out, _ := w.machines[id].replica.Propose(0, operation(zone))
+func (w *searchWorld) propose(id NodeID) {
+	zone := w.pendingWrites[0]
+	w.pendingWrites = w.pendingWrites[1:]
+	_, out, _ := w.machines[id].replica.Propose(0, evacuateOperation(zone))
 	w.perform(id, out)
 }
 
-func (w *core) proposeView(i int) {
-	id := w.proposes[i]
-	w.proposes = slices.Delete(slices.Clone(w.proposes), i, i+1)
+func (w *searchWorld) proposeView(i int) {
+	id := w.proposers[i]
+	w.proposers = slices.Delete(slices.Clone(w.proposers), i, i+1)
 	r := w.machines[id].replica
-	w.perform(id, r.step(0, func() { r.begin(0, wanted{chain: w.wanted(r)}) }))
+	w.perform(id, r.step(0, func() { r.startProposal(0, desiredView{chain: w.chainFor(r)}) }))
 }
 
-func (w *core) wanted(r *Replica) []NodeID {
-	if w.want != nil {
-		return w.want
+func (w *searchWorld) chainFor(r *Replica) []NodeID {
+	if w.nextChain != nil {
+		return w.nextChain
 	}
 	return r.meta.View.Chain
 }
 
 // replacement makes a world in which a newcomer is there, and one of the others was told to end.
-func replacement(f fault, leaving NodeID) *core {
-	w := newCore(3, f)
-	d := &machine{disk: Saved{Meta: Meta{Identity: "d"}}}
+func replacementWorld(f fault, leaving NodeID) *searchWorld {
+	w := newSearchWorld(3, f)
+	d := &testReplica{disk: PersistedState{Meta: Meta{Identity: "d"}}}
 	d.start()
 	w.machines["d"] = d
 	w.ids = append(w.ids, "d")
 	for _, id := range w.ids {
 		if id != leaving {
-			w.want = append(w.want, id)
+			w.nextChain = append(w.nextChain, id)
 		}
 	}
-	w.introduce(leaving)
+	w.setUpPeers(leaving)
 	return w
 }
 
 // introduce has all machines know the newcomer, and who was told to end, as heartbeats do.
-func (w *core) introduce(leaving NodeID) {
+func (w *searchWorld) setUpPeers(leaving NodeID) {
 	for _, m := range w.machines {
-		m.introduce = func() {
+		m.restorePeers = func() {
 			m.replica.peers["d"] = &peer{member: Member{ID: "d", Addr: "d"}}
-			m.replica.peers[leaving] = &peer{member: Member{ID: leaving, Addr: string(leaving)}, beat: Heartbeat{Leaving: true}}
+			m.replica.peers[leaving] = &peer{member: Member{ID: leaving, Addr: string(leaving)}, heartbeat: Heartbeat{Leaving: true}}
 		}
-		m.introduce()
+		m.restorePeers()
 	}
 }
 
 // wipe empties a machine's disk: it comes back as somebody else, who is no part of this world.
-func (w *core) wipe(id NodeID) {
-	w.wipes--
-	w.wiped++
+func (w *searchWorld) wipe(id NodeID) {
+	w.remainingWipes--
+	w.wipedDisks++
 	delete(w.machines, id)
 	w.ids = slices.DeleteFunc(slices.Clone(w.ids), func(other NodeID) bool { return other == id })
-	w.flights = slices.DeleteFunc(slices.Clone(w.flights), func(f flight) bool { return f.to == id })
+	w.inFlight = slices.DeleteFunc(slices.Clone(w.inFlight), func(f inFlightMessage) bool { return f.to == id })
 }
 
-func (w *core) crash(id NodeID) {
-	w.crashes--
+func (w *searchWorld) crash(id NodeID) {
+	w.remainingCrashes--
 	w.machines[id].start()
-	if introduce := w.machines[id].introduce; introduce != nil {
+	if introduce := w.machines[id].restorePeers; introduce != nil {
 		introduce()
 	}
 }
 
 // clone copies the world; entries and views are never changed in place.
-func (w *core) clone() *core {
+func (w *searchWorld) clone() *searchWorld {
 	c := *w
-	c.machines = map[NodeID]*machine{}
+	c.machines = map[NodeID]*testReplica{}
 	for id, m := range w.machines {
 		c.machines[id] = m.clone()
 	}
-	c.flights = slices.Clone(w.flights)
+	c.inFlight = slices.Clone(w.inFlight)
 	c.acked, c.ackEpoch = maps.Clone(w.acked), maps.Clone(w.ackEpoch)
 	return &c
 }
 
-func (m *machine) clone() *machine {
-	c := &machine{replica: m.replica.clone(), disk: m.disk}
-	if m.introduce != nil {
+func (m *testReplica) clone() *testReplica {
+	c := &testReplica{replica: m.replica.clone(), disk: m.disk}
+	if m.restorePeers != nil {
 		known := m.replica.peers
-		c.introduce = func() { maps.Copy(c.replica.peers, clonePeers(known)) }
+		c.restorePeers = func() { maps.Copy(c.replica.peers, clonePeers(known)) }
 	}
 	return c
 }
@@ -321,11 +324,11 @@
 func (r *Replica) clone() *Replica {
 	c := *r
 	c.log = slices.Clone(r.log)
-	c.peers, c.reads = clonePeers(r.peers), maps.Clone(r.reads)
-	c.local = slices.Clone(r.local)
+	c.peers, c.pendingReads = clonePeers(r.peers), maps.Clone(r.pendingReads)
+	c.loopback = slices.Clone(r.loopback)
 	if r.proposal != nil {
 		p := *r.proposal
-		p.promises, p.caught, p.accepted = maps.Clone(p.promises), maps.Clone(p.caught), maps.Clone(p.accepted)
+		p.promises, p.caughtUp, p.accepted = maps.Clone(p.promises), maps.Clone(p.caughtUp), maps.Clone(p.accepted)
 		p.targets = slices.Clone(p.targets)
 		c.proposal = &p
 	}
@@ -342,10 +345,10 @@
 	return cloned
 }
 
-func (w *core) Choices() int           { return len(w.events()) }
-func (w *core) Name(choice int) string { return w.events()[choice].name }
+func (w *searchWorld) Choices() int           { return len(w.events()) }
+func (w *searchWorld) Name(choice int) string { return w.events()[choice].name }
 
-func (w *core) Next(choice int) simtest.World {
+func (w *searchWorld) Next(choice int) simtest.World {
 	next := w.clone()
 	w.events()[choice].do(next)
 	return next
--- a/internal/chain/simulation_troubles_test.go
+++ b/internal/chain/simulation_faults_test.go
@@ -17,7 +17,7 @@
 		}
 		n.disk = u.before
 		kept := s.random.IntN(len(u.records) + 1)
-		n.write(s.fault, u.records[:kept])
+		n.write(s.injected, u.records[:kept])
 		if kept < len(u.records) {
 			break
 		}
@@ -33,8 +33,8 @@
 func (s *simulation) thaw(addr string) {
 	n := s.nodes[addr]
 	n.frozen = false
-	waits := n.waits
-	n.waits = nil
+	waits := n.queued
+	n.queued = nil
 	for _, do := range waits {
 		if n.up {
 			do()
@@ -44,29 +44,29 @@
 
 // leave tells a machine to end, as SIGTERM does; it goes when it may, at the latest when its grace is over.
 func (s *simulation) leave(addr string, grace time.Duration) {
-	n, life, end := s.nodes[addr], s.nodes[addr].life, s.now+grace
+	n, life, end := s.nodes[addr], s.nodes[addr].incarnation, s.now+grace
 	s.perform(n, n.replica.Leave(s.now))
 	var look func()
 	look = func() {
-		if n.life != life || !n.up {
+		if n.incarnation != life || !n.up {
 			return
 		}
-		if s.now >= end || !n.frozen && n.replica.MayEnd(s.now) {
+		if s.now >= end || !n.frozen && n.replica.SafeToStop(s.now) {
 			s.kill(addr)
 			return
 		}
-		s.after(tickEvery, look)
+		s.schedule(tickInterval, look)
 	}
-	s.after(tickEvery, look)
+	s.schedule(tickInterval, look)
 }
 
 // separate cuts the links from some machines to others, and back unless it is one way only.
-func (s *simulation) separate(side, other []string, oneWay bool) {
+func (s *simulation) partition(side, other []string, oneWay bool) {
 	for _, a := range side {
 		for _, b := range other {
-			s.cut[link{a, b}] = true
+			s.cutLinks[link{a, b}] = true
 			if !oneWay {
-				s.cut[link{b, a}] = true
+				s.cutLinks[link{b, a}] = true
 			}
 		}
 	}
@@ -74,9 +74,9 @@
 
 // heal mends all links. What they held up arrives.
 func (s *simulation) heal() {
-	clear(s.cut)
-	held := s.held
-	s.held, s.hold = nil, false
+	clear(s.cutLinks)
+	held := s.heldMessages
+	s.heldMessages, s.holdMessages = nil, false
 	for _, arrive := range held {
 		arrive()
 	}
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -15,38 +15,38 @@
 // that jumps from one event to the next, and all that is drawn by lot comes from a seed.
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	simSync     = 5 * time.Millisecond
-	simLinkLow  = time.Millisecond
-	simLinkHigh = 4 * time.Millisecond
-	reopenEvery = 400 * time.Millisecond
+	tickInterval    = 50 * time.Millisecond
+	simSyncTime     = 5 * time.Millisecond
+	simLinkMinDelay = time.Millisecond
+	simLinkMaxDelay = 4 * time.Millisecond
+	reopenInterval  = 400 * time.Millisecond
 )
 
 // simNode is one machine: what it runs, its disk, and what is done to it.
 type simNode struct {
-	*machine
-	addr     string
-	zone     string
-	life     int           // of its process: events of an earlier one are void
-	up       bool          // powered and running
-	departed bool          // it is gone for good, or is about to go
-	frozen   bool          // it stands still; what is sent to it waits
-	waits    []func()      // while it is frozen
-	sync     time.Duration // that its disk takes for a step
-	busy     time.Duration // until when its disk works
+	*testReplica
+	addr        string
+	zone        string
+	incarnation int           // of its process: events of an earlier one are void
+	up          bool          // powered and running
+	retired     bool          // it is gone for good, or is about to go
+	frozen      bool          // it stands still; what is sent to it waits
+	queued      []func()      // while it is frozen
+	syncTime    time.Duration // that its disk takes for a step
+	busyUntil   time.Duration // until when its disk works
 	// unsynced are the writes that its disk may still be at.
-	unsynced []unsynced
+	unsynced []unsyncedWrite
 	// failing is a disk that takes no write, and silent a replica that met one: it is started anew, on what is there, when that works.
-	failing bool
-	silent  bool
+	diskFailing bool
+	halted      bool
 	// confirms is what follows when the majority has answered, by nonce.
-	confirms map[uint64]func()
+	onConfirmed map[uint64]func()
 }
 
 // unsynced is a step's records, which a loss of power before a time may take away, and the disk as it was without them.
-type unsynced struct {
+type unsyncedWrite struct {
 	until   time.Duration
-	before  Saved
+	before  PersistedState
 	records []Record
 }
 
@@ -55,49 +55,49 @@
 
 // simulation is a core and its world. Machines are named by their addresses.
 type simulation struct {
-	fault  fault
-	random *rand.Rand
-	now    time.Duration
-	agenda agenda.Agenda
-	nodes  map[string]*simNode
-	addrs  []string // in their order
-	cut    map[link]bool
-	hold   bool // what is sent over a cut link arrives when it heals, else it is lost
-	held   []func()
-	rate   float64 // bytes a second that a link carries, 0 for no limit
-	loaded map[link]time.Duration
-	pieces int // bytes of fetched states that were sent
-	copies int
-	limits Limits // DefaultLimits if zero
-	lives  int
-	loads  int // of replicas from disks
-	calls  []*call
-	broken error
-	seen   map[uint64]string // committed operations by number
-	views  map[uint64]string // decided views by epoch
+	injected            fault
+	random              *rand.Rand
+	now                 time.Duration
+	agenda              agenda.Agenda
+	nodes               map[string]*simNode
+	addrs               []string // in their order
+	cutLinks            map[link]bool
+	holdMessages        bool // what is sent over a cut link arrives when it heals, else it is lost
+	heldMessages        []func()
+	bytesPerSecond      float64 // bytes a second that a link carries, 0 for no limit
+	linkBusyUntil       map[link]time.Duration
+	chunkBytesSent      int // bytes of fetched states that were sent
+	minCopies           int
+	limits              Limits // DefaultLimits if zero
+	incarnations        int
+	replicaLoads        int // of replicas from disks
+	calls               []*call
+	violation           error
+	committedOperations map[uint64]string // committed operations by number
+	viewsByEpoch        map[uint64]string // decided views by epoch
 }
 
 // newSimulation starts a core whose first view has all machines given, as addr:zone.
 func newSimulation(seed uint64, copies int, machines ...string) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, seed)), copies: copies, nodes: map[string]*simNode{}, cut: map[link]bool{},
-		seen: map[uint64]string{}, views: map[uint64]string{}, loaded: map[link]time.Duration{},
+		random: rand.New(rand.NewPCG(seed, seed)), minCopies: copies, nodes: map[string]*simNode{}, cutLinks: map[link]bool{},
+		committedOperations: map[uint64]string{}, viewsByEpoch: map[uint64]string{}, linkBusyUntil: map[link]time.Duration{},
 	}
 	view := View{Epoch: 1}
 	for _, text := range machines {
-		addr, _ := splitMachine(text)
+		addr, _ := splitAddrZone(text)
 		id := NodeID(addr)
 		view.Acceptors = append(view.Acceptors, Member{ID: id, Addr: addr})
 		view.Chain = append(view.Chain, id)
 	}
 	for _, text := range machines {
-		addr, zone := splitMachine(text)
-		s.start(s.place(addr, zone, Saved{Meta: Meta{Identity: NodeID(addr), View: view, LogEpoch: 1}}))
+		addr, zone := splitAddrZone(text)
+		s.start(s.placeNode(addr, zone, PersistedState{Meta: Meta{Identity: NodeID(addr), View: view, LogEpoch: 1}}))
 	}
 	return s
 }
 
-func splitMachine(text string) (addr, zone string) {
+func splitAddrZone(text string) (addr, zone string) {
 	for i, r := range text {
 		if r == ':' {
 			return text[:i], text[i+1:]
@@ -107,8 +107,8 @@
 }
 
 // place puts a machine with a disk there; it is not started yet.
-func (s *simulation) place(addr, zone string, disk Saved) *simNode {
-	n := &simNode{machine: &machine{disk: disk}, addr: addr, zone: zone, sync: simSync}
+func (s *simulation) placeNode(addr, zone string, disk PersistedState) *simNode {
+	n := &simNode{testReplica: &testReplica{disk: disk}, addr: addr, zone: zone, syncTime: simSyncTime}
 	if s.nodes[addr] == nil {
 		s.addrs = append(s.addrs, addr)
 	}
@@ -118,30 +118,30 @@
 
 // join starts a machine with an empty disk, also in the place of one that lost its own.
 func (s *simulation) join(addr, zone string) {
-	s.lives++
-	s.start(s.place(addr, zone, Saved{Meta: Meta{Identity: NodeID(fmt.Sprintf("%s/%d", addr, s.lives))}}))
+	s.incarnations++
+	s.start(s.placeNode(addr, zone, PersistedState{Meta: Meta{Identity: NodeID(fmt.Sprintf("%s/%d", addr, s.incarnations))}}))
 }
 
 // start starts a machine's process on what is on its disk.
 func (s *simulation) start(n *simNode) {
-	s.lives++
-	n.life, n.up, n.frozen, n.waits, n.busy, n.confirms, n.silent = s.lives, true, false, nil, 0, nil, false
+	s.incarnations++
+	n.incarnation, n.up, n.frozen, n.queued, n.busyUntil, n.onConfirmed, n.halted = s.incarnations, true, false, nil, 0, nil, false
 	n.unsynced = nil // a start syncs what it finds
 	s.load(n)
-	s.after(s.between(0, tickEvery), func() { s.tick(n, n.life) })
+	s.schedule(s.randomDuration(0, tickInterval), func() { s.tick(n, n.incarnation) })
 }
 
 // load makes a machine's replica of what is on its disk.
 func (s *simulation) load(n *simNode) {
-	s.loads++
+	s.replicaLoads++
 	saved := n.disk
 	saved.Entries = slices.Clone(saved.Entries)
 	if saved.State != nil {
 		saved.State = saved.State.Clone()
 	}
 	self := Member{ID: saved.Meta.Identity, Addr: n.addr, Zone: n.zone}
-	options := Options{Self: self, Copies: s.copies, Timing: DefaultTiming(), Limits: s.limits, FirstNonce: uint64(s.loads) << 32}
-	if s.fault == noncesReused {
+	options := Options{Self: self, MinCopies: s.minCopies, Timing: DefaultTiming(), Limits: s.limits, FirstNonce: uint64(s.replicaLoads) << 32}
+	if s.injected == faultReusedNonces {
 		options.FirstNonce = 0
 	}
 	n.replica = New(options, saved)
@@ -151,7 +151,7 @@
 // seeds are three machines of those that stay, as settings name them.
 func (s *simulation) seeds() (addrs []string) {
 	for _, addr := range s.addrs {
-		if len(addrs) < 3 && !s.nodes[addr].departed {
+		if len(addrs) < 3 && !s.nodes[addr].retired {
 			addrs = append(addrs, addr)
 		}
 	}
@@ -159,29 +159,29 @@
 }
 
 // reopen is tried again and again by a process whose disk failed; its connections stay, and so may answers to what it asked before.
-func (s *simulation) reopen(n *simNode, life int) {
-	s.after(reopenEvery, func() {
+func (s *simulation) scheduleReopen(n *simNode, life int) {
+	s.schedule(reopenInterval, func() {
 		switch {
-		case !n.up || n.life != life:
-		case n.failing || n.frozen:
-			s.reopen(n, life)
+		case !n.up || n.incarnation != life:
+		case n.diskFailing || n.frozen:
+			s.scheduleReopen(n, life)
 		default:
-			n.silent = false
+			n.halted = false
 			s.load(n)
 		}
 	})
 }
 
-func (s *simulation) between(low, high time.Duration) time.Duration {
+func (s *simulation) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-func (s *simulation) after(d time.Duration, do func()) { s.agenda.Book(int64(s.now+d), do) }
+func (s *simulation) schedule(d time.Duration, do func()) { s.agenda.Book(int64(s.now+d), do) }
 
 // run lets time pass.
 func (s *simulation) run(d time.Duration) {
 	end := s.now + d
-	for s.broken == nil {
+	for s.violation == nil {
 		at, do, due := s.agenda.Next(int64(end))
 		if !due {
 			break
@@ -193,84 +193,84 @@
 }
 
 func (s *simulation) tick(n *simNode, life int) {
-	if !n.up || n.life != life {
+	if !n.up || n.incarnation != life {
 		return
 	}
-	if !n.frozen && !n.silent {
+	if !n.frozen && !n.halted {
 		s.perform(n, n.replica.Tick(s.now))
 	}
-	s.after(tickEvery, func() { s.tick(n, life) })
+	s.schedule(tickInterval, func() { s.tick(n, life) })
 }
 
 // perform writes a step's records, which takes the disk a while, and sends its messages behind that.
 func (s *simulation) perform(n *simNode, out Output) {
-	if n.silent {
+	if n.halted {
 		return
 	}
-	if n.failing && len(out.Records) > 0 { // some of them may be found there all the same
-		n.write(s.fault, out.Records[:s.random.IntN(len(out.Records)+1)])
-		n.silent = true
-		s.reopen(n, n.life)
+	if n.diskFailing && len(out.Records) > 0 { // some of them may be found there all the same
+		n.write(s.injected, out.Records[:s.random.IntN(len(out.Records)+1)])
+		n.halted = true
+		s.scheduleReopen(n, n.incarnation)
 		return
 	}
 	delay := time.Duration(0)
 	if len(out.Records) > 0 {
-		n.busy = max(n.busy, s.now) + n.sync
-		delay = n.busy - s.now
-		n.unsynced = slices.DeleteFunc(n.unsynced, func(u unsynced) bool { return u.until <= s.now })
-		n.unsynced = append(n.unsynced, unsynced{n.busy, n.disk, out.Records})
-		n.write(s.fault, out.Records)
-	} else if n.busy > s.now {
-		delay = n.busy - s.now
+		n.busyUntil = max(n.busyUntil, s.now) + n.syncTime
+		delay = n.busyUntil - s.now
+		n.unsynced = slices.DeleteFunc(n.unsynced, func(u unsyncedWrite) bool { return u.until <= s.now })
+		n.unsynced = append(n.unsynced, unsyncedWrite{n.busyUntil, n.disk, out.Records})
+		n.write(s.injected, out.Records)
+	} else if n.busyUntil > s.now {
+		delay = n.busyUntil - s.now
 	}
 	for i := range out.Messages {
 		e := out.Messages[i]
-		if e.Message.Piece != nil {
-			s.pieces += len(e.Message.Piece.Bytes)
+		if e.Message.StateChunk != nil {
+			s.chunkBytesSent += len(e.Message.StateChunk.Bytes)
 		}
-		s.send(n, e.To.Addr, s.carry(link{n.addr, e.To.Addr}, delay, &e.Message), func(to *simNode) {
-			if m := e.Message; !to.silent {
+		s.send(n, e.To.Addr, s.sendDelay(link{n.addr, e.To.Addr}, delay, &e.Message), func(to *simNode) {
+			if m := e.Message; !to.halted {
 				s.perform(to, to.replica.Receive(s.now, &m))
 			}
 		})
 	}
-	for _, nonce := range out.Confirmed {
-		s.whenWritten(n, func() { s.confirmed(n, nonce) })
+	for _, nonce := range out.ConfirmedReads {
+		s.afterDiskWrites(n, func() { s.runConfirmed(n, nonce) })
 	}
-	s.whenWritten(n, func() { s.check(n) }) // what a tail commits it has synced
+	s.afterDiskWrites(n, func() { s.checkNode(n) }) // what a tail commits it has synced
 }
 
 // whenWritten does something once a machine's disk has done what it was given, unless its process or its replica goes before.
-func (s *simulation) whenWritten(n *simNode, do func()) {
-	if n.busy <= s.now {
+func (s *simulation) afterDiskWrites(n *simNode, do func()) {
+	if n.busyUntil <= s.now {
 		do()
 		return
 	}
-	life, replica := n.life, n.replica
-	s.after(n.busy-s.now, func() {
-		if n.up && n.life == life && n.replica == replica && !n.silent {
-			s.whenWritten(n, do)
+	life, replica := n.incarnation, n.replica
+	s.schedule(n.busyUntil-s.now, func() {
+		if n.up && n.incarnation == life && n.replica == replica && !n.halted {
+			s.afterDiskWrites(n, do)
 		}
 	})
 }
 
 // carry tells when a message has left, on a link that carries so many bytes a second, one message after the other.
-func (s *simulation) carry(l link, delay time.Duration, m *Message) time.Duration {
-	if s.rate == 0 {
+func (s *simulation) sendDelay(l link, delay time.Duration, m *Message) time.Duration {
+	if s.bytesPerSecond == 0 {
 		return delay
 	}
 	size := 200
 	switch {
-	case m.Piece != nil:
-		size += len(m.Piece.Bytes)
+	case m.StateChunk != nil:
+		size += len(m.StateChunk.Bytes)
 	case m.CatchUp != nil:
 		size += len(m.CatchUp.State) + entryBytes(m.CatchUp.Entries)
 	case m.Append != nil:
 		size += entryBytes(m.Append.Entries)
 	}
-	start := max(s.now+delay, s.loaded[l])
-	s.loaded[l] = start + time.Duration(float64(size)/s.rate*float64(time.Second))
-	return s.loaded[l] - s.now
+	start := max(s.now+delay, s.linkBusyUntil[l])
+	s.linkBusyUntil[l] = start + time.Duration(float64(size)/s.bytesPerSecond*float64(time.Second))
+	return s.linkBusyUntil[l] - s.now
 }
 
 func entryBytes(entries []Entry) (n int) {
@@ -283,17 +283,17 @@
 // send has something done at another machine, unless the way to it is cut or it is down then, or the sender is before the message has
 // left. A frozen one does it when it wakes.
 func (s *simulation) send(from *simNode, to string, delay time.Duration, do func(to *simNode)) {
-	life, onTheWay := from.life, s.between(simLinkLow, simLinkHigh)
+	life, onTheWay := from.incarnation, s.randomDuration(simLinkMinDelay, simLinkMaxDelay)
 	leave := func() {
-		if from.up && from.life == life {
-			s.after(onTheWay, func() { s.arrive(from, to, do) })
+		if from.up && from.incarnation == life {
+			s.schedule(onTheWay, func() { s.arrive(from, to, do) })
 		}
 	}
 	if delay == 0 {
 		leave()
 		return
 	}
-	s.after(delay, leave)
+	s.schedule(delay, leave)
 }
 
 // arrive has what was sent over a link done at its other end.
@@ -302,18 +302,18 @@
 	if n == nil || !n.up {
 		return
 	}
-	life := n.life
+	life := n.incarnation
 	doIt := func() {
-		if n.up && n.life == life {
+		if n.up && n.incarnation == life {
 			do(n)
 		}
 	}
 	switch {
-	case s.cut[link{from.addr, n.addr}] && s.hold:
-		s.held = append(s.held, doIt)
-	case s.cut[link{from.addr, n.addr}]:
+	case s.cutLinks[link{from.addr, n.addr}] && s.holdMessages:
+		s.heldMessages = append(s.heldMessages, doIt)
+	case s.cutLinks[link{from.addr, n.addr}]:
 	case n.frozen:
-		n.waits = append(n.waits, doIt)
+		n.queued = append(n.queued, doIt)
 	default:
 		doIt()
 	}
@@ -323,7 +323,7 @@
 func (s *simulation) head() *simNode {
 	for _, addr := range s.addrs {
 		n := s.nodes[addr]
-		if v := n.replica.View(); n.up && !n.frozen && !n.silent && v.Head() == n.replica.Self().ID && n.replica.Current(s.now) && n.replica.Serving() {
+		if v := n.replica.View(); n.up && !n.frozen && !n.halted && v.Head() == n.replica.Self().ID && n.replica.HasQuorum(s.now) && n.replica.Serving() {
 			return n
 		}
 	}
@@ -338,7 +338,7 @@
 	return epoch
 }
 
-func (s *simulation) show(t *testing.T) {
+func (s *simulation) logNodes(t *testing.T) {
 	t.Helper()
 	for _, addr := range s.addrs {
 		n := s.nodes[addr]
@@ -350,15 +350,15 @@
 			return ids
 		}
 		t.Logf("  %s up=%v frozen=%v epoch %d acceptors %v learners %v chain %v seq %d current %v sealed %v", n.replica.Self().ID, n.up, n.frozen, v.Epoch,
-			ids(v.Acceptors), ids(v.Learners), v.Chain, n.replica.State().Seq, n.replica.Current(s.now), n.replica.sealed())
+			ids(v.Acceptors), ids(v.Learners), v.Chain, n.replica.State().Seq, n.replica.HasQuorum(s.now), n.replica.isSealed())
 	}
 }
 
 // writable has an operation taken that changes something, asked for at all machines at once until one takes it, and tells how long that
 // took; false if nobody did.
-func (s *simulation) writable(limit time.Duration) (time.Duration, bool) {
+func (s *simulation) waitWritable(limit time.Duration) (time.Duration, bool) {
 	began := s.now
-	for s.now-began < limit && s.broken == nil {
+	for s.now-began < limit && s.violation == nil {
 		var calls []*call
 		for _, addr := range s.addrs {
 			if n := s.nodes[addr]; n.up && !n.frozen {
@@ -367,7 +367,7 @@
 		}
 		for range 20 {
 			s.run(10 * time.Millisecond)
-			if slices.ContainsFunc(calls, func(c *call) bool { return c.outcome == outcomeTaken }) {
+			if slices.ContainsFunc(calls, func(c *call) bool { return c.outcome == outcomeCommitted }) {
 				return s.now - began, true
 			}
 		}
--- a/internal/chain/transfer.go
+++ b/internal/chain/transfer.go
@@ -12,7 +12,7 @@
 		return
 	}
 	for _, target := range t.Targets {
-		if bring := r.bring(&target); bring != nil {
+		if bring := r.catchUpFor(&target); bring != nil {
 			bring.Epoch, bring.Ballot, bring.Proposer = t.Epoch, t.Ballot, m.From
 			r.send(target.Member, Message{CatchUp: bring})
 		}
@@ -20,23 +20,23 @@
 }
 
 // bring gives what a target lacks of this log; nil if that is too much to be brought while nothing is written: it fetches it first.
-func (r *Replica) bring(target *Target) *CatchUp {
+func (r *Replica) catchUpFor(target *Target) *CatchUp {
 	switch {
-	case target.LogEpoch == r.meta.View.Epoch && target.LogLength+1 >= r.first:
+	case target.LogEpoch == r.meta.View.Epoch && target.LogLength+1 >= r.firstSeq:
 		return &CatchUp{Entries: r.entriesAfter(target.LogLength)}
-	case target.Commit < r.nearFrom():
+	case target.Commit < r.minCatchUpSeq():
 		return nil
-	case target.Commit+1 >= r.first && target.Commit <= r.length():
+	case target.Commit+1 >= r.firstSeq && target.Commit <= r.lastSeq():
 		return &CatchUp{Rebase: true, Base: target.Commit, Entries: r.entriesAfter(target.Commit)}
 	}
 	return &CatchUp{State: r.state.Encode(), Entries: r.entriesAfter(r.state.Seq)}
 }
 
 func (r *Replica) entriesAfter(seq uint64) []Entry {
-	if seq >= r.length() {
+	if seq >= r.lastSeq() {
 		return nil
 	}
-	return slices.Clone(r.log[seq+1-r.first:])
+	return slices.Clone(r.log[seq+1-r.firstSeq:])
 }
 
 // onCatchUp extends the log, never shortens it: a log of this epoch's chain stays at least as long as any view that was put to the
@@ -50,11 +50,11 @@
 		return
 	}
 	for _, e := range c.Entries {
-		if e.Seq == r.length()+1 {
-			r.take(e)
+		if e.Seq == r.lastSeq()+1 {
+			r.appendEntry(e)
 		}
 	}
-	r.send(c.Proposer, Message{CaughtUp: &CaughtUp{c.Epoch, c.Ballot, r.length()}})
+	r.send(c.Proposer, Message{CaughtUp: &CaughtUp{c.Epoch, c.Ballot, r.lastSeq()}})
 }
 
 // rebase begins a log of this epoch's chain, on the state that was brought or on the committed one that is here.
@@ -67,24 +67,24 @@
 			return false
 		}
 		r.state = state
-		r.out.Committed = true
+		r.out.StateChanged = true
 	case c.Rebase && c.Base <= r.state.Seq:
 		encoded = r.state.Encode()
 	default:
 		return false
 	}
 	r.meta.LogEpoch = c.Epoch
-	r.restartLog(encoded)
+	r.startLogGeneration(encoded)
 	return true
 }
 
 func (r *Replica) onCaughtUp(m *Message) {
 	p, c := r.proposal, m.CaughtUp
-	if p == nil || p.view != nil || p.source == "" || c.Epoch != r.meta.View.Epoch || c.Ballot != p.ballot || c.LogLength < p.length {
+	if p == nil || p.view != nil || p.source == "" || c.Epoch != r.meta.View.Epoch || c.Ballot != p.ballot || c.LogLength < p.sourceLength {
 		return
 	}
-	p.caught[m.From.ID] = true
-	if len(p.caught) == len(p.targets)+1 {
-		r.vote(r.lastTick)
+	p.caughtUp[m.From.ID] = true
+	if len(p.caughtUp) == len(p.targets)+1 {
+		r.proposeView(r.lastTick)
 	}
 }
--- a/internal/chain/types.go
+++ b/internal/chain/types.go
@@ -139,7 +139,7 @@
 }
 
 // Saved is what a replica finds on its disk. Entries are those of the generation that Meta names, by number.
-type Saved struct {
+type PersistedState struct {
 	Meta    Meta
 	State   *replicated.State
 	Entries []Entry
@@ -153,21 +153,21 @@
 
 // Output is what a step wants done, in this order: records synced, messages sent, readers answered.
 type Output struct {
-	Records   []Record
-	Messages  []Envelope
-	Committed bool     // the committed state changed
-	Confirmed []uint64 // reads that may be answered from the committed state
-	ViewNew   bool     // another view is in force
-	Attempt   *Attempt // a proposal for the next view that was begun
-	GivenUp   *GivenUp // a proposal that did not end in time
+	Records          []Record
+	Messages         []Envelope
+	StateChanged     bool              // the committed state changed
+	ConfirmedReads   []uint64          // reads that may be answered from the committed state
+	ViewChanged      bool              // another view is in force
+	ProposalStarted  *ProposalStarted  // a proposal for the next view that was begun
+	ProposalTimedOut *ProposalTimedOut // a proposal that did not end in time
 }
 
 // Options are a replica's settings.
 type Options struct {
-	Self   Member
-	Copies int // disks that a write must be on before it is acknowledged
-	Timing Timing
-	Limits Limits // DefaultLimits if zero
+	Self      Member
+	MinCopies int // disks that a write must be on before it is acknowledged
+	Timing    Timing
+	Limits    Limits // DefaultLimits if zero
 	// FirstNonce is where this replica's confirmations are numbered from. It must be drawn anew for each start: answers to an earlier
 	// replica of the same identity may still be on their way, and say nothing of what is asked now.
 	FirstNonce uint64
@@ -175,38 +175,38 @@
 
 // Limits are sizes of what is kept and sent.
 type Limits struct {
-	KeptEntries     int // committed entries that stay in the log, for those that lag a little
+	RetainedEntries int // committed entries that stay in the log, for those that lag a little
 	SnapshotEntries int // entries, and SnapshotBytes their bytes, after which the state is written whole
 	SnapshotBytes   int
-	WholeBytes      int // of a state, or of entries, up to which they are brought within a proposal
-	PieceBytes      int // of a state that is fetched, in one message
+	CatchUpBytes    int // of a state, or of entries, up to which they are brought within a proposal
+	ChunkBytes      int // of a state that is fetched, in one message
 }
 
 // DefaultLimits suits disks of some hundred megabytes and messages that must leave room for heartbeats on a slow link.
 func DefaultLimits() Limits {
-	return Limits{KeptEntries: 128, SnapshotEntries: 48, SnapshotBytes: 2 << 20, WholeBytes: 256 << 10, PieceBytes: 128 << 10}
+	return Limits{RetainedEntries: 128, SnapshotEntries: 48, SnapshotBytes: 2 << 20, CatchUpBytes: 256 << 10, ChunkBytes: 128 << 10}
 }
 
 // Timing has the pace of the core. All times are by the steady clock.
 type Timing struct {
-	Heartbeat time.Duration // between heartbeats
-	Suspect   time.Duration // of silence, until a member is taken from the chain
-	Drop      time.Duration // of silence, until it does not count as acceptor any more while there are enough others
-	Replace   time.Duration // of silence, until a learner votes in its place
-	Settle    time.Duration // that a member is heard before it is taken in
-	Stuck     time.Duration // that a write may take in the chain
-	Round     time.Duration // that a proposal may take
+	HeartbeatInterval      time.Duration // between heartbeats
+	SuspectTimeout         time.Duration // of silence, until a member is taken from the chain
+	AcceptorRemovalTimeout time.Duration // of silence, until it does not count as acceptor any more while there are enough others
+	AcceptorReplaceTimeout time.Duration // of silence, until a learner votes in its place
+	JoinDelay              time.Duration // that a member is heard before it is taken in
+	WriteTimeout           time.Duration // that a write may take in the chain
+	ProposalTimeout        time.Duration // that a proposal may take
 }
 
 // DefaultTiming suits links of some milliseconds and disks that may take a hundred times as long as usual.
 func DefaultTiming() Timing {
 	return Timing{
-		Heartbeat: 150 * time.Millisecond,
-		Suspect:   800 * time.Millisecond,
-		Drop:      10 * time.Minute,
-		Replace:   800 * time.Millisecond,
-		Settle:    400 * time.Millisecond,
-		Stuck:     700 * time.Millisecond,
-		Round:     900 * time.Millisecond,
+		HeartbeatInterval:      150 * time.Millisecond,
+		SuspectTimeout:         800 * time.Millisecond,
+		AcceptorRemovalTimeout: 10 * time.Minute,
+		AcceptorReplaceTimeout: 800 * time.Millisecond,
+		JoinDelay:              400 * time.Millisecond,
+		WriteTimeout:           700 * time.Millisecond,
+		ProposalTimeout:        900 * time.Millisecond,
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -161,7 +161,7 @@
 		c.store.Mark() // a disk that fails shows at the next write
 	}
 	c.duties.SetEpoch(c.now(), c.replica.View().Epoch)
-	if c.replica.Current(c.now()) {
+	if c.replica.HasQuorum(c.now()) {
 		c.inTouch = c.now()
 	}
 	c.publish(false)
@@ -184,20 +184,20 @@
 		e := &out.Messages[i]
 		c.pool.Post(e.To.Addr, distribute.KindCore, &e.Message)
 	}
-	if out.Committed || out.ViewNew {
+	if out.StateChanged || out.ViewChanged {
 		c.spread.committed(c.now(), c.replica.State().Seq)
 		c.publish(true)
 	}
-	for _, nonce := range out.Confirmed {
+	for _, nonce := range out.ConfirmedReads {
 		if reader := c.readers[nonce]; reader != nil {
 			close(reader)
 			delete(c.readers, nonce)
 		}
 	}
-	if out.ViewNew {
+	if out.ViewChanged {
 		view := c.replica.View()
 		c.log.Info().Str("step", "view").Uint64("epoch", view.Epoch).Interface("chain", view.Chain).Int("acceptors", len(view.Acceptors)).Msg("view in force")
-		c.perform(c.replica.Beat(c.now())) // nobody is in touch under a view before others have told that they have it
+		c.perform(c.replica.SendHeartbeat(c.now())) // nobody is in touch under a view before others have told that they have it
 	}
 }
 
@@ -219,7 +219,7 @@
 // have gone further than its disk.
 func (c *Controller) publish(changed bool) {
 	old := c.public.Load()
-	current := c.broken.IsZero() && c.replica.Current(c.now())
+	current := c.broken.IsZero() && c.replica.HasQuorum(c.now())
 	members := c.pacedMembers(old)
 	if old != nil && !changed && old.current == current && old.members.Digest == members.Digest {
 		return
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -198,7 +198,7 @@
 	c.store.Close() // from here on each write fails
 	reader := make(chan struct{})
 	c.readers[77] = reader
-	c.perform(chain.Output{Records: []chain.Record{{Meta: &chain.Meta{Identity: "x"}}}, Confirmed: []uint64{77}})
+	c.perform(chain.Output{Records: []chain.Record{{Meta: &chain.Meta{Identity: "x"}}}, ConfirmedReads: []uint64{77}})
 	select {
 	case <-reader:
 		t.Fatal("a reader was answered")
@@ -241,7 +241,7 @@
 	c.store.Close() // from here on each write fails
 	_, out, err := c.replica.Propose(c.now(), &replicated.Operation{Kind: replicated.KindVersion, Model: "m", Version: 2})
 	require.NoError(t, err)
-	require.True(t, out.Committed, "this core of one commits at once")
+	require.True(t, out.StateChanged, "this core of one commits at once")
 	c.perform(out)
 	for range 2 {
 		shown := c.public.Load()
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -37,7 +37,7 @@
 	c.opened++
 	c.replica = chain.New(chain.Options{
 		Self:       c.self(saved.Meta.Identity),
-		Copies:     c.settings.MachineFaultTolerance + 1,
+		MinCopies:  c.settings.MachineFaultTolerance + 1,
 		Timing:     chain.DefaultTiming(),
 		FirstNonce: randomNonce(),
 	}, saved)
@@ -58,15 +58,15 @@
 }
 
 // load opens the store and reads it.
-func (c *Controller) load() (*durable.Store, chain.Saved, error) {
+func (c *Controller) load() (*durable.Store, chain.PersistedState, error) {
 	store, err := durable.Open(c.settings.DataDirectory)
 	if err != nil {
-		return nil, chain.Saved{}, err
+		return nil, chain.PersistedState{}, err
 	}
 	saved, err := store.Load()
 	if err != nil {
 		store.Close()
-		return nil, chain.Saved{}, err
+		return nil, chain.PersistedState{}, err
 	}
 	return store, saved, nil
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -166,13 +166,13 @@
 
 // logProposals tells of proposals that began or were given up, and how this machine kept up meanwhile.
 func (c *Controller) logProposals(out *chain.Output) {
-	if a := out.Attempt; a != nil {
+	if a := out.ProposalStarted; a != nil {
 		c.log.Info().Str("step", "propose").Uint64("epoch", a.Epoch).Uint64("round", a.Round).Interface("reasons", a.Reasons).
 			Interface("removed", a.Removed).Interface("added", a.Added).
 			Int("queue", len(c.commands)+len(c.urgent)).Dur("slowest", c.work.slowest()).Msg("another view is proposed")
 	}
-	if g := out.GivenUp; g != nil {
-		c.log.Info().Str("step", "propose").Uint64("epoch", g.Epoch).Uint64("round", g.Round).Int("asked", g.Asked).Int("promised", g.Promised).
+	if g := out.ProposalTimedOut; g != nil {
+		c.log.Info().Str("step", "propose").Uint64("epoch", g.Epoch).Uint64("round", g.Round).Int("asked", g.Participants).Int("promised", g.Promised).
 			Int("caught_up", g.CaughtUp).Int("accepted", g.Accepted).Dur("slowest", c.work.slowest()).Msg("a proposal is given up")
 	}
 }
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -110,7 +110,7 @@
 		for tail.public.Load().view.Epoch == epoch {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(chain.DefaultTiming().Heartbeat / 3)
+		time.Sleep(chain.DefaultTiming().HeartbeatInterval / 3)
 		synctest.Wait()
 		require.True(t, tail.public.Load().current)
 	})
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -79,7 +79,7 @@
 
 // mayEnd tells whether the others have all that this machine is to hand over.
 func (c *Controller) mayEnd() bool {
-	return c.replica.MayEnd(c.now()) && (c.tallies == nil || c.tallies.flushed.Load())
+	return c.replica.SafeToStop(c.now()) && (c.tallies == nil || c.tallies.flushed.Load())
 }
 
 // closeAPI lets the operator's calls that run come to their end.
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -102,7 +102,7 @@
 	}
 	c.spread.reported(c.now(), leastHas, least)
 	if c.replica.SetApplied(least) && c.broken.IsZero() {
-		c.perform(c.replica.Beat(c.now()))
+		c.perform(c.replica.SendHeartbeat(c.now()))
 	}
 }
 
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -192,7 +192,7 @@
 			return
 		}
 		var out chain.Output
-		nonce, out = c.replica.Confirm(c.now())
+		nonce, out = c.replica.ConfirmEpoch(c.now())
 		c.readers[nonce] = confirmed
 		c.perform(out)
 	})
--- a/internal/durable/load.go
+++ b/internal/durable/load.go
@@ -17,7 +17,7 @@
 
 // Load reads what a replica starts from. State is nil and Entries are empty where nothing was written. It fails with a *DamageError where
 // what was written once is not there.
-func (s *Store) Load() (saved chain.Saved, err error) {
+func (s *Store) Load() (saved chain.PersistedState, err error) {
 	payload, written, err := s.get(metaKey)
 	if err != nil {
 		return saved, err
@@ -49,7 +49,7 @@
 }
 
 // complete holds what was loaded to being without gaps: a state that was taken over whole is there, and the entries go on from it.
-func (s *Store) complete(saved *chain.Saved) error {
+func (s *Store) complete(saved *chain.PersistedState) error {
 	next := uint64(1)
 	if saved.State != nil {
 		next = saved.State.Seq + 1
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -31,7 +31,7 @@
 	return s
 }
 
-func load(t *testing.T, s *Store) chain.Saved {
+func load(t *testing.T, s *Store) chain.PersistedState {
 	t.Helper()
 	saved, err := s.Load()
 	require.NoError(t, err)
--- a/internal/lab/fleetcost/curves.go
+++ b/internal/lab/fleetcost/curves.go
@@ -83,7 +83,7 @@
 
 // playHeartbeat sizes a heartbeat of one that hears all.
 func playHeartbeat(size int) ([]float64, error) {
-	beat := &chain.Heartbeat{Epoch: 1000, LogEpoch: 1000, LogLength: 1 << 20, Commit: 1 << 20, Applied: 1 << 20, HeardAll: true}
+	beat := &chain.Heartbeat{Epoch: 1000, LogEpoch: 1000, LogLength: 1 << 20, Commit: 1 << 20, Applied: 1 << 20, AllMembersAlive: true}
 	return one(rpc.FrameSize(distribute.KindCore, &chain.Message{From: member(size), Heartbeat: beat}))
 }
 
