--- a/internal/chain/acceptors.go
+++ b/internal/chain/acceptors.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// standing is how much an acceptor set bears from here: by how many live acceptors it is above a majority, and by how many after the
-// worst loss of one zone. Negative numbers are votes that it would lack.
+// faultTolerance is how many failures an acceptor set survives with a majority left. A negative
+// number is the number of votes missing for a majority.
 type faultTolerance struct {
-	spareNodes         int
-	spareAfterZoneLoss int
+	spareNodes         int // live acceptors above a majority
+	spareAfterZoneLoss int // the same after the loss of the zone with the most live acceptors
 }
 
-// better tells whether a set bears more than another. Losses of machines count first while there are too few acceptors for those that
-// must be borne, else losses of zones.
+// betterThan reports whether s survives more failures than another set. The loss of single nodes is
+// compared first while there are too few acceptors (tooFew), otherwise the loss of a zone.
 func (s faultTolerance) betterThan(than faultTolerance, tooFew bool) bool {
 	first, second := cmp.Compare(s.spareAfterZoneLoss, than.spareAfterZoneLoss), cmp.Compare(s.spareNodes, than.spareNodes)
 	if tooFew {
@@ -24,12 +24,15 @@
 	return cmp.Or(first, second) > 0
 }
 
-// wantedAcceptors is the acceptors of the next view, given the members of its chain, which hold all that was written.
+// nextAcceptors returns the acceptors of the next view, given the members of its chain, all of
+// which hold the complete log.
 //
-// A newcomer is a learner first. It votes once that helps: in the place of an acceptor that leaves, was silent for long or lost its
-// disk, in one whose zone holds too many, or together with another, as an even number of acceptors bears no more than the odd one
-// below it and needs one vote more. Nobody is taken out for silence alone: a silent acceptor costs little, and a zone that was dropped
-// is missing when it is back and another is lost.
+// A new node starts as a learner. It becomes an acceptor only when that improves fault tolerance:
+// as the replacement of an acceptor that is leaving, has been silent for long or lost its disk; as
+// the replacement of one in an overfull zone; or together with a second learner, since an even
+// number of acceptors tolerates no more failures than the odd number below it and needs one more
+// vote. Silence alone does not remove an acceptor: keeping a silent acceptor costs little, and if a
+// zone was removed, its votes are missing when it has returned and another zone fails.
 func (r *Replica) nextAcceptors(now time.Duration, chain []NodeID) []Member {
 	var acceptors, learners []Member
 	for _, m := range r.meta.View.Acceptors {
@@ -50,7 +53,8 @@
 	}
 }
 
-// replaceLostDisks puts those that came back under another identity in the places of those at their addresses.
+// replaceLostDisks replaces each acceptor whose address a learner now uses under a new identity:
+// that node has lost its disk.
 func replaceLostDisks(acceptors, learners []Member) (next, left []Member) {
 	for _, learner := range learners {
 		i := slices.IndexFunc(acceptors, func(m Member) bool { return m.Addr == learner.Addr })
@@ -63,20 +67,21 @@
 	return acceptors, left
 }
 
-// improve gives the first change of the acceptors that makes them bear more, nil if none does.
+// improveAcceptors returns the first change of the acceptors that improves fault tolerance, and the
+// learners that remain. next is nil if no change does.
 func (r *Replica) improveAcceptors(now time.Duration, acceptors, learners []Member) (next, left []Member) {
 	least := 2*r.options.MinCopies - 1
 	before := r.faultToleranceOf(now, acceptors)
 	better := func(changed []Member) bool {
 		return r.faultToleranceOf(now, changed).betterThan(before, len(acceptors) < least)
 	}
-	for i, learner := range learners { // in another's place
+	for i, learner := range learners { // as a replacement
 		without := slices.Delete(slices.Clone(learners), i, i+1)
 		if at := r.bestSwap(now, acceptors, learner, better); at >= 0 {
 			return append(slices.Delete(slices.Clone(acceptors), at, at+1), learner), without
 		}
 	}
-	for i := range learners { // one more, or two
+	for i := range learners { // as an addition, alone or in pairs
 		for j := i; j < len(learners); j++ {
 			more, without := append(slices.Clone(acceptors), learners[i]), slices.Delete(slices.Clone(learners), i, i+1)
 			if j > i {
@@ -90,8 +95,9 @@
 	return r.withoutDeparted(now, acceptors, least, better), learners
 }
 
-// bestSwap is the place of the acceptor that a learner should vote instead of: one that leaves or is silent before one that is there;
-// -1 if no swap makes the acceptors bear more.
+// bestSwap returns the index of the acceptor that the learner should replace, or -1 if no
+// replacement improves fault tolerance. A leaving acceptor is preferred, then the one silent for
+// longest.
 func (r *Replica) bestSwap(now time.Duration, acceptors []Member, learner Member, better func([]Member) bool) int {
 	best, longest := -1, time.Duration(-1)
 	for i, m := range acceptors {
@@ -107,7 +113,8 @@
 	return best
 }
 
-// withoutDeparted leaves out one acceptor or two that were told to end or are silent for very long; nil if that does not help.
+// withoutDeparted returns the acceptors without one or two that are leaving or have been silent for
+// longer than AcceptorRemovalTimeout, or nil if that does not improve fault tolerance.
 func (r *Replica) withoutDeparted(now time.Duration, acceptors []Member, least int, better func([]Member) bool) []Member {
 	var departed []NodeID
 	for _, m := range acceptors {
@@ -124,7 +131,8 @@
 	return nil
 }
 
-// standing judges a set of acceptors.
+// faultToleranceOf computes the fault tolerance of an acceptor set from the acceptors available
+// now.
 func (r *Replica) faultToleranceOf(now time.Duration, acceptors []Member) faultTolerance {
 	live, inZone := 0, map[string]int{}
 	for _, m := range acceptors {
@@ -133,7 +141,7 @@
 		}
 		live++
 		zone := m.Zone
-		if zone == "" { // not known yet: the seeds of the first start tell theirs when they are heard
+		if zone == "" { // unknown until the first heartbeat of a seed of the initial view
 			zone = "of " + string(m.ID)
 		}
 		inZone[zone]++
@@ -146,7 +154,7 @@
 	return faultTolerance{spareNodes: live - majority, spareAfterZoneLoss: live - worst - majority}
 }
 
-// counts tells whether an acceptor is there and stays, as far as is known.
+// isAvailable reports whether a node is alive, as far as this replica knows, and not leaving.
 func (r *Replica) isAvailable(now time.Duration, id NodeID) bool {
 	return !r.isLeaving(id) && (r.sinceHeartbeat(now, id) < r.options.Timing.AcceptorReplaceTimeout || r.isReportedAlive(now, id))
 }
--- a/internal/chain/connectivity.go
+++ b/internal/chain/connectivity.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// mostLinked bounds the machines among which a chain is looked for: their sets are kept as bits.
+// maxChainCandidates bounds the nodes considered for a chain: sets of them are 64-bit masks.
 const maxChainCandidates = 64
 
-// links is which machines of the core hear each other both ways, as far as heartbeats tell. Those that this replica does not hear
-// itself are in it where another that it hears does: two machines that do not reach each other but both reach a third must come to
-// the same chain, or they would replace each other's without end.
+// connectivity is the graph of the nodes that receive heartbeats from each other in both
+// directions. It includes nodes that this replica does not receive heartbeats from if another live
+// node does: two nodes that cannot reach each other, but both reach a third, must choose the same
+// chain, or they would replace each other's chain forever.
 type connectivity struct {
 	ids       []NodeID
-	adjacency []uint64 // per machine: the machines, by place, that it has a link with, itself among them
+	adjacency []uint64 // per node: mask of the connected nodes by index, including itself
 }
 
-// newLinks looks at the links among some machines.
+// newConnectivity builds the connectivity graph of some nodes.
 func (r *Replica) newConnectivity(now time.Duration, ids []NodeID) *connectivity {
 	l := &connectivity{ids: ids, adjacency: make([]uint64, len(ids))}
 	for i, id := range ids {
@@ -32,7 +33,8 @@
 	return l
 }
 
-// linkedTo tells whether two machines hear each other. Of two that are both known by others' word alone it is taken for granted.
+// areConnected reports whether two nodes receive heartbeats from each other. It is assumed for two
+// nodes that are both alive only according to other nodes.
 func (r *Replica) areConnected(now time.Duration, a, b NodeID) bool {
 	if a == r.meta.Identity {
 		a, b = b, a
@@ -52,7 +54,8 @@
 	return true
 }
 
-// heardOf tells whether a machine is heard here or by another that is heard here.
+// isReportedAlive reports whether a node is alive according to this replica or to a node that is
+// alive here.
 func (r *Replica) isReportedAlive(now time.Duration, id NodeID) bool {
 	if r.isAlive(now, id) {
 		return true
@@ -65,8 +68,9 @@
 	return false
 }
 
-// wantedChain is the chain that the links allow: the one in force as long as its members reach each other, with all that reach all of
-// them; else the largest set of machines that do. Machines that were told to end are left out where enough others remain.
+// nextChain returns the chain that the connectivity allows: the current chain while its members are
+// connected, extended by the nodes connected to all of them; otherwise the largest set of connected
+// nodes. Leaving nodes are excluded if enough others remain.
 func (r *Replica) nextChain(now time.Duration) []NodeID {
 	var staying, all []NodeID
 	for _, id := range r.chainCandidates(now) {
@@ -81,7 +85,8 @@
 	return r.largestChain(now, all)
 }
 
-// eligible are the machines that may be in the chain, those of the chain in force first and in its order.
+// chainCandidates returns the nodes that may be in the chain. Members of the current chain come
+// first, in chain order.
 func (r *Replica) chainCandidates(now time.Duration) []NodeID {
 	var ids []NodeID
 	for _, id := range r.meta.View.Chain {
@@ -106,8 +111,9 @@
 	return ids[:min(len(ids), maxChainCandidates)]
 }
 
-// largestChain is the largest set of machines that all reach each other and a majority of the acceptors each; of equals, the one whose
-// members come first in the order given. The chain in force is part of it as long as it is such a set itself.
+// largestChain returns the largest set of nodes that are all connected to each other and each
+// connected to a majority of the acceptors. Among sets of equal size the one whose members come
+// first in ids wins. The current chain is part of the result while it is such a set itself.
 func (r *Replica) largestChain(now time.Duration, ids []NodeID) []NodeID {
 	ids = slices.DeleteFunc(slices.Clone(ids), func(id NodeID) bool { return !r.reachesMajority(now, id) })
 	l := r.newConnectivity(now, ids)
@@ -115,16 +121,16 @@
 	if len(ids) == maxChainCandidates {
 		every = ^uint64(0)
 	}
-	var kept uint64
+	var current uint64
 	for i, id := range ids {
 		if r.meta.View.InChain(id) {
-			kept |= 1 << i
+			current |= 1 << i
 		}
 	}
-	if !l.isClique(kept) {
-		kept = 0
+	if !l.isClique(current) {
+		current = 0
 	}
-	best := l.largestClique(kept, every&l.commonNeighbors(kept, every)&^kept)
+	best := l.largestClique(current, every&l.commonNeighbors(current, every)&^current)
 	var chain []NodeID
 	for i, id := range ids {
 		if best&(1<<i) != 0 {
@@ -134,7 +140,8 @@
 	return chain
 }
 
-// reachesMajority tells whether a machine has links with a majority of the acceptors: the ends of a chain must ask them.
+// reachesMajority reports whether a node is connected to a majority of the acceptors, which the
+// head and the tail need to confirm the epoch.
 func (r *Replica) reachesMajority(now time.Duration, id NodeID) bool {
 	n := 0
 	for _, m := range r.meta.View.Acceptors {
@@ -145,10 +152,10 @@
 	return n >= r.meta.View.Majority()
 }
 
-// complete tells whether all of a set are linked with each other.
+// isClique reports whether all nodes of a set are connected to each other.
 func (l *connectivity) isClique(set uint64) bool { return l.commonNeighbors(set, set) == set }
 
-// common is those of a set that are linked with all of another.
+// commonNeighbors returns the nodes of set "of" that are connected to all nodes of set "with".
 func (l *connectivity) commonNeighbors(with, of uint64) uint64 {
 	for rest := with; rest != 0; rest &= rest - 1 {
 		of &= l.adjacency[bits.TrailingZeros64(rest)]
@@ -156,7 +163,8 @@
 	return of
 }
 
-// largest adds as many of the candidates to a set as are linked with each other. The candidates are linked with all of the set.
+// largestClique extends a set by the largest clique among the candidates, which are all connected
+// to every node of the set.
 func (l *connectivity) largestClique(set, candidates uint64) uint64 {
 	if l.isClique(candidates) {
 		return set | candidates
--- a/internal/chain/desired_view.go
+++ b/internal/chain/desired_view.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// wanted is the next view as this replica would have it: who votes, and who should be in the chain.
+// desiredView is the next view that this replica would propose: its acceptors and its chain.
 type desiredView struct {
 	acceptors []Member
 	chain     []NodeID
 }
 
-// delay grows with the number of acceptors of the wanted chain that come before this one and are heard: they propose first.
+// proposalDelay returns how long to wait before proposing: two heartbeat intervals for each live
+// acceptor of the desired chain that precedes this node.
 func (r *Replica) proposalDelay(now time.Duration, want desiredView) time.Duration {
 	n := 0
 	for _, m := range r.meta.View.Acceptors {
@@ -25,26 +26,26 @@
 	return time.Duration(n) * 2 * r.options.Timing.HeartbeatInterval
 }
 
-// possible tells whether this replica should propose: it would be in the chain itself, and hears enough machines for a view to be
-// agreed on and to take writes.
+// canPropose reports whether this replica may propose the desired view: it is an acceptor and in
+// the desired chain, and sees enough nodes alive to agree on the view and to take writes in it.
 func (r *Replica) canPropose(now time.Duration, want desiredView) bool {
 	if _, acceptor := r.meta.View.Acceptor(r.meta.Identity); !acceptor || !slices.Contains(want.chain, r.meta.Identity) {
 		return false
 	}
-	heard, intact := 0, false
+	alive, intact := 0, false
 	for _, m := range r.meta.View.Acceptors {
 		if r.isAlive(now, m.ID) {
-			heard++
+			alive++
 		}
 	}
 	for _, id := range r.meta.View.Chain {
 		intact = intact || r.isAlive(now, id)
 	}
-	return heard >= r.meta.View.Majority() && intact && len(want.chain) >= r.options.MinCopies
+	return alive >= r.meta.View.Majority() && intact && len(want.chain) >= r.options.MinCopies
 }
 
-// want tells which view is wanted, and whether it differs from the one in force, as far as this replica can tell: one that has just started
-// wants no other members.
+// desiredView returns the desired view and whether a view change is needed. A replica that has
+// recently started proposes no change of members.
 func (r *Replica) desiredView(now time.Duration) (desiredView, bool) {
 	view := &r.meta.View
 	want := desiredView{chain: r.nextChain(now)}
@@ -53,7 +54,7 @@
 	return want, !same || r.writeStuck(now) || r.anyAcceptorSealed(now) || r.chainBroken(now)
 }
 
-// member is what is known of a machine, at best from itself.
+// memberInfo returns the best known information about a node, preferably from its own messages.
 func (r *Replica) memberInfo(id NodeID) Member {
 	if id == r.meta.Identity {
 		return r.options.Self
@@ -65,14 +66,14 @@
 	return m
 }
 
-// ready tells whether a member may be taken into the chain: heard for a while, hearing this one, and not just left behind by a
-// proposal that waited for it.
+// canJoinChain reports whether a node may be added to the chain: alive for JoinDelay, receiving
+// heartbeats from this node, and not in the backoff after failing to catch up.
 func (r *Replica) canJoinChain(now time.Duration, id NodeID) bool {
 	p := r.peers[id]
 	return p != nil && now-p.aliveSince >= r.options.Timing.JoinDelay && now >= p.backoffUntil && p.heartbeat.SeesAlive(&r.meta.View, r.meta.Identity)
 }
 
-// isLeaving tells whether a member said that it was told to end.
+// isLeaving reports whether a node has announced its shutdown.
 func (r *Replica) isLeaving(id NodeID) bool {
 	if id == r.meta.Identity {
 		return r.leaving
@@ -81,12 +82,12 @@
 	return p != nil && p.heartbeat.Leaving
 }
 
-// stuck tells whether a write has been on its way for too long.
+// writeStuck reports whether a write has been uncommitted for longer than WriteTimeout.
 func (r *Replica) writeStuck(now time.Duration) bool {
 	return r.serving() && r.pendingSince != 0 && now-r.pendingSince > r.options.Timing.WriteTimeout
 }
 
-// broken tells whether a member of the chain is there but does not hold its log.
+// chainBroken reports whether a chain member is alive but does not hold the log of the chain.
 func (r *Replica) chainBroken(now time.Duration) bool {
 	for _, id := range r.meta.View.Chain {
 		p := r.peers[id]
@@ -97,7 +98,7 @@
 	return r.meta.View.InChain(r.meta.Identity) && !r.serving()
 }
 
-// anySealed tells whether a proposal was begun that may never end.
+// anyAcceptorSealed reports whether a proposal was started that may never finish.
 func (r *Replica) anyAcceptorSealed(now time.Duration) bool {
 	if r.isSealed() {
 		return true
--- a/internal/chain/fetch.go
+++ b/internal/chain/fetch.go
@@ -7,32 +7,34 @@
 	"nettlefold/internal/replicated"
 )
 
-// A machine that is far behind fetches the committed state from a member of the chain in pieces, beside whatever else goes on: heartbeats
-// come between the pieces, and a transfer that was cut goes on where it stood. Only one that is near is taken into the chain, so that a
-// proposal, during which nothing is written, brings no more than some entries.
+// A node that is far behind fetches the committed state from a chain member in chunks, beside other
+// traffic: heartbeats are sent between chunks, and an interrupted transfer resumes at its offset. A
+// node joins the chain only when it is nearly caught up, so that a proposal, during which no writes
+// are taken, has to transfer only a few entries.
 
 const (
-	// fetchRetry is how long a piece is waited for.
+	// chunkTimeout is the time after which a requested chunk is requested again.
 	chunkTimeout = 400 * time.Millisecond
-	// offerKept is how long an encoded state is kept for who fetches it.
+	// servedStateTTL is how long an encoded state is kept after the last request for one of its
+	// chunks.
 	servedStateTTL = 10 * time.Second
 )
 
-// Fetch asks for a piece of the committed state.
+// FetchState requests a chunk of the committed state.
 type FetchState struct {
-	Seq    uint64 `cbor:"1,keyasint"` // of the state that pieces are there of, 0 to begin
-	Offset int    `cbor:"2,keyasint"`
+	Seq    uint64 `cbor:"1,keyasint"` // sequence number of the state being fetched, 0 for the first request
+	Offset int    `cbor:"2,keyasint"` // in bytes
 }
 
-// Piece is a piece of a committed state's encoding.
+// StateChunk is a part of the encoding of a committed state.
 type StateChunk struct {
 	Seq    uint64 `cbor:"1,keyasint"`
-	Offset int    `cbor:"2,keyasint"`
-	Total  int    `cbor:"3,keyasint"`
+	Offset int    `cbor:"2,keyasint"` // in bytes
+	Total  int    `cbor:"3,keyasint"` // size of the whole encoding in bytes
 	Bytes  []byte `cbor:"4,keyasint"`
 }
 
-// fetching is what has come so far.
+// stateFetch is the progress of a state transfer to this replica.
 type stateFetch struct {
 	from        NodeID
 	seq         uint64
@@ -41,20 +43,21 @@
 	requestedAt time.Duration
 }
 
-// offer is an encoded state that others fetch.
+// servedState is an encoded state that other nodes are fetching.
 type servedState struct {
 	seq      uint64
 	encoded  []byte
 	lastUsed time.Duration
 }
 
-// nearFrom is the least number from which a machine that has committed it can be brought the rest within a proposal: the entries behind
-// it are here and not too long. It is 0 where the state is small: then anyone can.
+// minCatchUpSeq returns the lowest committed sequence number from which a node can catch up within
+// a proposal: the entries after it are still in the log and not larger than CatchUpBytes. It is 0
+// if the whole state is that small; any node can catch up then.
 func (r *Replica) minCatchUpSeq() uint64 {
 	if r.state.Size() <= r.options.Limits.CatchUpBytes {
 		return 0
 	}
-	bytes, from := 0, r.state.Seq // what is not committed can only be brought
+	bytes, from := 0, r.state.Seq // uncommitted entries can only be sent with a CatchUp
 	for from >= r.firstSeq {
 		bytes += len(r.log[from-r.firstSeq].Operation)
 		if bytes > r.options.Limits.CatchUpBytes {
@@ -65,7 +68,8 @@
 	return from
 }
 
-// near tells whether a machine can be brought the rest of the log within a proposal, whichever member of the chain is its source.
+// isNearlyCaughtUp reports whether a node can catch up within a proposal, whichever chain member is
+// the source.
 func (r *Replica) isNearlyCaughtUp(now time.Duration, id NodeID) bool {
 	commit := r.state.Seq
 	if id != r.meta.Identity {
@@ -82,11 +86,12 @@
 	return !r.serving() || commit >= r.minCatchUpSeq()
 }
 
-// fetch asks for the next piece while this machine is far behind.
+// fetchState requests the next chunk while this node is too far behind to catch up within a
+// proposal.
 func (r *Replica) fetchState(now time.Duration) {
 	from := r.fetchSource(now)
 	if from == "" {
-		return // what has come is kept until somebody is heard
+		return // the received chunks are kept until a source is alive
 	}
 	if r.serving() || r.isNearlyCaughtUp(now, r.meta.Identity) {
 		r.stateFetch = nil
@@ -101,7 +106,7 @@
 	r.requestChunk(now)
 }
 
-// fetchFrom is the member of the chain, nearest to its tail, that is heard and has its log.
+// fetchSource returns the chain member closest to the tail that is alive and holds its log, or "".
 func (r *Replica) fetchSource(now time.Duration) NodeID {
 	chain := r.meta.View.Chain
 	for _, id := range slices.Backward(chain) {
@@ -112,6 +117,7 @@
 	return ""
 }
 
+// requestChunk requests the chunk that follows those received.
 func (r *Replica) requestChunk(now time.Duration) {
 	f := r.stateFetch
 	f.requestedAt = now
@@ -136,7 +142,7 @@
 	r.send(m.From, Message{StateChunk: &StateChunk{o.seq, f.Offset, len(o.encoded), o.encoded[f.Offset:end]}})
 }
 
-// dropOffer frees a state that nobody fetches any more.
+// releaseServedState frees an encoded state that is no longer being fetched.
 func (r *Replica) releaseServedState(now time.Duration) {
 	if r.servedState != nil && now-r.servedState.lastUsed > servedStateTTL {
 		r.servedState = nil
@@ -148,7 +154,7 @@
 	if f == nil || m.From.ID != f.from || r.serving() {
 		return
 	}
-	if piece.Offset == 0 { // also when the sender had to encode its state anew
+	if piece.Offset == 0 { // a new transfer, or the source encoded a newer state
 		f.seq, f.total, f.encoded = piece.Seq, piece.Total, nil
 	}
 	if piece.Seq != f.seq || piece.Offset != len(f.encoded) {
@@ -163,11 +169,11 @@
 	r.installState(f.encoded)
 }
 
-// install takes over a committed state that is newer than this machine's own. It is a log of no chain: the machine answers for nothing
-// with it before a proposal has brought it the rest.
+// installState replaces the committed state by a newer fetched one. The result is not the log of
+// any chain, so this node takes no part in serving until a proposal has transferred the rest.
 func (r *Replica) installState(encoded []byte) {
 	if r.meta.LogEpoch >= r.meta.View.Epoch {
-		return // its log is of the chain in force, and may be counted on
+		return // its log belongs to the current chain, which relies on it
 	}
 	state, err := replicated.Decode(encoded)
 	if err != nil || state.Seq <= r.state.Seq {
@@ -178,7 +184,8 @@
 	r.out.StateChanged = true
 }
 
-// restartLog begins another generation of the log behind the committed state: what else the log had was of another chain.
+// startLogGeneration starts a new, empty log generation after the committed state, and drops the
+// entries of the previous chain.
 func (r *Replica) startLogGeneration(encoded []byte) {
 	r.log, r.firstSeq = nil, r.state.Seq+1
 	r.meta.Generation++
--- a/internal/chain/heartbeat.go
+++ b/internal/chain/heartbeat.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Tick is to be called some ten times a second.
+// Tick advances timeouts and periodic work. Call it about ten times per second.
 func (r *Replica) Tick(now time.Duration) Output {
 	return r.step(now, func() {
 		r.compensateForPause(now)
@@ -20,12 +20,14 @@
 	})
 }
 
-// Beat sends a heartbeat at once, as something in it changed that others wait for.
+// SendHeartbeat sends a heartbeat immediately, because a value that other nodes wait for has
+// changed.
 func (r *Replica) SendHeartbeat(now time.Duration) Output {
 	return r.step(now, func() { r.broadcastHeartbeat(now) })
 }
 
-// forgive takes a gap in its own ticks out of others' silence: who stood still cannot know who spoke meanwhile.
+// compensateForPause subtracts a pause of this process from the silence of its peers: a process
+// that was paused cannot know who sent heartbeats meanwhile.
 func (r *Replica) compensateForPause(now time.Duration) {
 	if gap := now - r.lastTick; gap > r.options.Timing.SuspectTimeout/2 {
 		for _, p := range r.peers {
@@ -38,6 +40,7 @@
 	r.lastTick = now
 }
 
+// broadcastHeartbeat sends a heartbeat to all other core nodes.
 func (r *Replica) broadcastHeartbeat(now time.Duration) {
 	r.lastHeartbeat = now
 	beat := Heartbeat{
@@ -68,29 +71,32 @@
 	}
 }
 
-// fresh tells whether this replica has run for so short a time that it may not have heard yet whom it can hear.
+// isRecentlyStarted reports whether this replica may not have received heartbeats from all live
+// nodes yet.
 func (r *Replica) isRecentlyStarted(now time.Duration) bool {
 	return now-r.startedAt < r.options.Timing.SuspectTimeout
 }
 
-// hearsMembersOnly tells whether those heard are just the other members of the view.
-func (r *Replica) onlyMembersAlive(heard []NodeID) bool {
+// onlyMembersAlive reports whether the live nodes are exactly the other members of the view.
+func (r *Replica) onlyMembersAlive(alive []NodeID) bool {
 	others := 0
 	for _, m := range r.meta.View.Members() {
 		if m.ID != r.meta.Identity {
 			others++
-			if !slices.Contains(heard, m.ID) {
+			if !slices.Contains(alive, m.ID) {
 				return false
 			}
 		}
 	}
-	return len(heard) == others && others > 0
+	return len(alive) == others && others > 0
 }
 
-// SetSeeds names addresses at which other core machines may be, for one that does not know the view in force.
+// SetSeeds sets addresses of possible core nodes, for a replica that does not know the current
+// view.
 func (r *Replica) SetSeeds(addrs []string) { r.seeds = addrs }
 
-// everyone is all other machines of the core: those of the view, newcomers that were heard or told of, and whoever is at the seeds.
+// heartbeatTargets returns all other core nodes: the view members, joining nodes that are alive or
+// announced, and the seeds.
 func (r *Replica) heartbeatTargets(now time.Duration) []Member {
 	var all []Member
 	for _, m := range r.meta.View.Members() {
@@ -115,19 +121,20 @@
 	return all
 }
 
-// meet notes the newcomers that another machine told of. They hear from this one until nobody tells of them any more.
+// recordAnnouncements notes the joining nodes that another node announced. They are sent heartbeats
+// until the announcements stop.
 func (r *Replica) recordAnnouncements(now time.Duration, newcomers []Member) {
 	for _, m := range newcomers {
 		r.announced[m.Addr] = announcement{m, now}
 	}
 }
 
-// forgetTold forgets newcomers that were not told of again.
+// expireAnnouncements drops joining nodes that are no longer announced.
 func (r *Replica) expireAnnouncements(now time.Duration) {
 	maps.DeleteFunc(r.announced, func(_ string, t announcement) bool { return now-t.receivedAt >= r.options.Timing.SuspectTimeout })
 }
 
-// newcomers are machines that are heard and are no members of the view.
+// joiningNodes returns the live nodes that are not members of the view.
 func (r *Replica) joiningNodes(now time.Duration) []NodeID {
 	var ids []NodeID
 	for id := range r.peers {
@@ -139,6 +146,7 @@
 	return ids
 }
 
+// isAlive reports whether a heartbeat of the node arrived within SuspectTimeout.
 func (r *Replica) isAlive(now time.Duration, id NodeID) bool {
 	if id == r.meta.Identity {
 		return true
@@ -147,7 +155,8 @@
 	return p != nil && now-p.lastHeartbeat < r.options.Timing.SuspectTimeout
 }
 
-// silence is how long a member has not been heard, by a replica that runs at least as long.
+// sinceHeartbeat returns how long this replica, while it ran, has received no heartbeat from a
+// node.
 func (r *Replica) sinceHeartbeat(now time.Duration, id NodeID) time.Duration {
 	if id == r.meta.Identity {
 		return 0
@@ -171,7 +180,7 @@
 	}
 	p.member, p.lastHeartbeat, p.heartbeat = m.From, now, *beat
 	r.recordAnnouncements(now, beat.JoiningNodes)
-	for id, other := range r.peers { // a machine that lost its disk is another member at the same address
+	for id, other := range r.peers { // a node that lost its disk is a new member at the same address
 		if id != m.From.ID && other.member.Addr == m.From.Addr && other.lastHeartbeat < now {
 			delete(r.peers, id)
 		}
@@ -186,18 +195,19 @@
 	}
 }
 
-// resend repeats to the next of the chain what it lacks.
+// resendEntries sends the next chain member the entries that it lacks.
 func (r *Replica) resendEntries(id NodeID, beat *Heartbeat) {
 	if r.isSealed() || r.meta.View.neighbour(r.meta.Identity, 1) != id || beat.LogLength >= r.lastSeq() || beat.LogLength+1 < r.firstSeq {
 		return
 	}
-	from := r.log[beat.LogLength+1-r.firstSeq:]
-	from = slices.Clone(from[:min(len(from), maxResentEntries)])
-	r.sendTo(id, Message{Append: &Append{r.meta.View.Epoch, from, r.state.Seq}})
+	entries := r.log[beat.LogLength+1-r.firstSeq:]
+	entries = slices.Clone(entries[:min(len(entries), maxResentEntries)])
+	r.sendTo(id, Message{Append: &Append{r.meta.View.Epoch, entries, r.state.Seq}})
 }
 
-// Current tells whether this replica serves in a view that a majority of the acceptors, each heard lately and hearing it, holds for
-// the newest. It is a hint that ages at once; a read that must be the newest is confirmed.
+// HasQuorum reports whether this replica serves in a view that is the newest one for a majority of
+// the acceptors, each alive and receiving heartbeats from this replica. The result may be outdated
+// at once; a linearizable read needs ConfirmEpoch.
 func (r *Replica) HasQuorum(now time.Duration) bool {
 	if !r.serving() {
 		return false
@@ -212,8 +222,9 @@
 	return n >= r.meta.View.Majority()
 }
 
-// Confirm asks the acceptors whether the epoch is still in force. When the nonce is confirmed it was at some time since; then the tail's
-// committed state was the newest, and so was the head's if nothing in its log waited.
+// ConfirmEpoch asks the acceptors whether the epoch is still current. Once the nonce appears in
+// Output.ConfirmedReads, the epoch was current at some time after the call; the committed state of
+// the tail was the newest then, and so was that of the head if its log had no uncommitted entry.
 func (r *Replica) ConfirmEpoch(now time.Duration) (nonce uint64, out Output) {
 	r.lastNonce++
 	nonce = r.lastNonce
--- a/internal/chain/leave.go
+++ b/internal/chain/leave.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Leave tells the others that this machine was told to end. They go over to a view whose chain is without it, and where a learner can,
-// that one votes in its place.
+// Leave announces to the other members that this node is shutting down. They change to a view whose
+// chain does not include it, and a learner, if one is suitable, replaces it as an acceptor.
 func (r *Replica) Leave(now time.Duration) Output {
 	return r.step(now, func() {
 		r.leaving = true
@@ -11,12 +11,13 @@
 	})
 }
 
-// MayEnd tells whether this machine, once told to end, is needed no more: a chain without it takes writes, each of its members has begun
-// the view, and no learner is left that could vote in its place. It is true too of a machine that is the only one, or of no view yet.
+// SafeToStop reports whether this node, after Leave, is no longer needed: a chain without it takes
+// writes, each of its members has started the view, and no learner is left that could replace this
+// node as an acceptor. It is also true for a node that is the only member or has no view yet.
 func (r *Replica) SafeToStop(now time.Duration) bool {
 	view := &r.meta.View
 	if len(view.Members()) <= 1 {
-		return true // nobody is there to hand over to
+		return true // no other member can take over
 	}
 	if _, acceptor := view.Acceptor(r.meta.Identity); acceptor && len(view.Learners) > 0 {
 		return false
--- a/internal/chain/messages.go
+++ b/internal/chain/messages.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Message is one of the fields below, sent by From.
+// Message is an envelope with the sender and exactly one of the other fields.
 type Message struct {
 	From       Member      `cbor:"1,keyasint"`
 	Heartbeat  *Heartbeat  `cbor:"2,keyasint,omitempty"`
@@ -18,28 +18,28 @@
 	Commit     *Commit     `cbor:"12,keyasint,omitempty"`
 	Confirm    *Confirm    `cbor:"13,keyasint,omitempty"`
 	Confirmed  *Confirm    `cbor:"14,keyasint,omitempty"`
-	Rejected   *Ballot     `cbor:"15,keyasint,omitempty"` // the ballot that was promised to another
+	Rejected   *Ballot     `cbor:"15,keyasint,omitempty"` // the higher ballot that the sender has promised
 	FetchState *FetchState `cbor:"16,keyasint,omitempty"`
 	StateChunk *StateChunk `cbor:"17,keyasint,omitempty"`
 }
 
-// Heartbeat tells that its sender lives, and where it stands.
+// Heartbeat announces that its sender is alive, and its log position and failure detector state.
 type Heartbeat struct {
-	Epoch           uint64   `cbor:"1,keyasint"` // of the newest view that it knows
-	LogEpoch        uint64   `cbor:"2,keyasint"`
-	LogLength       uint64   `cbor:"3,keyasint"`
-	Commit          uint64   `cbor:"4,keyasint"`
-	Sealed          bool     `cbor:"5,keyasint,omitempty"`
-	AlivePeers      []NodeID `cbor:"6,keyasint,omitempty"` // from whom it heard lately, left out if that is all other members of the view
-	AllMembersAlive bool     `cbor:"8,keyasint,omitempty"`
-	Applied         uint64   `cbor:"7,keyasint"`            // that all its sessions' agents have applied; NoSessions if it has none
-	Leaving         bool     `cbor:"9,keyasint,omitempty"`  // it was told to end, and waits for a view without it
-	MinCatchUpSeq   uint64   `cbor:"10,keyasint,omitempty"` // who has committed so much can be brought the rest at once
-	RecentlyStarted bool     `cbor:"11,keyasint,omitempty"` // it has just started, and may not have heard yet whom it can hear
-	JoiningNodes    []Member `cbor:"12,keyasint,omitempty"` // machines that it hears and that are no members of its view: they are to meet each other
+	Epoch           uint64   `cbor:"1,keyasint"`            // epoch of the newest view known
+	LogEpoch        uint64   `cbor:"2,keyasint"`            // epoch of the chain that the log belongs to
+	LogLength       uint64   `cbor:"3,keyasint"`            // sequence number of the last entry
+	Commit          uint64   `cbor:"4,keyasint"`            // last committed sequence number
+	Sealed          bool     `cbor:"5,keyasint,omitempty"`  // it has promised a ballot for the next epoch
+	AlivePeers      []NodeID `cbor:"6,keyasint,omitempty"`  // nodes with a recent heartbeat; empty if AllMembersAlive
+	AllMembersAlive bool     `cbor:"8,keyasint,omitempty"`  // the live nodes are exactly the other members of its view
+	Applied         uint64   `cbor:"7,keyasint"`            // applied by all its sessions' agents, or NoSessions
+	Leaving         bool     `cbor:"9,keyasint,omitempty"`  // it is shutting down and waits for a view without it
+	MinCatchUpSeq   uint64   `cbor:"10,keyasint,omitempty"` // lowest commit from which a proposal can catch a node up
+	RecentlyStarted bool     `cbor:"11,keyasint,omitempty"` // it may not have received heartbeats from all live nodes yet
+	JoiningNodes    []Member `cbor:"12,keyasint,omitempty"` // live non-members, announced so that they meet each other
 }
 
-// Hears tells whether its sender hears a member of a view.
+// SeesAlive reports whether the sender receives heartbeats from a member of the view.
 func (h *Heartbeat) SeesAlive(view *View, id NodeID) bool {
 	if h.AllMembersAlive && h.Epoch == view.Epoch {
 		_, member := view.Member(id)
@@ -48,37 +48,39 @@
 	return slices.Contains(h.AlivePeers, id)
 }
 
-// MayHear is Hears, but takes a sender for hearing everybody that says so of another view, or has just started: views differ for a moment
-// whenever one begins, and neither is the loss of a link.
+// MaySeeAlive is SeesAlive, but also true for a sender that has just started, or that reports all
+// members of a different view as alive: views differ for a moment after each change, and neither
+// case means that a link is down.
 func (h *Heartbeat) MaySeeAlive(view *View, id NodeID) bool {
 	return h.RecentlyStarted || h.AllMembersAlive && h.Epoch != view.Epoch || h.SeesAlive(view, id)
 }
 
-// Prepare asks for a promise under a ballot, for the epoch after View's.
+// Prepare asks for a promise for a ballot, for the epoch that follows that of View.
 type Prepare struct {
 	View   View   `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Promise answers a Prepare.
+// Promise is the reply to a Prepare. Its sender is sealed from then on.
 type Promise struct {
-	Epoch        uint64 `cbor:"1,keyasint"` // of the view that is to be replaced
+	Epoch        uint64 `cbor:"1,keyasint"` // epoch of the view to be replaced
 	Ballot       Ballot `cbor:"2,keyasint"`
-	Accepted     Ballot `cbor:"3,keyasint"`
-	AcceptedView *View  `cbor:"4,keyasint,omitempty"`
+	Accepted     Ballot `cbor:"3,keyasint"`           // highest ballot accepted so far
+	AcceptedView *View  `cbor:"4,keyasint,omitempty"` // view accepted under that ballot
 	LogEpoch     uint64 `cbor:"5,keyasint"`
 	LogLength    uint64 `cbor:"6,keyasint"`
-	Commit       uint64 `cbor:"7,keyasint"` // of its log, known to be committed
+	Commit       uint64 `cbor:"7,keyasint"` // last sequence number known to be committed
 }
 
-// Transfer asks the member that a new chain starts from to bring others to its log.
+// Transfer asks the member whose log the new chain starts from to send that log to the other
+// members.
 type Transfer struct {
 	Epoch   uint64   `cbor:"1,keyasint"`
 	Ballot  Ballot   `cbor:"2,keyasint"`
 	Targets []Target `cbor:"3,keyasint"`
 }
 
-// Target is a member that is to have the source's log, and what it has.
+// Target is a node that needs the source's log, with its current log position.
 type Target struct {
 	Member    Member `cbor:"1,keyasint"`
 	LogEpoch  uint64 `cbor:"2,keyasint"`
@@ -86,52 +88,53 @@
 	Commit    uint64 `cbor:"4,keyasint"`
 }
 
-// CatchUp brings a log: entries that follow the receiver's; or, where its log is of another chain, those that follow the committed state
-// that it has, or a whole state and what follows it.
+// CatchUp transfers a log: the entries that follow those of the receiver; or, if the receiver's log
+// belongs to another chain, the entries that follow its committed state, or a whole state and the
+// entries after it.
 type CatchUp struct {
 	Epoch    uint64  `cbor:"1,keyasint"`
 	Ballot   Ballot  `cbor:"2,keyasint"`
 	Proposer Member  `cbor:"3,keyasint"`
 	State    []byte  `cbor:"4,keyasint,omitempty"`
 	Entries  []Entry `cbor:"5,keyasint,omitempty"`
-	Rebase   bool    `cbor:"6,keyasint,omitempty"` // the receiver's log is of another chain: Entries follow what it has committed, up to Base
+	Rebase   bool    `cbor:"6,keyasint,omitempty"` // the receiver replaces its log; Entries follow its state at Base
 	Base     uint64  `cbor:"7,keyasint,omitempty"`
 }
 
-// CaughtUp tells the proposer that a member's log is as long as said.
+// CaughtUp tells the proposer that the sender holds the log up to LogLength.
 type CaughtUp struct {
 	Epoch     uint64 `cbor:"1,keyasint"`
 	Ballot    Ballot `cbor:"2,keyasint"`
 	LogLength uint64 `cbor:"3,keyasint"`
 }
 
-// Accept asks to accept a view.
+// Accept asks an acceptor to accept a view.
 type Accept struct {
-	Epoch  uint64 `cbor:"1,keyasint"` // of the view that is to be replaced
+	Epoch  uint64 `cbor:"1,keyasint"` // epoch of the view to be replaced
 	Ballot Ballot `cbor:"2,keyasint"`
 	View   View   `cbor:"3,keyasint"`
 }
 
-// Accepted answers an Accept.
+// Accepted is the reply to an Accept.
 type Accepted struct {
 	Epoch  uint64 `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Append passes entries down the chain.
+// Append forwards entries to the next member of the chain.
 type Append struct {
 	Epoch   uint64  `cbor:"1,keyasint"`
 	Entries []Entry `cbor:"2,keyasint"`
-	Commit  uint64  `cbor:"3,keyasint"`
+	Commit  uint64  `cbor:"3,keyasint"` // last sequence number committed at the sender
 }
 
-// Commit tells what the tail has.
+// Commit announces the last sequence number that the tail has committed.
 type Commit struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	Seq   uint64 `cbor:"2,keyasint"`
 }
 
-// Confirm asks whether an epoch is still in force; the answer repeats it.
+// Confirm asks whether an epoch is still current. The reply repeats it.
 type Confirm struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	Nonce uint64 `cbor:"2,keyasint"`
--- a/internal/chain/proposal_events.go
+++ b/internal/chain/proposal_events.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Reason is why a replica wants another view.
+// Reason is why a replica proposes another view.
 type Reason string
 
-// Reasons for a proposal; several may hold at once.
+// Reasons for a proposal; several may apply at once.
 const (
 	ReasonRemoved   Reason = "member removed from chain"
 	ReasonAdded     Reason = "member added to chain"
@@ -18,34 +18,35 @@
 	ReasonBroken    Reason = "chain member without its log"
 )
 
-// Silence is how long a machine has not been heard by the replica that reports it.
+// PeerSilence describes how long a replica has received no heartbeat from a peer. It is logged as
+// JSON.
 type PeerSilence struct {
 	ID           NodeID
-	Duration     time.Duration `json:"For"`
-	Known        bool          // false if it was never heard
-	SeesReporter bool          `json:"Hears"` // its newest heartbeat said that it hears the reporter
+	Duration     time.Duration `json:"For"` // since the last heartbeat
+	Known        bool          // false if no heartbeat was ever received
+	SeesReporter bool          `json:"Hears"` // whether its latest heartbeat reports this replica as alive
 }
 
-// Attempt describes a proposal for the next view as it begins, for operators.
+// ProposalStarted describes a proposal for the next view when it starts, for the log.
 type ProposalStarted struct {
-	Epoch   uint64 // of the view to be replaced
-	Round   uint64 // of its ballot
+	Epoch   uint64 // epoch of the view to be replaced
+	Round   uint64 // round of the ballot
 	Reasons []Reason
-	Removed []PeerSilence // members of the chain that the next one is to be without
-	Added   []PeerSilence // machines that the next chain is to have besides
+	Removed []PeerSilence // chain members that the next chain drops
+	Added   []PeerSilence // nodes that the next chain adds
 }
 
-// GivenUp describes a proposal that did not end in time.
+// ProposalTimedOut describes a proposal that was abandoned after ProposalTimeout, for the log.
 type ProposalTimedOut struct {
 	Epoch        uint64
 	Round        uint64
-	Participants int // machines that were asked to promise
-	Promised     int
-	CaughtUp     int // machines that hold the log of the next chain
-	Accepted     int
+	Participants int // nodes that were sent a Prepare
+	Promised     int // nodes that answered with a Promise
+	CaughtUp     int // nodes that hold the log the next chain starts from
+	Accepted     int // acceptors that accepted the view
 }
 
-// attempt describes the proposal that begins now.
+// describeStart describes a proposal that starts now.
 func (r *Replica) describeStart(now time.Duration, p *proposal) *ProposalStarted {
 	view := &r.meta.View
 	a := &ProposalStarted{Epoch: view.Epoch, Round: p.ballot.Round}
@@ -60,8 +61,8 @@
 		}
 	}
 	for _, reason := range []struct {
-		holds bool
-		name  Reason
+		applies bool
+		name    Reason
 	}{
 		{len(a.Removed) > 0, ReasonRemoved},
 		{len(a.Added) > 0, ReasonAdded},
@@ -70,13 +71,14 @@
 		{r.anyAcceptorSealed(now), ReasonSealed},
 		{r.chainBroken(now), ReasonBroken},
 	} {
-		if reason.holds {
+		if reason.applies {
 			a.Reasons = append(a.Reasons, reason.name)
 		}
 	}
 	return a
 }
 
+// peerSilence describes the silence of one peer.
 func (r *Replica) peerSilence(now time.Duration, id NodeID) PeerSilence {
 	p := r.peers[id]
 	if p == nil {
@@ -85,7 +87,7 @@
 	return PeerSilence{ID: id, Duration: now - p.lastHeartbeat, Known: true, SeesReporter: p.heartbeat.SeesAlive(&r.meta.View, r.meta.Identity)}
 }
 
-// givenUp describes a proposal whose time is over.
+// describeTimeout describes a proposal that timed out.
 func (p *proposal) describeTimeout(epoch uint64) *ProposalTimedOut {
 	return &ProposalTimedOut{
 		Epoch: epoch, Round: p.ballot.Round,
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -9,7 +9,7 @@
 	"nettlefold/internal/rendezvous"
 )
 
-// proposal is one attempt at the next view.
+// proposal is the state of one attempt to agree on the next view.
 type proposal struct {
 	ballot       Ballot
 	desired      desiredView
@@ -17,18 +17,20 @@
 	participants []Member
 	promises     map[NodeID]*Promise
 	source       NodeID
-	sourceLength uint64 // of the source's log
+	sourceLength uint64 // last sequence number of the source's log
 	caughtUp     map[NodeID]bool
 	targets      []Target
-	view         *View // once it is put to the vote
+	view         *View // proposed view, nil before the accept phase
 	accepted     map[NodeID]bool
 }
 
-// passedOverFor is how long a member is left alone that did not catch up in time: each proposal holds up the writes.
+// catchUpBackoff is how long a node that did not catch up in time is kept out of the chain, because
+// writes are blocked during each proposal.
 const catchUpBackoff = 1500 * time.Millisecond
 
-// propel starts a proposal where one is wanted, moves one on, or gives it up. Of those that want one the first acceptor that is
-// heard begins; others wait for longer the further behind they are, so that they seldom meet.
+// driveProposal starts a proposal if another view is needed, and advances or times out a running
+// one. Replicas that want to propose wait for a time that grows with their position among the live
+// acceptors, so that concurrent proposals are rare.
 func (r *Replica) driveProposal(now time.Duration) {
 	if p := r.proposal; p != nil {
 		if now-p.startedAt > r.options.Timing.ProposalTimeout {
@@ -55,6 +57,7 @@
 	r.startProposal(now, want)
 }
 
+// startProposal begins the prepare phase of a new proposal.
 func (r *Replica) startProposal(now time.Duration, want desiredView) {
 	r.highestRound = max(r.highestRound, r.meta.Promised.Round) + 1
 	p := &proposal{
@@ -112,10 +115,12 @@
 		return
 	}
 	p.promises[m.From.ID] = m.Promise
-	r.advanceProposal(r.lastTick) // a tick judges who is late: more answers may wait behind this one
+	// The time of the last tick: only Tick evaluates timeouts, as more replies may be queued.
+	r.advanceProposal(r.lastTick)
 }
 
-// advance goes on to the next step of a proposal when enough answered: all that were asked, or a majority and some time for the rest.
+// advanceProposal moves a proposal to its next phase once enough nodes have answered: all
+// participants, or a majority after some time.
 func (r *Replica) advanceProposal(now time.Duration) {
 	p := r.proposal
 	waited := now - p.startedAt
@@ -130,23 +135,25 @@
 	}
 }
 
-// enoughPromised tells whether it is time to go on without the promises that lack: soon without those of machines that are not heard, later
-// without any, as each that is left out costs another view.
+// enoughPromised reports whether to continue without the missing promises: after one heartbeat
+// interval without those of nodes that are not alive, after three without any, as each live node
+// left out costs another view change.
 func (r *Replica) enoughPromised(now, waited time.Duration) bool {
-	p, patience := r.proposal, r.options.Timing.HeartbeatInterval
-	if len(p.promises) == len(p.participants) || waited >= 3*patience {
+	p, interval := r.proposal, r.options.Timing.HeartbeatInterval
+	if len(p.promises) == len(p.participants) || waited >= 3*interval {
 		return true
 	}
-	return waited >= patience && !slices.ContainsFunc(p.desired.chain, func(id NodeID) bool { return p.promises[id] == nil && r.isAlive(now, id) })
+	return waited >= interval && !slices.ContainsFunc(p.desired.chain, func(id NodeID) bool { return p.promises[id] == nil && r.isAlive(now, id) })
 }
 
-// enoughCaughtUp tells whether it is time to vote: all that promised hold the log, or enough do and the others had their time.
+// enoughCaughtUp reports whether to start the accept phase: all nodes that promised hold the log,
+// or enough of them do and four heartbeat intervals have passed.
 func (r *Replica) enoughCaughtUp(waited time.Duration) bool {
-	p, patience := r.proposal, r.options.Timing.HeartbeatInterval
-	return len(p.caughtUp) == len(p.targets)+1 || waited >= 4*patience && len(p.caughtUp) >= r.options.MinCopies
+	p, interval := r.proposal, r.options.Timing.HeartbeatInterval
+	return len(p.caughtUp) == len(p.targets)+1 || waited >= 4*interval && len(p.caughtUp) >= r.options.MinCopies
 }
 
-// promised counts the acceptors that promised.
+// promisedAcceptors counts the acceptors that promised.
 func (r *Replica) promisedAcceptors() (n int) {
 	for id := range r.proposal.promises {
 		if _, acceptor := r.meta.View.Acceptor(id); acceptor {
@@ -156,8 +163,10 @@
 	return n
 }
 
-// chooseSource takes up a view that may have been decided already, or has a sealed log of the chain brought to the others: the longest
-// of those that reach the new chain. Each has all that was ever committed.
+// chooseSource proposes the view accepted under the highest ballot, which may have been decided
+// already. If there is none, it chooses the source and has its log transferred to the other
+// participants: the longest sealed log of a chain member, preferably one that stays in the chain.
+// Every sealed log contains all committed entries.
 func (r *Replica) chooseSource() {
 	p := r.proposal
 	var newest *Promise
@@ -188,12 +197,13 @@
 	r.sendTo(p.source, Message{Transfer: &Transfer{r.meta.View.Epoch, p.ballot, p.targets}})
 }
 
-// pickSource picks the longest sealed log of the old chain's members among some; of equals the one nearest to the head.
-func (r *Replica) pickSource(among []NodeID) {
+// pickSource picks the longest sealed log of the old chain's members that are in candidates. Among
+// equals it picks the one closest to the head.
+func (r *Replica) pickSource(candidates []NodeID) {
 	p := r.proposal
 	for _, id := range r.meta.View.Chain {
 		promise := p.promises[id]
-		if promise == nil || promise.LogEpoch != r.meta.View.Epoch || !slices.Contains(among, id) {
+		if promise == nil || promise.LogEpoch != r.meta.View.Epoch || !slices.Contains(candidates, id) {
 			continue
 		}
 		if p.source == "" || promise.LogLength > p.sourceLength {
@@ -202,7 +212,8 @@
 	}
 }
 
-// vote puts the new view to the vote: its chain is those that hold the source's log.
+// proposeView starts the accept phase for a new view, whose chain consists of the nodes that hold
+// the source's log.
 func (r *Replica) proposeView(now time.Duration) {
 	p, view := r.proposal, &r.meta.View
 	if len(p.caughtUp) < r.options.MinCopies {
@@ -234,7 +245,8 @@
 	r.sendAccepts(next)
 }
 
-// order keeps the chain's order, newcomers last; after a write was stuck it takes another, as one link of the old may be at fault.
+// orderChain keeps the order of the current chain and appends new members. After a stuck write it
+// shuffles the chain by rendezvous hashing, since a link between neighbours may be faulty.
 func (r *Replica) orderChain(now time.Duration, next *View) {
 	if r.writeStuck(now) {
 		key := strconv.FormatUint(next.Epoch, 10)
@@ -252,6 +264,7 @@
 	slices.SortStableFunc(next.Chain, func(a, b NodeID) int { return cmp.Compare(place(a), place(b)) })
 }
 
+// sendAccepts asks the acceptors to accept a view.
 func (r *Replica) sendAccepts(view *View) {
 	p := r.proposal
 	p.view = view
@@ -284,16 +297,17 @@
 		return
 	}
 	view := p.view
-	told := append(r.meta.View.Members(), view.Members()...)
+	recipients := append(r.meta.View.Members(), view.Members()...)
 	r.adoptView(view)
-	for _, m := range told {
+	for _, m := range recipients {
 		if m.ID != r.meta.Identity {
 			r.send(m, Message{Decided: view})
 		}
 	}
 }
 
-// adopt takes a decided view. A member of its chain that holds the log it starts from cuts off what goes beyond, and serves.
+// adoptView applies a decided view if it is newer than the current one. A member of its chain whose
+// log contains the log that the view starts from truncates its log to that length and serves.
 func (r *Replica) adoptView(view *View) {
 	if view.Epoch <= r.meta.View.Epoch {
 		return
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -10,87 +10,89 @@
 	"nettlefold/internal/replicated"
 )
 
-// NoSessions is a heartbeat's Applied where no agent has a session with its sender.
+// NoSessions is the value of Heartbeat.Applied if no agent has a session with the sender.
 const NoSessions = math.MaxUint64
 
 const (
-	maxResentEntries = 64   // in one message
-	maxPendingReads  = 4096 // reads that wait
+	maxResentEntries = 64   // entries per message
+	maxPendingReads  = 4096 // unconfirmed reads; older ones are dropped
 )
 
-// Errors of Propose. What was refused with them did not enter the log.
+// Errors of Propose. The operation did not enter the log.
 var (
 	ErrNotHead = errors.New("this replica is not the head of the chain")
 	ErrNoChain = errors.New("no chain takes writes at present")
 	ErrPending = errors.New("a write is under way")
 )
 
-// RefusedError is an operation that cannot be taken on top of the committed state.
+// RefusedError is returned for an operation that cannot be applied to the committed state.
 type RefusedError struct {
 	Verdict replicated.Verdict
 	Reason  error
 }
 
+// Error returns the text of the reason.
 func (e *RefusedError) Error() string { return e.Reason.Error() }
 
-// Replica is one core machine's part.
+// Replica is the replication state machine of one core node. It is not safe for concurrent use.
 type Replica struct {
 	options       Options
 	meta          Meta
 	state         *replicated.State // committed
-	log           []Entry           // numbers first.. in order, some of them committed
-	firstSeq      uint64            // number of log[0]; one above the newest where the log is empty
-	sinceSnapshot struct {          // since the newest snapshot
+	log           []Entry           // entries from firstSeq on, partly committed
+	firstSeq      uint64            // sequence number of log[0]; if the log is empty, of the next entry
+	sinceSnapshot struct {          // appended since the latest snapshot
 		entries int
 		bytes   int
 	}
 
 	peers             map[NodeID]*peer
 	seeds             []string
-	announced         map[string]announcement // newcomers that members of the view told of, by address
+	announced         map[string]announcement // joining nodes announced by view members, by address
 	lastTick          time.Duration
 	startedAt         time.Duration
 	lastHeartbeat     time.Duration
-	changeNeededSince time.Duration // since when another view is wanted, 0 if none is
-	pendingSince      time.Duration // since when an entry waits to be committed, 0 if none does
+	changeNeededSince time.Duration // since when another view is needed, 0 if none is
+	pendingSince      time.Duration // since when an entry is uncommitted, 0 if none is
 	proposal          *proposal
-	highestRound      uint64 // the highest seen
+	highestRound      uint64 // highest ballot round seen
 	retryAt           time.Duration
-	applied           uint64 // by the agents with sessions here
-	leaving           bool   // told to end
+	applied           uint64 // sequence number applied by all agents with sessions at this node
+	leaving           bool   // shutting down
 	stateFetch        *stateFetch
 	servedState       *servedState
 	pendingReads      map[uint64]*pendingRead
 	lastNonce         uint64
 
 	out        Output
-	loopback   []Message // to itself, handled within the step
+	loopback   []Message // messages to itself, handled within the same step
 	hasStepped bool
 }
 
-// peer is what is known of another core machine.
+// peer is what this replica knows about another core node.
 type peer struct {
 	member        Member
-	aliveSince    time.Duration // since when it is heard without a gap
+	aliveSince    time.Duration // start of the current period without missed heartbeats
 	lastHeartbeat time.Duration
 	heartbeat     Heartbeat
-	// passedOver is until when it is not taken into the chain, as it did not catch up in time.
+	// backoffUntil is the time before which the node is not added to the chain, because it did not
+	// catch up in time.
 	backoffUntil time.Duration
 }
 
-// toldOf is a machine that another told of.
+// announcement is a joining node that another node has announced.
 type announcement struct {
 	member     Member
 	receivedAt time.Duration
 }
 
-// read waits until a majority has confirmed the epoch.
+// pendingRead is a read that waits for a majority to confirm the epoch.
 type pendingRead struct {
 	epoch       uint64
 	confirmedBy map[NodeID]bool
 }
 
-// New makes a replica of what is on its disk.
+// New creates a replica from its persisted state.
 func New(options Options, saved PersistedState) *Replica {
 	r := &Replica{
 		options:      options,
@@ -121,23 +123,25 @@
 	return r
 }
 
-// belongs tells whether an entry found on disk is of the log: one beyond the view's start must be of its epoch, else it was cut off
-// when the view began.
+// isCurrentEntry reports whether an entry found on disk belongs to the log. An entry beyond the
+// start of the view must have the epoch of the view; others were truncated when the view started.
 func (r *Replica) isCurrentEntry(e *Entry) bool {
 	return r.meta.LogEpoch != r.meta.View.Epoch || e.Seq <= r.meta.View.LogLength || e.Epoch == r.meta.View.Epoch
 }
 
-// length is the number of the newest entry.
+// lastSeq returns the sequence number of the last entry.
 func (r *Replica) lastSeq() uint64 { return r.firstSeq + uint64(len(r.log)) - 1 }
 
+// isSealed reports whether this replica has promised a ballot for the next epoch, and so takes no
+// more writes in the current one.
 func (r *Replica) isSealed() bool { return r.meta.Promised != Ballot{} }
 
-// serving tells whether this replica is an intact member of its view's chain.
+// serving reports whether this replica is a member of the current chain and holds its log.
 func (r *Replica) serving() bool {
 	return r.meta.View.InChain(r.meta.Identity) && r.meta.LogEpoch == r.meta.View.Epoch
 }
 
-// step runs one input, and the messages to itself that follow, and gives what it wants done.
+// step processes one input and the messages to itself that result, and returns the output.
 func (r *Replica) step(now time.Duration, input func()) Output {
 	if !r.hasStepped {
 		r.hasStepped, r.startedAt, r.lastTick = true, now, now
@@ -155,7 +159,7 @@
 	return out
 }
 
-// Receive handles a message.
+// Receive processes a message from another node.
 func (r *Replica) Receive(now time.Duration, m *Message) Output {
 	return r.step(now, func() { r.handle(now, m) })
 }
@@ -208,7 +212,7 @@
 	r.out.Messages = append(r.out.Messages, Envelope{to, m})
 }
 
-// sendTo sends to a member of the view or one that was heard of.
+// sendTo sends a message to a view member or another known peer.
 func (r *Replica) sendTo(id NodeID, m Message) {
 	if to, ok := r.meta.View.Member(id); ok {
 		r.send(to, m)
@@ -222,8 +226,9 @@
 	r.out.Records = append(r.out.Records, Record{Meta: &meta})
 }
 
-// Propose takes an operation at the head. It gives the number under which the operation is committed or was before; it fails if the
-// operation did not enter the log.
+// Propose appends an operation to the log; only the head can. It returns the sequence number that
+// commits the operation, or the last committed one if the operation was applied before. On error
+// the operation did not enter the log.
 func (r *Replica) Propose(now time.Duration, o *replicated.Operation) (seq uint64, out Output, err error) {
 	out = r.step(now, func() { seq, err = r.propose(o) })
 	return seq, out, err
@@ -251,7 +256,7 @@
 	return r.lastSeq(), nil
 }
 
-// take adds an entry to the log and has it written.
+// appendEntry adds an entry to the log and to the records to be made durable.
 func (r *Replica) appendEntry(e Entry) {
 	r.log = append(r.log, e)
 	r.sinceSnapshot.entries++
@@ -259,7 +264,7 @@
 	r.out.Records = append(r.out.Records, Record{Entry: &e, Generation: r.meta.Generation})
 }
 
-// pass sends the newest entry on, or commits it at the tail.
+// forwardNewest sends the last entry to the next chain member, or commits it at the tail.
 func (r *Replica) forwardNewest() {
 	view := &r.meta.View
 	if next := view.neighbour(r.meta.Identity, 1); next != "" {
@@ -269,7 +274,8 @@
 	r.commitAtTail()
 }
 
-// commitAtTail commits all that the tail has: it came through every member of the chain, each of which synced it before.
+// commitAtTail commits the whole log at the tail: its entries have passed through every chain
+// member, each of which synced them first.
 func (r *Replica) commitAtTail() {
 	view := &r.meta.View
 	if r.isSealed() || !r.serving() || view.Tail() != r.meta.Identity || len(view.Chain) < r.options.MinCopies {
@@ -298,14 +304,14 @@
 	r.commitTo(min(a.Commit, r.lastSeq()))
 }
 
-// commitTo applies entries up to a number that is known to be committed.
+// commitTo applies the entries up to a sequence number that is known to be committed.
 func (r *Replica) commitTo(seq uint64) {
 	seq = min(seq, r.lastSeq())
 	for r.state.Seq < seq {
 		e := &r.log[r.state.Seq+1-r.firstSeq]
 		o, err := replicated.DecodeOperation(e.Operation)
 		if err != nil {
-			panic(fmt.Sprintf("committed entry %d: %v", e.Seq, err)) // it was encoded by a head and kept under a checksum
+			panic(fmt.Sprintf("chain: decode committed entry %d: %v", e.Seq, err)) // the head encoded it, and storage has a checksum
 		}
 		r.state = r.state.Clone()
 		r.state.Apply(e.Seq, o)
@@ -313,7 +319,7 @@
 	}
 }
 
-// settle is what follows each input: a snapshot when one is due, and the age of what waits.
+// finishStep runs after each input: it takes a snapshot when one is due and updates pendingSince.
 func (r *Replica) finishStep(now time.Duration) {
 	r.commitAtTail()
 	if r.sinceSnapshot.entries >= r.options.Limits.SnapshotEntries || r.sinceSnapshot.bytes >= r.options.Limits.SnapshotBytes {
@@ -326,35 +332,38 @@
 	}
 }
 
+// takeSnapshot records the committed state and drops old entries from the log.
 func (r *Replica) takeSnapshot() {
 	r.sinceSnapshot.entries, r.sinceSnapshot.bytes = 0, 0
 	r.out.Records = append(r.out.Records, Record{Snapshot: &Snapshot{r.meta.Generation, r.state.Encode()}})
-	if over := int(r.state.Seq+1-r.firstSeq) - r.options.Limits.RetainedEntries; over > 0 {
-		r.log = slices.Clone(r.log[over:])
-		r.firstSeq += uint64(over)
+	if excess := int(r.state.Seq+1-r.firstSeq) - r.options.Limits.RetainedEntries; excess > 0 {
+		r.log = slices.Clone(r.log[excess:])
+		r.firstSeq += uint64(excess)
 	}
 }
 
-// State is the committed state. It is not changed any more.
+// State returns the committed state. The caller must not modify it; later commits replace it.
 func (r *Replica) State() *replicated.State { return r.state }
 
-// View is the newest view known.
+// View returns the newest known view.
 func (r *Replica) View() View { return r.meta.View }
 
-// Self is this member.
+// Self returns the member that this replica is.
 func (r *Replica) Self() Member { return r.options.Self }
 
-// Serving tells whether this replica is an intact member of the chain of a view that is not being replaced.
+// Serving reports whether this replica is a chain member that holds its log, in a view that it has
+// not promised to replace.
 func (r *Replica) Serving() bool { return r.serving() && !r.isSealed() }
 
-// SetApplied takes what the agents with sessions here have applied, for the next heartbeat.
+// SetApplied sets the sequence number that all agents with sessions at this node have applied, for
+// the next heartbeat. It reports whether the number has changed.
 func (r *Replica) SetApplied(seq uint64) (changed bool) {
 	changed = r.applied != seq
 	r.applied = seq
 	return changed
 }
 
-// AppliedEverywhere tells whether the agents of all members that are heard have applied a number.
+// AppliedEverywhere reports whether the agents of all live nodes have applied a sequence number.
 func (r *Replica) AppliedEverywhere(now time.Duration, seq uint64) bool {
 	if r.applied < seq {
 		return false
--- a/internal/chain/transfer.go
+++ b/internal/chain/transfer.go
@@ -12,14 +12,15 @@
 		return
 	}
 	for _, target := range t.Targets {
-		if bring := r.catchUpFor(&target); bring != nil {
-			bring.Epoch, bring.Ballot, bring.Proposer = t.Epoch, t.Ballot, m.From
-			r.send(target.Member, Message{CatchUp: bring})
+		if catchUp := r.catchUpFor(&target); catchUp != nil {
+			catchUp.Epoch, catchUp.Ballot, catchUp.Proposer = t.Epoch, t.Ballot, m.From
+			r.send(target.Member, Message{CatchUp: catchUp})
 		}
 	}
 }
 
-// bring gives what a target lacks of this log; nil if that is too much to be brought while nothing is written: it fetches it first.
+// catchUpFor returns what a target needs to hold this log, or nil if that is too large to transfer
+// while writes are blocked: the target has to fetch the state first.
 func (r *Replica) catchUpFor(target *Target) *CatchUp {
 	switch {
 	case target.LogEpoch == r.meta.View.Epoch && target.LogLength+1 >= r.firstSeq:
@@ -32,6 +33,7 @@
 	return &CatchUp{State: r.state.Encode(), Entries: r.entriesAfter(r.state.Seq)}
 }
 
+// entriesAfter returns the entries that follow a sequence number.
 func (r *Replica) entriesAfter(seq uint64) []Entry {
 	if seq >= r.lastSeq() {
 		return nil
@@ -39,8 +41,8 @@
 	return slices.Clone(r.log[seq+1-r.firstSeq:])
 }
 
-// onCatchUp extends the log, never shortens it: a log of this epoch's chain stays at least as long as any view that was put to the
-// vote says. What is too much is cut off when a view is decided.
+// onCatchUp extends the log and never shortens it: a log of the current chain stays at least as
+// long as any proposed view requires. The excess is truncated when a view is decided.
 func (r *Replica) onCatchUp(m *Message) {
 	c := m.CatchUp
 	if c.Epoch != r.meta.View.Epoch || c.Ballot != r.meta.Promised {
@@ -57,7 +59,8 @@
 	r.send(c.Proposer, Message{CaughtUp: &CaughtUp{c.Epoch, c.Ballot, r.lastSeq()}})
 }
 
-// rebase begins a log of this epoch's chain, on the state that was brought or on the committed one that is here.
+// rebase starts a log of the current chain from the transferred state, or from the committed state
+// of this node. It reports whether that is possible.
 func (r *Replica) rebase(c *CatchUp) bool {
 	encoded := c.State
 	switch {
--- a/internal/chain/types.go
+++ b/internal/chain/types.go
@@ -1,14 +1,18 @@
-// Package chain keeps one state on the core machines: chain replication under a view that a majority agrees on.
+// Package chain replicates one state over the core nodes by chain replication, under a membership
+// view that a majority agrees on.
 //
-// A view names the acceptors, who agree on the next view, and the chain, which takes the writes: they enter at the head, each
-// replica makes them durable before it passes them on, and what reaches the tail is committed. View e+1 is agreed on by the
-// acceptors of view e with single-decree Paxos. An acceptor that has answered for e+1 is sealed: it takes no write under e any
-// more. The new chain starts from the log of one sealed member of chain e, which has all that e committed, and every member of the
-// new chain holds that log before anyone is asked to accept the view; so all members of a decided chain are intact from its start.
+// A view names the acceptors, which agree on the next view, and the chain, which takes the writes:
+// they enter at the head, each replica makes them durable before it forwards them, and what reaches
+// the tail is committed. The acceptors of view e agree on view e+1 with single-decree Paxos. An
+// acceptor that has promised a ballot for e+1 is sealed: it takes no more writes in e. The new
+// chain starts from the log of one sealed member of chain e, which contains everything committed in
+// e, and every member of the new chain holds that log before any acceptor is asked to accept the
+// view. All members of a decided chain are therefore intact from its start.
 //
-// Everything here is a pure state machine: no I/O, clock or goroutine. What a step wants durable must be synced before what it
-// wants sent is sent. docs/system.md has the argument; Vertical Paxos (Lamport, Malkhi, Zhou 2009) and Chain Replication
-// (van Renesse, Schneider 2004) the theory.
+// The package is a pure state machine without I/O, clock or goroutines. The caller must sync the
+// records of an Output before it sends the messages of that Output. docs/system.md has the
+// correctness argument. The design follows Vertical Paxos (Lamport, Malkhi, Zhou 2009) and Chain
+// Replication (van Renesse, Schneider 2004).
 package chain
 
 import (
@@ -18,28 +22,29 @@
 	"nettlefold/internal/replicated"
 )
 
-// NodeID is the identity of one disk's life: a machine that lost its disk comes back under another.
+// NodeID identifies a node for the lifetime of its disk: a node that lost its disk returns with a
+// new ID.
 type NodeID string
 
-// Member is a core machine.
+// Member is a core node.
 type Member struct {
 	ID      NodeID `cbor:"1,keyasint"`
-	Addr    string `cbor:"2,keyasint"` // of its messages to other machines
-	Control string `cbor:"3,keyasint"` // where the operator calls
+	Addr    string `cbor:"2,keyasint"` // address for messages between core nodes
+	Control string `cbor:"3,keyasint"` // address of the operator API
 	Zone    string `cbor:"4,keyasint"`
 }
 
-// View is an agreed configuration of the core. Learners are members of the chain that do not vote: they hold every write, and take
-// the place of an acceptor that leaves or is lost.
+// View is an agreed configuration of the core. Learners are chain members that do not vote: they
+// hold every write and can replace an acceptor that leaves or fails.
 type View struct {
 	Epoch     uint64   `cbor:"1,keyasint"`
 	Acceptors []Member `cbor:"2,keyasint"`
 	Chain     []NodeID `cbor:"3,keyasint"` // head first
-	LogLength uint64   `cbor:"4,keyasint"` // at its start; all of it is committed
+	LogLength uint64   `cbor:"4,keyasint"` // last sequence number at the start of the view, all committed
 	Learners  []Member `cbor:"5,keyasint,omitempty"`
 }
 
-// Member finds an acceptor or a learner by its identity.
+// Member returns the acceptor or learner with an identity.
 func (v *View) Member(id NodeID) (Member, bool) {
 	if m, ok := v.Acceptor(id); ok {
 		return m, true
@@ -51,10 +56,10 @@
 	return v.Learners[i], true
 }
 
-// Members are the acceptors and the learners.
+// Members returns the acceptors and the learners.
 func (v *View) Members() []Member { return slices.Concat(v.Acceptors, v.Learners) }
 
-// Acceptor finds a member by its identity.
+// Acceptor returns the acceptor with an identity.
 func (v *View) Acceptor(id NodeID) (Member, bool) {
 	i := slices.IndexFunc(v.Acceptors, func(m Member) bool { return m.ID == id })
 	if i < 0 {
@@ -63,13 +68,13 @@
 	return v.Acceptors[i], true
 }
 
-// Majority is how many acceptors agree for all.
+// Majority returns the number of acceptors in a quorum.
 func (v *View) Majority() int { return len(v.Acceptors)/2 + 1 }
 
-// InChain tells whether a member takes writes in this view.
+// InChain reports whether a node is a member of the chain.
 func (v *View) InChain(id NodeID) bool { return slices.Contains(v.Chain, id) }
 
-// Head is where writes enter.
+// Head returns the member at which writes enter, "" if the chain is empty.
 func (v *View) Head() NodeID {
 	if len(v.Chain) == 0 {
 		return ""
@@ -77,7 +82,7 @@
 	return v.Chain[0]
 }
 
-// Tail is where they are committed and read.
+// Tail returns the member that commits writes and answers reads, "" if the chain is empty.
 func (v *View) Tail() NodeID {
 	if len(v.Chain) == 0 {
 		return ""
@@ -85,13 +90,13 @@
 	return v.Chain[len(v.Chain)-1]
 }
 
-// neighbour gives the member by so many places behind id in the chain, "" beyond its ends.
-func (v *View) neighbour(id NodeID, by int) NodeID {
+// neighbour returns the member offset positions after id in the chain, or "" if there is none.
+func (v *View) neighbour(id NodeID, offset int) NodeID {
 	i := slices.Index(v.Chain, id)
-	if i < 0 || i+by < 0 || i+by >= len(v.Chain) {
+	if i < 0 || i+offset < 0 || i+offset >= len(v.Chain) {
 		return ""
 	}
-	return v.Chain[i+by]
+	return v.Chain[i+offset]
 }
 
 // Ballot orders the proposals for one epoch.
@@ -100,7 +105,7 @@
 	Proposer NodeID `cbor:"2,keyasint"`
 }
 
-// Less orders ballots.
+// Less reports whether b is lower than o.
 func (b Ballot) Less(o Ballot) bool {
 	return b.Round < o.Round || b.Round == o.Round && b.Proposer < o.Proposer
 }
@@ -108,29 +113,29 @@
 // Entry is one operation of the log.
 type Entry struct {
 	Seq       uint64 `cbor:"1,keyasint"`
-	Epoch     uint64 `cbor:"2,keyasint"` // of the view in which it was written
+	Epoch     uint64 `cbor:"2,keyasint"` // epoch of the view in which it was appended
 	Operation []byte `cbor:"3,keyasint"`
 }
 
-// Meta is what a replica must never forget, beside its log.
+// Meta is the durable state of a replica besides its log.
 type Meta struct {
 	Identity     NodeID `cbor:"1,keyasint"`
-	View         View   `cbor:"2,keyasint"`           // the newest decided view that it knows
-	Promised     Ballot `cbor:"3,keyasint"`           // for the next epoch; sealed if set
+	View         View   `cbor:"2,keyasint"`           // newest known decided view
+	Promised     Ballot `cbor:"3,keyasint"`           // for the next epoch; the replica is sealed if set
 	Accepted     Ballot `cbor:"4,keyasint"`           // for the next epoch
-	AcceptedView *View  `cbor:"5,keyasint,omitempty"` // under that ballot
-	LogEpoch     uint64 `cbor:"6,keyasint"`           // the epoch whose chain the log is of
-	Generation   uint64 `cbor:"7,keyasint"`           // of the log: a state taken over whole starts another
+	AcceptedView *View  `cbor:"5,keyasint,omitempty"` // view accepted under that ballot
+	LogEpoch     uint64 `cbor:"6,keyasint"`           // epoch of the chain that the log belongs to
+	Generation   uint64 `cbor:"7,keyasint"`           // of the log; installing a whole state starts a new generation
 }
 
-// Snapshot is a state and the generation of the log that goes on from it.
+// Snapshot is a committed state and the log generation that continues from it.
 type Snapshot struct {
 	Generation uint64 `cbor:"1,keyasint"`
-	State      []byte `cbor:"2,keyasint"` // replicated.State, with its number
+	State      []byte `cbor:"2,keyasint"` // encoded replicated.State, including its sequence number
 }
 
-// Record is one thing to make durable. Records of a step are written in their order; if the power goes before they are synced,
-// what is left of them must be a prefix.
+// Record is one item to make durable. The records of a step are written in order; after a power
+// loss before the sync, those left must be a prefix.
 type Record struct {
 	Meta       *Meta
 	Entry      *Entry
@@ -138,67 +143,72 @@
 	Snapshot   *Snapshot
 }
 
-// Saved is what a replica finds on its disk. Entries are those of the generation that Meta names, by number.
+// PersistedState is what a replica finds on its disk at start. Entries are those of the generation
+// in Meta, in order of their sequence numbers.
 type PersistedState struct {
 	Meta    Meta
 	State   *replicated.State
 	Entries []Entry
 }
 
-// Envelope is a message and where it goes.
+// Envelope is a message and its recipient.
 type Envelope struct {
 	To      Member
 	Message Message
 }
 
-// Output is what a step wants done, in this order: records synced, messages sent, readers answered.
+// Output is the result of a step. The caller syncs the records, then sends the messages, then
+// answers the confirmed reads.
 type Output struct {
 	Records          []Record
 	Messages         []Envelope
-	StateChanged     bool              // the committed state changed
-	ConfirmedReads   []uint64          // reads that may be answered from the committed state
-	ViewChanged      bool              // another view is in force
-	ProposalStarted  *ProposalStarted  // a proposal for the next view that was begun
-	ProposalTimedOut *ProposalTimedOut // a proposal that did not end in time
+	StateChanged     bool              // whether the committed state has changed
+	ConfirmedReads   []uint64          // nonces of reads that may be answered from the committed state
+	ViewChanged      bool              // whether a new view was adopted
+	ProposalStarted  *ProposalStarted  // the proposal that started, nil if none
+	ProposalTimedOut *ProposalTimedOut // the proposal that timed out, nil if none
 }
 
-// Options are a replica's settings.
+// Options are the settings of a replica.
 type Options struct {
 	Self      Member
-	MinCopies int // disks that a write must be on before it is acknowledged
+	MinCopies int // disks that must hold a write before it is acknowledged
 	Timing    Timing
 	Limits    Limits // DefaultLimits if zero
-	// FirstNonce is where this replica's confirmations are numbered from. It must be drawn anew for each start: answers to an earlier
-	// replica of the same identity may still be on their way, and say nothing of what is asked now.
+	// FirstNonce is the start of this replica's confirmation nonces. It must be random or otherwise
+	// new for each start: replies to an earlier replica with the same identity may still be in
+	// flight and must not confirm a new request.
 	FirstNonce uint64
 }
 
-// Limits are sizes of what is kept and sent.
+// Limits bounds the log and message sizes. Sizes are in bytes.
 type Limits struct {
-	RetainedEntries int // committed entries that stay in the log, for those that lag a little
-	SnapshotEntries int // entries, and SnapshotBytes their bytes, after which the state is written whole
-	SnapshotBytes   int
-	CatchUpBytes    int // of a state, or of entries, up to which they are brought within a proposal
-	ChunkBytes      int // of a state that is fetched, in one message
+	RetainedEntries int // committed entries kept in the log for members that lag slightly
+	SnapshotEntries int // entries after which a snapshot is taken
+	SnapshotBytes   int // size of the entries after which a snapshot is taken
+	CatchUpBytes    int // largest state, or total of entries, transferred within a proposal
+	ChunkBytes      int // size of a StateChunk
 }
 
-// DefaultLimits suits disks of some hundred megabytes and messages that must leave room for heartbeats on a slow link.
+// DefaultLimits returns limits that suit disks of some hundred megabytes and leave room for
+// heartbeats between messages on slow links.
 func DefaultLimits() Limits {
 	return Limits{RetainedEntries: 128, SnapshotEntries: 48, SnapshotBytes: 2 << 20, CatchUpBytes: 256 << 10, ChunkBytes: 128 << 10}
 }
 
-// Timing has the pace of the core. All times are by the steady clock.
+// Timing holds the intervals and timeouts of the protocol, measured by a monotonic clock.
 type Timing struct {
 	HeartbeatInterval      time.Duration // between heartbeats
-	SuspectTimeout         time.Duration // of silence, until a member is taken from the chain
-	AcceptorRemovalTimeout time.Duration // of silence, until it does not count as acceptor any more while there are enough others
-	AcceptorReplaceTimeout time.Duration // of silence, until a learner votes in its place
-	JoinDelay              time.Duration // that a member is heard before it is taken in
-	WriteTimeout           time.Duration // that a write may take in the chain
-	ProposalTimeout        time.Duration // that a proposal may take
+	SuspectTimeout         time.Duration // silence after which a node is no longer alive and leaves the chain
+	AcceptorRemovalTimeout time.Duration // silence after which an acceptor is removed if enough others remain
+	AcceptorReplaceTimeout time.Duration // silence after which a learner replaces an acceptor
+	JoinDelay              time.Duration // time that a node must be alive before it is added to the chain
+	WriteTimeout           time.Duration // time that a write may be uncommitted before the chain is reordered
+	ProposalTimeout        time.Duration // time that a proposal may take
 }
 
-// DefaultTiming suits links of some milliseconds and disks that may take a hundred times as long as usual.
+// DefaultTiming returns timing for links with a latency of some milliseconds and disks that may
+// become a hundred times slower than usual.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval:      150 * time.Millisecond,
