--- a/internal/chain/confirm_test.go
+++ b/internal/chain/confirm_test.go
@@ -9,12 +9,13 @@
 	"nettlefold/internal/replicated"
 )
 
-// lateAnswer plays a tail whose disk fails while an acceptor's confirmation is held up on its way: the others go over to a view without the
-// tail and take a write; then the disk works again, a read comes, and the old answer arrives before any news. It tells whether the read was
-// answered, and from a state that lacks the write.
-func playLateConfirmation(t *testing.T, planted fault) (answered, old bool) {
+// playLateConfirmation simulates a tail whose disk fails while an acceptor's confirmation is
+// delayed: the others change to a view without the tail and commit a write; then the disk recovers,
+// a read arrives at the old tail, and the delayed confirmation is delivered before any newer view.
+// It returns whether the read was answered, and whether that was from a state without the write.
+func playLateConfirmation(t *testing.T, injected fault) (answered, stale bool) {
 	s := threeNodes(1)
-	s.injected = planted
+	s.injected = injected
 	s.load(s.nodes["c"])
 	s.run(3 * time.Second)
 	head, tail := s.nodes["a"], s.nodes["c"]
@@ -40,7 +41,7 @@
 	require.Greater(t, head.replica.View().Epoch, tail.replica.View().Epoch)
 
 	tail.diskFailing = true
-	s.perform(tail, tail.replica.step(s.now, tail.replica.saveMeta)) // whatever it writes
+	s.perform(tail, tail.replica.step(s.now, tail.replica.saveMeta)) // any write fails
 	require.True(t, tail.halted)
 	tail.diskFailing = false
 	s.run(2 * reopenInterval)
@@ -52,10 +53,11 @@
 	return answered, answered && read.state.Models["m"].Version < 7
 }
 
-// TestConfirmationsOfAnEarlierReplica: an answer to what a replica asked before its disk failed confirms nothing that is asked after it.
+// TestConfirmationOfEarlierReplicaIgnored checks that a reply to a request from before a disk
+// failure confirms no read that starts after it.
 func TestConfirmationOfEarlierReplicaIgnored(t *testing.T) {
 	answered, _ := playLateConfirmation(t, noFault)
-	require.False(t, answered)
-	answered, old := playLateConfirmation(t, faultReusedNonces)
-	require.True(t, answered && old, "the planted fault shows an old state as the newest")
+	require.False(t, answered, "read answered by a confirmation for an earlier replica")
+	answered, stale := playLateConfirmation(t, faultReusedNonces)
+	require.True(t, answered && stale, "reused nonces: read answered = %v, from a stale state = %v, want both true", answered, stale)
 }
--- a/internal/chain/desired_view.go
+++ b/internal/chain/desired_view.go
@@ -13,13 +13,13 @@
 
 // proposalDelay returns how long to wait before proposing: two heartbeat intervals for each live
 // acceptor of the desired chain that precedes this node.
-func (r *Replica) proposalDelay(now time.Duration, want desiredView) time.Duration {
+func (r *Replica) proposalDelay(now time.Duration, desired desiredView) time.Duration {
 	n := 0
 	for _, m := range r.meta.View.Acceptors {
 		if m.ID == r.meta.Identity {
 			break
 		}
-		if r.isAlive(now, m.ID) && slices.Contains(want.chain, m.ID) {
+		if r.isAlive(now, m.ID) && slices.Contains(desired.chain, m.ID) {
 			n++
 		}
 	}
@@ -28,8 +28,8 @@
 
 // canPropose reports whether this replica may propose the desired view: it is an acceptor and in
 // the desired chain, and sees enough nodes alive to agree on the view and to take writes in it.
-func (r *Replica) canPropose(now time.Duration, want desiredView) bool {
-	if _, acceptor := r.meta.View.Acceptor(r.meta.Identity); !acceptor || !slices.Contains(want.chain, r.meta.Identity) {
+func (r *Replica) canPropose(now time.Duration, desired desiredView) bool {
+	if _, acceptor := r.meta.View.Acceptor(r.meta.Identity); !acceptor || !slices.Contains(desired.chain, r.meta.Identity) {
 		return false
 	}
 	alive, intact := 0, false
@@ -41,17 +41,17 @@
 	for _, id := range r.meta.View.Chain {
 		intact = intact || r.isAlive(now, id)
 	}
-	return alive >= r.meta.View.Majority() && intact && len(want.chain) >= r.options.MinCopies
+	return alive >= r.meta.View.Majority() && intact && len(desired.chain) >= r.options.MinCopies
 }
 
 // desiredView returns the desired view and whether a view change is needed. A replica that has
 // recently started proposes no change of members.
 func (r *Replica) desiredView(now time.Duration) (desiredView, bool) {
 	view := &r.meta.View
-	want := desiredView{chain: r.nextChain(now)}
-	want.acceptors = r.nextAcceptors(now, want.chain)
-	same := r.isRecentlyStarted(now) || sameMembers(want.acceptors, view.Acceptors) && sameIDs(want.chain, view.Chain)
-	return want, !same || r.writeStuck(now) || r.anyAcceptorSealed(now) || r.chainBroken(now)
+	desired := desiredView{chain: r.nextChain(now)}
+	desired.acceptors = r.nextAcceptors(now, desired.chain)
+	same := r.isRecentlyStarted(now) || sameMembers(desired.acceptors, view.Acceptors) && sameIDs(desired.chain, view.Chain)
+	return desired, !same || r.writeStuck(now) || r.anyAcceptorSealed(now) || r.chainBroken(now)
 }
 
 // memberInfo returns the best known information about a node, preferably from its own messages.
--- a/internal/chain/fingerprint_test.go
+++ b/internal/chain/fingerprint_test.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// Fingerprint tells worlds apart by all that a later step may depend on.
+// Fingerprint returns a text of everything that a later step may depend on.
 func (w *searchWorld) Fingerprint() string {
 	var b strings.Builder
 	for _, id := range w.ids {
-		r := w.machines[id].replica
+		r := w.replicas[id].replica
 		fmt.Fprint(&b, id, viewText(&r.meta.View), r.meta.Promised, r.meta.Accepted, r.meta.AcceptedView != nil, r.meta.LogEpoch, r.state.Seq, logText(r.log), r.highestRound)
 		if p := r.proposal; p != nil {
 			fmt.Fprint(&b, p.ballot, promisesText(p.promises), p.source, p.sourceLength, slices.Sorted(maps.Keys(p.caughtUp)), p.view != nil, slices.Sorted(maps.Keys(p.accepted)))
 		}
 	}
-	var under []string
+	var messages []string
 	for _, f := range w.inFlight {
-		under = append(under, inFlightText(&f))
+		messages = append(messages, inFlightText(&f))
 	}
-	slices.Sort(under)
-	fmt.Fprint(&b, under, w.acked, w.ackEpoch, len(w.pendingWrites), w.proposers, w.remainingCrashes, w.remainingLosses, w.remainingWipes, w.wipedDisks)
+	slices.Sort(messages)
+	fmt.Fprint(&b, messages, w.acked, w.ackEpoch, len(w.pendingWrites), w.proposers, w.remainingCrashes, w.remainingLosses, w.remainingWipes, w.wipedDisks)
 	return b.String()
 }
 
--- a/internal/chain/heartbeat.go
+++ b/internal/chain/heartbeat.go
@@ -123,8 +123,8 @@
 
 // recordAnnouncements notes the joining nodes that another node announced. They are sent heartbeats
 // until the announcements stop.
-func (r *Replica) recordAnnouncements(now time.Duration, newcomers []Member) {
-	for _, m := range newcomers {
+func (r *Replica) recordAnnouncements(now time.Duration, joining []Member) {
+	for _, m := range joining {
 		r.announced[m.Addr] = announcement{m, now}
 	}
 }
--- a/internal/chain/history_test.go
+++ b/internal/chain/history_test.go
@@ -7,7 +7,7 @@
 	"nettlefold/internal/simtest"
 )
 
-// history gives the calls on the configuration for the check of their order.
+// history returns the operators' calls on the configuration, for the linearizability check.
 func (s *simulation) history() (calls []simtest.Call) {
 	for _, c := range s.calls {
 		h := simtest.Call{Start: c.startedAt, End: c.endedAt}
@@ -33,12 +33,13 @@
 	return calls
 }
 
-// configuration is a valid document of a version; mark tells documents of the same version apart.
+// configDocument returns a valid configuration of a version; mark distinguishes documents of the
+// same version.
 func configDocument(version int64, mark string) []byte {
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[{"host":"h","path_prefix":"/","timeout_ms":10,"service":"s"}],"services":[{"name":"s"}],"mark":%q}`, version, mark))
 }
 
-// put has the operator write a configuration.
+// putConfig starts an operator's call that writes a configuration.
 func (s *simulation) putConfig(contact string, base, version int64, mark string) *call {
 	c := &call{contact: contact, version: version}
 	c.operation = &replicated.Operation{Kind: replicated.KindConfig, BaseVersion: base, Body: configDocument(version, mark)}
--- a/internal/chain/outage_test.go
+++ b/internal/chain/outage_test.go
@@ -10,7 +10,8 @@
 	"nettlefold/internal/replicated"
 )
 
-// behind is a core, the machines that miss changes, and how many of the others lose their disks.
+// staleMinorityCase is a core, its nodes that miss changes, and how many of the others lose their
+// disks.
 type staleMinorityCase struct {
 	nodes  []string
 	copies int
@@ -18,9 +19,10 @@
 	wiped  int
 }
 
-// TestAMinorityThatMissedChanges: a minority is cut off and misses changes; then some of the others lose their disks, at once the rest of them
-// lose power, and the cut heals. Those that are there, all behind or empty, neither serve nor agree on anything; with the rest back everything
-// that was acknowledged is there.
+// TestStaleMinorityNeitherServesNorDecides partitions a minority, which misses changes. Then some
+// of the others lose their disks, the rest lose power at once, and the partition heals. The running
+// nodes, all stale or empty, must neither answer reads nor take writes. After the rest restart, all
+// acknowledged writes must be present.
 func TestStaleMinorityNeitherServesNorDecides(t *testing.T) {
 	for _, b := range []staleMinorityCase{
 		{[]string{"a", "b", "c"}, 2, []string{"c"}, 1},
@@ -67,18 +69,18 @@
 	for range 40 {
 		read := s.read(s.addrs[s.random.IntN(len(s.addrs))])
 		s.run(100 * time.Millisecond)
-		require.NotEqual(t, outcomeCommitted, read.outcome, "nobody of those who are there knows the newest state")
+		require.NotEqual(t, outcomeCommitted, read.outcome, "read answered without a node that holds the newest state")
 	}
 	_, taken := s.waitWritable(time.Second)
-	require.False(t, taken, "nor may any of them change it")
+	require.False(t, taken, "write committed without a node that holds the newest state")
 	for _, addr := range others[b.wiped:] {
 		s.restart(addr)
 	}
-	requireWritable(t, s, fullRecoveryLimit, "all are back, seed %d, %v", seed, b)
+	requireWritable(t, s, fullRecoveryLimit, "no write after all nodes restarted, seed %d, %v", seed, b)
 	require.GreaterOrEqual(t, requireRead(t, s).Models["kept"].Version, newest)
 }
 
-// requireRead has the newest state read at some machine.
+// requireRead reads the newest state from any node.
 func requireRead(t *testing.T, s *simulation) *replicated.State {
 	t.Helper()
 	for range 30 {
@@ -88,19 +90,20 @@
 			return read.state
 		}
 	}
-	require.Fail(t, "nobody answers a read")
+	require.Fail(t, "no read was answered within 3 s")
 	return nil
 }
 
-// TestPowerLostAtEveryMomentOfAWrite: all machines lose power at once, at each millisecond from an order's arrival to its acknowledgement and
-// beyond, with what their disks were at half there. What was acknowledged by then is in force afterwards, and read so by everybody.
+// TestPowerLossDuringWrite cuts the power of all nodes at each millisecond from the arrival of a
+// write until after its acknowledgement, with the disk writes in progress partly done. A write
+// acknowledged before the power loss must be visible in every read afterwards.
 func TestPowerLossDuringWrite(t *testing.T) {
 	for at := time.Millisecond; at <= 80*time.Millisecond; at += time.Millisecond {
 		for seed := uint64(1); seed <= 4; seed++ {
 			s := threeNodes(seed)
 			s.run(3 * time.Second)
 			contact := s.addrs[s.random.IntN(3)]
-			c := s.putConfig(contact, 0, 1, "written beside a loss of power")
+			c := s.putConfig(contact, 0, 1, "written during a power loss")
 			s.run(at)
 			acknowledged := c.outcome == outcomeCommitted
 			for _, addr := range s.addrs {
@@ -111,13 +114,13 @@
 				s.restart(addr)
 				s.run(s.randomDuration(0, 300*time.Millisecond))
 			}
-			requireWritable(t, s, fullRecoveryLimit, "power is back")
+			requireWritable(t, s, fullRecoveryLimit, "no write after power returned")
 			if acknowledged {
-				require.Equal(t, int64(1), requireRead(t, s).ConfigVersion, "%v after it was sent, seed %d", at, seed)
+				require.Equal(t, int64(1), requireRead(t, s).ConfigVersion, "configuration version after a power loss %v after the write was sent, seed %d", at, seed)
 			}
 			again := s.startCall(&call{operation: c.operation, contact: contact, version: 1})
 			s.run(time.Second)
-			require.Equal(t, outcomeCommitted, again.outcome, "sent again it is taken, or known")
+			require.Equal(t, outcomeCommitted, again.outcome, "outcome of the write sent again")
 		}
 	}
 }
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -36,33 +36,33 @@
 		if now-p.startedAt > r.options.Timing.ProposalTimeout {
 			r.out.ProposalTimedOut = p.describeTimeout(r.meta.View.Epoch)
 			r.proposal = nil
-			want, _ := r.desiredView(now)
-			r.retryAt = now + r.proposalDelay(now, want)
+			desired, _ := r.desiredView(now)
+			r.retryAt = now + r.proposalDelay(now, desired)
 			return
 		}
 		r.advanceProposal(now)
 		return
 	}
-	want, need := r.desiredView(now)
-	if !need {
+	desired, needed := r.desiredView(now)
+	if !needed {
 		r.changeNeededSince = 0
 		return
 	}
 	if r.changeNeededSince == 0 {
 		r.changeNeededSince = now
 	}
-	if now < r.retryAt || now-r.changeNeededSince < r.proposalDelay(now, want) || !r.canPropose(now, want) {
+	if now < r.retryAt || now-r.changeNeededSince < r.proposalDelay(now, desired) || !r.canPropose(now, desired) {
 		return
 	}
-	r.startProposal(now, want)
+	r.startProposal(now, desired)
 }
 
 // startProposal begins the prepare phase of a new proposal.
-func (r *Replica) startProposal(now time.Duration, want desiredView) {
+func (r *Replica) startProposal(now time.Duration, desired desiredView) {
 	r.highestRound = max(r.highestRound, r.meta.Promised.Round) + 1
 	p := &proposal{
 		ballot:    Ballot{r.highestRound, r.meta.Identity},
-		desired:   want,
+		desired:   desired,
 		startedAt: now,
 		promises:  map[NodeID]*Promise{},
 		caughtUp:  map[NodeID]bool{},
@@ -71,7 +71,7 @@
 	r.proposal = p
 	r.out.ProposalStarted = r.describeStart(now, p)
 	p.participants = slices.Clone(r.meta.View.Acceptors)
-	for _, id := range want.chain {
+	for _, id := range desired.chain {
 		if _, acceptor := r.meta.View.Acceptor(id); !acceptor {
 			p.participants = append(p.participants, r.memberInfo(id))
 		}
--- a/internal/chain/random_runs_test.go
+++ b/internal/chain/random_runs_test.go
@@ -13,57 +13,58 @@
 	"nettlefold/internal/simtest"
 )
 
-// recoveredWithin bounds how long writes rest once all machines are back after whatever happened to them.
+// fullRecoveryLimit bounds the time without writes once all nodes and links work again.
 const fullRecoveryLimit = 6 * time.Second
 
-// trouble is a random run: machines, what happens to them, and two operators.
+// randomRun is a simulation with random faults and two operators.
 type randomRun struct {
 	*simulation
-	machines     []string
-	maxLostDisks int // disks that may be lost at once
+	activeAddrs  []string
+	maxLostDisks int // disks that may be lost at the same time
 	wipedNodes   map[string]bool
-	// replacing is machines that go for good, and the newcomers at other addresses that come for them.
+	// replacing maps nodes that are removed for good to the addresses of their replacements.
 	replacing     map[string]string
 	joinedCount   int
-	newestVersion int64 // configuration that the operators know
+	newestVersion int64 // newest configuration version that the operators know
 	pendingCalls  []*call
 	lastMark      int
 }
 
-func newRandomRun(seed uint64, planted fault) *randomRun {
+func newRandomRun(seed uint64, injected fault) *randomRun {
 	shapes := [][]string{{"a:x", "b:y", "c:z"}, {"a:x", "b:x", "c:y"}, {"a:x", "b:y", "c:z", "d:x"}, {"a:x", "b:x", "c:y", "d:y", "e:z"}}
-	machines := shapes[seed%uint64(len(shapes))]
+	nodes := shapes[seed%uint64(len(shapes))]
 	copies := 2
-	if len(machines) == 5 && seed%3 == 0 {
+	if len(nodes) == 5 && seed%3 == 0 {
 		copies = 3
 	}
 	if seed%10 == 7 {
-		machines, copies = []string{"a:x", "b:y", "c:z", "d:x", "e:x", "f:y", "g:z", "h:w", "i:w"}, 3
+		nodes, copies = []string{"a:x", "b:y", "c:z", "d:x", "e:x", "f:y", "g:z", "h:w", "i:w"}, 3
 	}
-	tr := &randomRun{simulation: newSimulation(seed, copies, machines[:3]...), maxLostDisks: copies - 1, wipedNodes: map[string]bool{}, replacing: map[string]string{}}
-	tr.injected = planted
-	if seed%2 == 0 { // short logs, and states that are always fetched in pieces
+	tr := &randomRun{simulation: newSimulation(seed, copies, nodes[:3]...), maxLostDisks: copies - 1, wipedNodes: map[string]bool{}, replacing: map[string]string{}}
+	tr.injected = injected
+	if seed%2 == 0 { // short logs, and states that are always fetched in chunks
 		tr.limits = Limits{RetainedEntries: 3, SnapshotEntries: 2, SnapshotBytes: 1 << 20, CatchUpBytes: 100, ChunkBytes: 60}
-		for _, text := range machines[:3] {
+		for _, text := range nodes[:3] {
 			addr, _ := splitAddrZone(text)
 			tr.start(tr.nodes[addr])
 		}
 	}
-	for _, text := range machines[3:] {
+	for _, text := range nodes[3:] {
 		addr, zone := splitAddrZone(text)
 		tr.join(addr, zone)
 	}
-	tr.machines = slices.Clone(tr.addrs)
+	tr.activeAddrs = slices.Clone(tr.addrs)
 	tr.run(4 * time.Second)
 	return tr
 }
 
-func (tr *randomRun) pick() string { return tr.machines[tr.random.IntN(len(tr.machines))] }
+func (tr *randomRun) pick() string { return tr.activeAddrs[tr.random.IntN(len(tr.activeAddrs))] }
 
-// lostDisks counts machines that came back empty and are in no chain yet, and those that go for good and are not replaced yet.
+// lostDisks counts the nodes that restarted with an empty disk and are not in the chain yet, and
+// the removed nodes whose replacement has not taken over yet.
 func (tr *randomRun) lostDisks() (n int) {
-	for addr, newcomer := range tr.replacing {
-		if tr.replaced(addr, newcomer) {
+	for addr, replacement := range tr.replacing {
+		if tr.replaced(addr, replacement) {
 			delete(tr.replacing, addr)
 			continue
 		}
@@ -81,7 +82,7 @@
 	return n
 }
 
-// hit lets one thing happen to the machines.
+// injectFault injects a random fault, which ends after a random time.
 func (tr *randomRun) injectFault() {
 	addr, rest := tr.pick(), time.Duration(200+tr.random.IntN(5000))*time.Millisecond
 	n := tr.nodes[addr]
@@ -104,7 +105,7 @@
 			tr.schedule(rest, func() { tr.thaw(addr) })
 		}
 	case 3:
-		tr.partition([]string{addr}, slices.DeleteFunc(slices.Clone(tr.machines), func(a string) bool { return a == addr }), tr.random.IntN(3) == 0)
+		tr.partition([]string{addr}, slices.DeleteFunc(slices.Clone(tr.activeAddrs), func(a string) bool { return a == addr }), tr.random.IntN(3) == 0)
 		tr.schedule(rest, tr.heal)
 	case 4:
 		if other := tr.pick(); other != addr {
@@ -112,8 +113,8 @@
 			tr.schedule(rest, tr.heal)
 		}
 	case 5:
-		half := len(tr.machines) / 2
-		tr.partition(tr.machines[:half], tr.machines[half:], false)
+		half := len(tr.activeAddrs) / 2
+		tr.partition(tr.activeAddrs[:half], tr.activeAddrs[half:], false)
 		tr.schedule(rest, tr.heal)
 	case 6:
 		if tr.lostDisks() < tr.maxLostDisks {
@@ -134,11 +135,11 @@
 		if tr.random.IntN(2) == 0 {
 			end = tr.powerOff
 		}
-		for _, a := range tr.machines {
+		for _, a := range tr.activeAddrs {
 			end(a)
 		}
 		tr.schedule(rest/4, func() {
-			for _, a := range tr.machines {
+			for _, a := range tr.activeAddrs {
 				if !tr.nodes[a].up {
 					tr.restart(a)
 				}
@@ -152,18 +153,19 @@
 	}
 }
 
-// replace has a machine go for good, and an empty one come at another address: before it, which is planned and ends with SIGTERM, or after it.
+// replace removes a node for good and adds an empty one at another address: either first, followed
+// by a graceful shutdown of the old node, or after the old node has lost power.
 func (tr *randomRun) replace(addr string, gap time.Duration) {
 	if tr.lostDisks() >= tr.maxLostDisks || !tr.nodes[addr].up || tr.nodes[addr].frozen {
 		return
 	}
 	tr.joinedCount++
-	newcomer, zone := fmt.Sprintf("n%d", tr.joinedCount), tr.nodes[addr].zone
-	tr.replacing[addr] = newcomer
-	tr.machines = slices.DeleteFunc(slices.Clone(tr.machines), func(a string) bool { return a == addr })
+	replacement, zone := fmt.Sprintf("n%d", tr.joinedCount), tr.nodes[addr].zone
+	tr.replacing[addr] = replacement
+	tr.activeAddrs = slices.DeleteFunc(slices.Clone(tr.activeAddrs), func(a string) bool { return a == addr })
 	join := func() {
-		tr.join(newcomer, zone)
-		tr.machines = append(slices.Clone(tr.machines), newcomer)
+		tr.join(replacement, zone)
+		tr.activeAddrs = append(slices.Clone(tr.activeAddrs), replacement)
 	}
 	if tr.random.IntN(2) == 0 { // planned
 		join()
@@ -180,10 +182,11 @@
 	tr.schedule(gap, join)
 }
 
-// replaced tells whether a newcomer has taken the place of a machine that goes for good: it holds the log, and the other neither votes nor is
-// counted on as a copy. One that is told to end while too few others are there stays in the chain until its grace is over.
-func (tr *randomRun) replaced(addr, newcomer string) bool {
-	node := tr.nodes[newcomer]
+// replaced reports whether a replacement has taken over from a removed node: it holds the log, and
+// the removed node is neither an acceptor nor a chain member. A node that shuts down while too few
+// others are there stays in the chain until its grace period ends.
+func (tr *randomRun) replaced(addr, replacement string) bool {
+	node := tr.nodes[replacement]
 	if node == nil || !node.up || !tr.nodes[addr].retired {
 		return false
 	}
@@ -192,7 +195,7 @@
 	return view.Epoch == tr.epoch() && view.InChain(node.replica.Self().ID) && !member
 }
 
-// operate lets an operator send something, or send again what got no clear answer.
+// operatorStep starts a random call of an operator, or repeats a call whose outcome is unknown.
 func (tr *randomRun) operatorStep() {
 	addr := tr.pick()
 	if i := slices.IndexFunc(tr.pendingCalls, (*call).done); i >= 0 {
@@ -214,7 +217,7 @@
 		tr.lastMark++
 		version := tr.newestVersion + 1 + int64(tr.random.IntN(2))
 		tr.pendingCalls = append(tr.pendingCalls, tr.putConfig(addr, tr.newestVersion, version, fmt.Sprint("one ", tr.lastMark)))
-		if tr.random.IntN(2) == 0 { // the other operator, with the same number
+		if tr.random.IntN(2) == 0 { // a second operator writes the same version
 			tr.pendingCalls = append(tr.pendingCalls, tr.putConfig(tr.pick(), tr.newestVersion, version, fmt.Sprint("two ", tr.lastMark)))
 		}
 	case 3, 4:
@@ -231,7 +234,7 @@
 	}
 }
 
-// play lets things happen for a while, then puts all right.
+// play injects faults and calls, then repairs everything.
 func (tr *randomRun) play(hits int) {
 	for range hits {
 		tr.injectFault()
@@ -242,18 +245,18 @@
 	}
 	tr.run(6 * time.Second)
 	tr.heal()
-	for _, addr := range tr.machines {
+	for _, addr := range tr.activeAddrs {
 		if n := tr.nodes[addr]; !n.up {
 			tr.restart(addr)
 		} else if n.frozen {
 			tr.thaw(addr)
 		}
 		tr.nodes[addr].syncTime, tr.nodes[addr].diskFailing = simSyncTime, false
-		tr.nodes[addr].busyUntil = min(tr.nodes[addr].busyUntil, tr.now) // nothing is left of a slow disk's queue
+		tr.nodes[addr].busyUntil = min(tr.nodes[addr].busyUntil, tr.now) // drops the queue of a slow disk
 	}
 }
 
-// lost gives an acknowledged order that the newest state does not have.
+// checkAcknowledged returns an error if the newest state lacks an acknowledged write.
 func (tr *randomRun) checkAcknowledged() error {
 	head := tr.head()
 	if head == nil {
@@ -265,15 +268,15 @@
 			continue
 		}
 		if c.operation.Kind == replicated.KindConfig && state.ConfigVersion < c.version {
-			return fmt.Errorf("configuration %d was acknowledged, %d is in force", c.version, state.ConfigVersion)
+			return fmt.Errorf("configuration version %d was acknowledged, but the state has version %d", c.version, state.ConfigVersion)
 		}
 	}
 	return nil
 }
 
-// judge plays a run to its end and gives what was wrong with it.
-func checkRandomRun(seed uint64, planted fault) error {
-	tr := newRandomRun(seed, planted)
+// checkRandomRun plays the run of a seed to its end and returns what was wrong with it.
+func checkRandomRun(seed uint64, injected fault) error {
+	tr := newRandomRun(seed, injected)
 	tr.play(12)
 	took, taken := tr.waitWritable(fullRecoveryLimit)
 	tr.run(time.Second)
@@ -281,7 +284,7 @@
 	case tr.violation != nil:
 		return tr.violation
 	case !taken:
-		return fmt.Errorf("no write was taken for %v after all was well", took)
+		return fmt.Errorf("no write was committed for %v after all faults ended", took)
 	case !simtest.Linearizable(tr.history()):
 		return fmt.Errorf("the operators' calls are not linearizable")
 	}
@@ -290,13 +293,15 @@
 
 const randomRuns = 300
 
-// More runs than CI has time for, with other seeds: go test ./internal/chain -run 'TestRandomRuns$' -timeout 0 -runs 20000 -first 1000.
+// For more runs than CI has time for, with other seeds: go test ./internal/chain -run
+// 'TestRandomRuns$' -timeout 0 -runs 20000 -first 1000.
 var (
-	runsFlag  = flag.Uint64("runs", randomRuns, "random runs to play")
-	firstFlag = flag.Uint64("first", 1, "the first one's seed")
+	runsFlag  = flag.Uint64("runs", randomRuns, "number of random runs")
+	firstFlag = flag.Uint64("first", 1, "seed of the first random run")
 )
 
-// TestRandomRuns plays troubles of all kinds, one over the other, on several shapes of a core; no more disks are lost than may be.
+// TestRandomRuns plays overlapping random faults on cores of several sizes. No more disks are lost
+// at once than the configuration tolerates.
 func TestRandomRuns(t *testing.T) {
 	for seed := *firstFlag; seed < *firstFlag+*runsFlag; seed++ {
 		if err := checkRandomRun(seed, noFault); err != nil {
@@ -305,11 +310,11 @@
 	}
 }
 
-// TestRandomRunsFindPlantedFaults shows that the runs would find each of these.
+// TestRandomRunsFindInjectedFaults checks that the runs detect each of these faults.
 func TestRandomRunsFindInjectedFaults(t *testing.T) {
-	for name, planted := range map[string]struct {
+	for name, injected := range map[string]struct {
 		fault fault
-		first uint64 // a seed that finds it, tried before all others
+		first uint64 // a seed that detects it, tried first
 	}{
 		"answers without a majority":       {faultUnconfirmedAnswers, 15},
 		"orders taken whatever their base": {faultIgnoredBase, 220},
@@ -320,14 +325,14 @@
 			for seed := uint64(0); seed <= 4*randomRuns; seed++ {
 				tried := seed
 				if seed == 0 {
-					tried = planted.first
+					tried = injected.first
 				}
-				if err := checkRandomRun(tried, planted.fault); err != nil {
+				if err := checkRandomRun(tried, injected.fault); err != nil {
 					t.Logf("seed %d: %v", tried, err)
 					return
 				}
 			}
-			require.Fail(t, "not found")
+			require.Fail(t, "fault not detected by any seed")
 		})
 	}
 }
--- a/internal/chain/search_test.go
+++ b/internal/chain/search_test.go
@@ -9,10 +9,11 @@
 	"nettlefold/internal/simtest"
 )
 
-// mostStates bounds a search in CI. Searches that stop at it can be had whole: go test ./internal/chain -run Orders -timeout 0 -states 5000000.
+// maxSearchStates bounds a search in CI. To run the bounded searches to their end: go test
+// ./internal/chain -run TestSearch -timeout 0 -states 5000000.
 const maxSearchStates = 25000
 
-var statesFlag = flag.Int("states", maxSearchStates, "states that a search through orders may see")
+var statesFlag = flag.Int("states", maxSearchStates, "maximum number of states per search")
 
 func TestSearchTwoWrites(t *testing.T) {
 	w := newSearchWorld(3, noFault)
@@ -51,7 +52,7 @@
 	t.Log(result.String())
 }
 
-// TestOrdersOfAReplacement: a newcomer is brought the log and votes in the place of a machine that leaves, beside a write.
+// TestSearchReplacement has a joining node catch up and replace a leaving acceptor, beside a write.
 func TestSearchReplacement(t *testing.T) {
 	for _, leaving := range []NodeID{"a", "b", "c"} {
 		w := replacementWorld(noFault, leaving)
@@ -63,7 +64,8 @@
 	}
 }
 
-// TestOrdersOfAReplacementWithALoss: the same, and a disk is lost, or power, at any step.
+// TestSearchReplacementWithLoss is TestSearchReplacement with a disk loss or a power loss at any
+// step.
 func TestSearchReplacementWithLoss(t *testing.T) {
 	for _, leaving := range []NodeID{"a", "b", "c"} {
 		for _, wipes := range []int{0, 1} {
@@ -79,7 +81,7 @@
 	}
 }
 
-// large is a world with everything at once, too large to be searched whole.
+// largeWorld returns a world with all kinds of events, too large for a complete search.
 func largeWorld(f fault) *searchWorld {
 	w := newSearchWorld(3, f)
 	w.pendingWrites = []string{"x", "y", "z"}
@@ -93,7 +95,8 @@
 	require.NoError(t, result.Broken, result.String())
 }
 
-// TestSearchFindsPlantedFaults shows that the search would see each fault that the design guards against.
+// TestSearchFindsInjectedFaults checks that the search detects each fault that the protocol guards
+// against.
 func TestSearchFindsInjectedFaults(t *testing.T) {
 	for name, world := range map[string]func() *searchWorld{
 		"entries that are not durable": func() *searchWorld {
--- a/internal/chain/search_world_test.go
+++ b/internal/chain/search_world_test.go
@@ -8,48 +8,49 @@
 	"nettlefold/internal/simtest"
 )
 
-// The search goes through every order in which messages of a small core arrive, are lost or come late, machines lose power at any step,
-// and views are proposed beside writes.
+// The search covers every order in which the messages of a small core are delivered, lost or
+// delayed, with power losses at any step and views proposed during writes.
 
-// fault is planted, to show that the search finds what it is for.
+// fault is an injected defect; the tests check that it is detected.
 type fault int
 
 const (
 	noFault                 fault = iota
 	faultVolatilePromises         // promises are not durable
 	faultVolatileEntries          // entries are not durable
-	faultWritesWhileSealed        // a sealed replica goes on taking writes
-	faultAckAtHead                // the head acknowledges before the tail has the entry
-	faultUnconfirmedAnswers       // a head or tail answers without asking a majority
-	faultIgnoredBase              // evacuations are taken whatever they were based on
-	faultReusedNonces             // a replica numbers its confirmations as an earlier one did
-	faultAckByNumber              // a write is acknowledged by its number, whichever replica of the process commits that
+	faultWritesWhileSealed        // a sealed replica takes writes
+	faultAckAtHead                // the head acknowledges before the tail has committed
+	faultUnconfirmedAnswers       // a head or tail answers without a confirmation by a majority
+	faultIgnoredBase              // evacuations are accepted whatever their base
+	faultReusedNonces             // a replica reuses the confirmation nonces of an earlier one
+	faultAckByNumber              // a write is acknowledged once any replica of the process has committed its sequence number
 )
 
+// inFlightMessage is a message that has not been delivered yet.
 type inFlightMessage struct {
 	to      NodeID
 	message Message
 }
 
-// machine is a replica and its disk.
+// testReplica is a replica and its disk.
 type testReplica struct {
 	replica      *Replica
 	disk         PersistedState
-	restorePeers func() // after a start, what heartbeats would tell; nil for nothing
+	restorePeers func() // sets the peers known from heartbeats after a start; may be nil
 }
 
-// core is the world: machines, messages under way, and what was promised to the operator.
+// searchWorld is a state of the search: nodes, messages in flight and acknowledged writes.
 type searchWorld struct {
 	injected         fault
 	ids              []NodeID
-	machines         map[NodeID]*testReplica
+	replicas         map[NodeID]*testReplica
 	inFlight         []inFlightMessage
-	acked            map[uint64]string // operation by number
+	acked            map[uint64]string // acknowledged operation by sequence number
 	ackEpoch         map[uint64]uint64
 	pendingWrites    []string // operations still to be proposed
-	proposers        []NodeID // who may still propose a view
-	nextChain        []NodeID // its chain, nil for that in force
-	remainingWipes   int      // disks that may still be lost
+	proposers        []NodeID // nodes that still have to propose a view
+	nextChain        []NodeID // chain to propose, nil for the current one
+	remainingWipes   int      // disk losses left
 	wipedDisks       int
 	remainingCrashes int
 	remainingLosses  int
@@ -60,7 +61,7 @@
 }
 
 func newSearchWorld(n int, f fault) *searchWorld {
-	w := &searchWorld{injected: f, machines: map[NodeID]*testReplica{}, acked: map[uint64]string{}, ackEpoch: map[uint64]uint64{}}
+	w := &searchWorld{injected: f, replicas: map[NodeID]*testReplica{}, acked: map[uint64]string{}, ackEpoch: map[uint64]uint64{}}
 	view := View{Epoch: 1}
 	for i := range n {
 		id := NodeID(rune('a' + i))
@@ -71,12 +72,12 @@
 	for _, id := range w.ids {
 		m := &testReplica{disk: PersistedState{Meta: Meta{Identity: id, View: view, LogEpoch: 1}}}
 		m.start()
-		w.machines[id] = m
+		w.replicas[id] = m
 	}
 	return w
 }
 
-// timing lets every step follow at once: the order of messages alone decides.
+// searchTiming has no delays and no effective timeouts, so that only the order of messages matters.
 var searchTiming = Timing{SuspectTimeout: 1 << 40, AcceptorRemovalTimeout: 1 << 40, AcceptorReplaceTimeout: 1 << 40, JoinDelay: 0, WriteTimeout: 1 << 40, ProposalTimeout: 1 << 40, HeartbeatInterval: 0}
 
 func (m *testReplica) start() {
@@ -89,12 +90,12 @@
 }
 
 // write makes records durable, as the store does.
-func (m *testReplica) write(planted fault, records []Record) {
+func (m *testReplica) write(injected fault, records []Record) {
 	for _, r := range records {
 		switch {
 		case r.Meta != nil:
 			meta := *r.Meta
-			if planted == faultVolatilePromises {
+			if injected == faultVolatilePromises {
 				meta.Promised, meta.Accepted, meta.AcceptedView = Ballot{}, Ballot{}, nil
 			}
 			if meta.Generation != m.disk.Meta.Generation {
@@ -102,7 +103,7 @@
 			}
 			m.disk.Meta = meta
 		case r.Entry != nil:
-			if planted == faultVolatileEntries {
+			if injected == faultVolatileEntries {
 				continue
 			}
 			m.disk.Entries = slices.DeleteFunc(slices.Clone(m.disk.Entries), func(e Entry) bool { return e.Seq == r.Entry.Seq })
@@ -119,17 +120,18 @@
 }
 
 func (w *searchWorld) perform(id NodeID, out Output) {
-	m := w.machines[id]
+	m := w.replicas[id]
 	m.write(w.injected, out.Records)
 	for _, e := range out.Messages {
-		if w.machines[e.To.ID] != nil && e.Message.Heartbeat == nil {
+		if w.replicas[e.To.ID] != nil && e.Message.Heartbeat == nil {
 			w.inFlight = append(w.inFlight, inFlightMessage{e.To.ID, e.Message})
 		}
 	}
 	w.acknowledge(m)
 }
 
-// acknowledge notes what the head knows to be committed: that is told to the operator.
+// acknowledge records the writes that the head knows to be committed and would acknowledge to the
+// operator.
 func (w *searchWorld) acknowledge(m *testReplica) {
 	view := m.replica.View()
 	if view.Head() != m.replica.Self().ID || !m.replica.serving() {
@@ -148,7 +150,7 @@
 	}
 }
 
-// event is one thing that may come next.
+// event is one possible next step.
 type event struct {
 	name string
 	do   func(w *searchWorld)
@@ -167,14 +169,14 @@
 	}
 	if len(w.pendingWrites) > 0 {
 		for _, id := range w.ids {
-			if w.machines[id].replica.meta.View.Head() == id {
+			if w.replicas[id].replica.meta.View.Head() == id {
 				events = append(events, event{"write at " + string(id), func(w *searchWorld) { w.propose(id) }})
 			}
 		}
 	}
 	for i, id := range w.proposers {
-		if w.machines[id] == nil {
-			continue // it lost its disk
+		if w.replicas[id] == nil {
+			continue // its disk is lost
 		}
 		events = append(events, event{"view proposed by " + string(id), func(w *searchWorld) { w.proposeView(i) }})
 	}
@@ -220,7 +222,7 @@
 func (w *searchWorld) deliver(i int) {
 	f := w.inFlight[i]
 	w.inFlight = slices.Delete(slices.Clone(w.inFlight), i, i+1)
-	r := w.machines[f.to].replica
+	r := w.replicas[f.to].replica
 	m := f.message
 	if w.injected == faultWritesWhileSealed && m.Append != nil {
 		promised := r.meta.Promised
@@ -238,14 +240,14 @@
 func (w *searchWorld) propose(id NodeID) {
 	zone := w.pendingWrites[0]
 	w.pendingWrites = w.pendingWrites[1:]
-	_, out, _ := w.machines[id].replica.Propose(0, evacuateOperation(zone))
+	_, out, _ := w.replicas[id].replica.Propose(0, evacuateOperation(zone))
 	w.perform(id, out)
 }
 
 func (w *searchWorld) proposeView(i int) {
 	id := w.proposers[i]
 	w.proposers = slices.Delete(slices.Clone(w.proposers), i, i+1)
-	r := w.machines[id].replica
+	r := w.replicas[id].replica
 	w.perform(id, r.step(0, func() { r.startProposal(0, desiredView{chain: w.chainFor(r)}) }))
 }
 
@@ -256,12 +258,12 @@
 	return r.meta.View.Chain
 }
 
-// replacement makes a world in which a newcomer is there, and one of the others was told to end.
+// replacementWorld returns a world with a joining node "d" and a leaving one.
 func replacementWorld(f fault, leaving NodeID) *searchWorld {
 	w := newSearchWorld(3, f)
 	d := &testReplica{disk: PersistedState{Meta: Meta{Identity: "d"}}}
 	d.start()
-	w.machines["d"] = d
+	w.replicas["d"] = d
 	w.ids = append(w.ids, "d")
 	for _, id := range w.ids {
 		if id != leaving {
@@ -272,9 +274,9 @@
 	return w
 }
 
-// introduce has all machines know the newcomer, and who was told to end, as heartbeats do.
+// setUpPeers tells all nodes about the joining and the leaving node, as heartbeats would.
 func (w *searchWorld) setUpPeers(leaving NodeID) {
-	for _, m := range w.machines {
+	for _, m := range w.replicas {
 		m.restorePeers = func() {
 			m.replica.peers["d"] = &peer{member: Member{ID: "d", Addr: "d"}}
 			m.replica.peers[leaving] = &peer{member: Member{ID: leaving, Addr: string(leaving)}, heartbeat: Heartbeat{Leaving: true}}
@@ -283,29 +285,29 @@
 	}
 }
 
-// wipe empties a machine's disk: it comes back as somebody else, who is no part of this world.
+// wipe removes a node whose disk is lost: it would return under a new identity.
 func (w *searchWorld) wipe(id NodeID) {
 	w.remainingWipes--
 	w.wipedDisks++
-	delete(w.machines, id)
+	delete(w.replicas, id)
 	w.ids = slices.DeleteFunc(slices.Clone(w.ids), func(other NodeID) bool { return other == id })
 	w.inFlight = slices.DeleteFunc(slices.Clone(w.inFlight), func(f inFlightMessage) bool { return f.to == id })
 }
 
 func (w *searchWorld) crash(id NodeID) {
 	w.remainingCrashes--
-	w.machines[id].start()
-	if introduce := w.machines[id].restorePeers; introduce != nil {
+	w.replicas[id].start()
+	if introduce := w.replicas[id].restorePeers; introduce != nil {
 		introduce()
 	}
 }
 
-// clone copies the world; entries and views are never changed in place.
+// clone copies the world. Entries and views are immutable and shared.
 func (w *searchWorld) clone() *searchWorld {
 	c := *w
-	c.machines = map[NodeID]*testReplica{}
-	for id, m := range w.machines {
-		c.machines[id] = m.clone()
+	c.replicas = map[NodeID]*testReplica{}
+	for id, m := range w.replicas {
+		c.replicas[id] = m.clone()
 	}
 	c.inFlight = slices.Clone(w.inFlight)
 	c.acked, c.ackEpoch = maps.Clone(w.acked), maps.Clone(w.ackEpoch)
@@ -335,7 +337,7 @@
 	return &c
 }
 
-// clonePeers copies what is known of others: a replica changes it in place, and worlds must not see each other's.
+// clonePeers copies the peers, because a replica changes them in place.
 func clonePeers(peers map[NodeID]*peer) map[NodeID]*peer {
 	cloned := make(map[NodeID]*peer, len(peers))
 	for id, p := range peers {
--- a/internal/chain/simulation_calls_test.go
+++ b/internal/chain/simulation_calls_test.go
@@ -7,12 +7,12 @@
 	"nettlefold/internal/replicated"
 )
 
-// The operator's calls of a simulated run: they go the way that the controller's submit and read go.
+// The operator's calls of a simulation follow the same steps as submit and read of the controller.
 
 const (
 	simCallTimeout   = 900 * time.Millisecond
 	simRetryInterval = 20 * time.Millisecond
-	// simPatience is when the operator turns elsewhere.
+	// simOperatorTimeout is the time after which the operator gives a call up.
 	simOperatorTimeout = time.Second
 )
 
@@ -25,20 +25,21 @@
 	outcomeUnknown
 )
 
-// call is one call of the operator at one machine.
+// call is one call of the operator to one node.
 type call struct {
 	operation *replicated.Operation // nil for a read
 	contact   string
 	startedAt time.Duration
 	endedAt   time.Duration
 	outcome   outcome
-	state     *replicated.State // that a read was answered from
-	seq       uint64            // under which an order was taken
-	baseKnown bool              // its operation says what it was based on
-	version   int64             // of the configuration that it writes
+	state     *replicated.State // state that answered a read
+	seq       uint64            // sequence number of a committed write
+	baseKnown bool              // whether the base of its operation is set
+	version   int64             // configuration version that it writes
 }
 
-// reads tells whether the call's next step is a read: it is one, or must learn first what its order is based on.
+// nextStepReads reports whether the next step of the call is a read: the call is one, or it has to
+// read the base of its operation first.
 func (c *call) nextStepReads() bool {
 	o := c.operation
 	return o == nil || !c.baseKnown && (o.Kind == replicated.KindEvacuate || o.Kind == replicated.KindRestore)
@@ -48,12 +49,12 @@
 
 func (s *simulation) nextVersion() int64 { return int64(len(s.calls) + 1) }
 
-// submit has the operator send an order to a machine.
+// submit starts an operator's call that sends an operation to a node.
 func (s *simulation) submit(contact string, o *replicated.Operation) *call {
 	return s.startCall(&call{operation: o, contact: contact})
 }
 
-// read has the operator read the newest state at a machine.
+// read starts an operator's call that reads the newest state through a node.
 func (s *simulation) read(contact string) *call { return s.startCall(&call{contact: contact}) }
 
 func (s *simulation) startCall(c *call) *call {
@@ -75,21 +76,22 @@
 	return c
 }
 
-// received is a call's arrival at the machine that the operator chose.
+// receiveCall handles a call when it arrives at the contacted node.
 func (s *simulation) receiveCall(n *simNode, c *call) {
 	if c.done() {
-		return // the operator's end of the connection is closed
+		return // the operator has closed the connection
 	}
 	s.attemptCall(n, n.incarnation, c, s.now)
 }
 
-// attempt goes to the head, or to the tail for a read, and again until the call's time is over.
-func (s *simulation) attemptCall(n *simNode, life int, c *call, received time.Duration) {
-	if c.done() || !n.up || n.incarnation != life {
+// attemptCall sends a call to the head, or to the tail for a read, and retries until the call times
+// out.
+func (s *simulation) attemptCall(n *simNode, incarnation int, c *call, received time.Duration) {
+	if c.done() || !n.up || n.incarnation != incarnation {
 		return
 	}
 	if n.frozen {
-		n.queued = append(n.queued, func() { s.attemptCall(n, life, c, received) })
+		n.queued = append(n.queued, func() { s.attemptCall(n, incarnation, c, received) })
 		return
 	}
 	if s.now-received > simCallTimeout {
@@ -101,7 +103,7 @@
 	if c.nextStepReads() {
 		target = view.Tail()
 	}
-	again := func() { s.schedule(simRetryInterval, func() { s.attemptCall(n, life, c, received) }) }
+	again := func() { s.schedule(simRetryInterval, func() { s.attemptCall(n, incarnation, c, received) }) }
 	member, known := view.Member(target)
 	switch {
 	case !known:
@@ -109,10 +111,10 @@
 	case target == n.replica.Self().ID:
 		s.serveCall(n, c, again)
 	default:
-		life := n.incarnation
+		incarnation := n.incarnation
 		answered := false
 		retry := func() {
-			if !answered && n.incarnation == life {
+			if !answered && n.incarnation == incarnation {
 				answered = true
 				again()
 			}
@@ -120,17 +122,18 @@
 		s.send(n, member.Addr, 0, func(to *simNode) {
 			s.serveCall(to, c, func() { s.send(to, n.addr, 0, func(*simNode) { retry() }) })
 		})
-		s.schedule(200*time.Millisecond, retry) // nothing was heard: it is tried again, and may be taken twice
+		s.schedule(200*time.Millisecond, retry) // no reply: the retry may submit the operation twice
 	}
 }
 
-// serveCall takes an order or answers a read at the machine that is the head or the tail in its own eyes.
+// serveCall proposes an operation, or answers a read, at a node that considers itself the head or
+// the tail.
 func (s *simulation) serveCall(n *simNode, c *call, again func()) {
 	if n.halted {
 		again()
 		return
 	}
-	if n.busyUntil > s.now { // its owner waits for the disk
+	if n.busyUntil > s.now { // the replica is blocked by its disk
 		s.afterDiskWrites(n, func() { s.serveCall(n, c, again) })
 		return
 	}
@@ -169,7 +172,7 @@
 	}
 	s.confirmThen(n, epoch, func() {
 		if c.done() {
-			return // it was asked twice, and the first answer counts
+			return // a retry was answered already
 		}
 		state := n.replica.State()
 		if c.operation == nil {
@@ -186,7 +189,7 @@
 	}, again)
 }
 
-// service is which process, and which replica in it, gave a number out.
+// issuer identifies the process, and the replica within it, that issued a sequence number.
 type issuer struct {
 	incarnation int
 	replica     *Replica
@@ -199,7 +202,8 @@
 	return issuer{n.incarnation, n.replica}
 }
 
-// committed waits until a number is committed by the replica, and in the epoch, that gave it out.
+// awaitCommit waits until a sequence number is committed by the replica that issued it, in the
+// epoch in which it was issued.
 func (s *simulation) awaitCommit(n *simNode, at issuer, epoch, seq uint64, c *call, again func()) {
 	switch {
 	case !n.up || n.incarnation != at.incarnation || c.done():
@@ -221,7 +225,8 @@
 	}
 }
 
-// confirm waits until a majority has confirmed an epoch since now.
+// confirmThen runs a function once a majority has confirmed an epoch after the call of confirmThen;
+// on failure it retries.
 func (s *simulation) confirmThen(n *simNode, epoch uint64, then, again func()) {
 	if n.halted || n.replica.View().Epoch != epoch {
 		again()
@@ -252,7 +257,7 @@
 	}
 }
 
-// end ends a call, whose answer takes its way back to the operator.
+// finishCall records the outcome of a call.
 func (s *simulation) finishCall(c *call, as outcome) {
 	if c.done() {
 		return
--- a/internal/chain/simulation_check_test.go
+++ b/internal/chain/simulation_check_test.go
@@ -6,7 +6,8 @@
 	"nettlefold/internal/replicated"
 )
 
-// check holds what a machine knows to what others knew: one view per epoch, one operation per number.
+// checkNode compares the state of a node with those of the others: one view per epoch, one
+// operation per sequence number.
 func (s *simulation) checkNode(n *simNode) {
 	r := n.replica
 	view := r.View()
@@ -21,7 +22,7 @@
 			break
 		}
 		if known, ok := s.committedOperations[e.Seq]; ok && known != string(e.Operation) {
-			s.failf("number %d is committed with two operations", e.Seq)
+			s.failf("sequence number %d is committed with two operations", e.Seq)
 		} else if !ok {
 			s.committedOperations[e.Seq] = string(e.Operation)
 			s.checkOrder(e)
@@ -35,8 +36,8 @@
 	}
 }
 
-// checkOrder holds a committed evacuation, or its end, to the operator's calls: one of them must have asked for it that was not given up
-// before a newer opposite order was sent and acknowledged.
+// checkOrder checks that a committed evacuation or restoration was requested by an operator's call
+// that was not over before a newer, acknowledged call for the opposite was sent.
 func (s *simulation) checkOrder(e *Entry) {
 	o, err := replicated.DecodeOperation(e.Operation)
 	if err != nil || o.Kind != replicated.KindEvacuate && o.Kind != replicated.KindRestore {
@@ -47,14 +48,15 @@
 			return
 		}
 	}
-	s.failf("number %d: %s of %s was taken, but every order for it had been given up before a newer opposite one was acknowledged", e.Seq, o.Kind, o.Zone)
+	s.failf("sequence number %d: %s of zone %s was committed, but every call for it was over before a newer, acknowledged call for the opposite", e.Seq, o.Kind, o.Zone)
 }
 
 func (c *call) matches(kind, zone string) bool {
 	return c.operation != nil && c.operation.Kind == kind && c.operation.Zone == zone
 }
 
-// overtaken tells whether an order was over before an opposite one was sent that is acknowledged by now.
+// superseded reports whether a call was over before an opposite one was sent that is acknowledged
+// by now.
 func (s *simulation) superseded(c *call) bool {
 	opposite := replicated.KindRestore
 	if c.operation.Kind == opposite {
--- a/internal/chain/simulation_faults_test.go
+++ b/internal/chain/simulation_faults_test.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// What may happen to the machines and links of a simulated run.
+// Faults of the nodes and links of a simulation.
 
-// kill ends a machine's process; its disk stays.
+// kill ends the process of a node; its disk stays intact.
 func (s *simulation) kill(addr string) { s.nodes[addr].up = false }
 
-// powerOff ends a machine at once: of the writes that its disk was still at only a beginning is there.
+// powerOff cuts the power of a node: only a prefix of the disk writes in progress survives.
 func (s *simulation) powerOff(addr string) {
 	n := s.nodes[addr]
 	s.kill(addr)
@@ -25,7 +25,7 @@
 	n.unsynced = nil
 }
 
-// restart starts a machine that was killed, on its disk.
+// restart starts a stopped node from its disk.
 func (s *simulation) restart(addr string) { s.start(s.nodes[addr]) }
 
 func (s *simulation) freeze(addr string) { s.nodes[addr].frozen = true }
@@ -33,34 +33,36 @@
 func (s *simulation) thaw(addr string) {
 	n := s.nodes[addr]
 	n.frozen = false
-	waits := n.queued
+	queued := n.queued
 	n.queued = nil
-	for _, do := range waits {
+	for _, do := range queued {
 		if n.up {
 			do()
 		}
 	}
 }
 
-// leave tells a machine to end, as SIGTERM does; it goes when it may, at the latest when its grace is over.
+// leave shuts a node down gracefully, as SIGTERM does. It ends when it is safe to stop, or when the
+// grace period is over.
 func (s *simulation) leave(addr string, grace time.Duration) {
-	n, life, end := s.nodes[addr], s.nodes[addr].incarnation, s.now+grace
+	n, incarnation, end := s.nodes[addr], s.nodes[addr].incarnation, s.now+grace
 	s.perform(n, n.replica.Leave(s.now))
-	var look func()
-	look = func() {
-		if n.incarnation != life || !n.up {
+	var poll func()
+	poll = func() {
+		if n.incarnation != incarnation || !n.up {
 			return
 		}
 		if s.now >= end || !n.frozen && n.replica.SafeToStop(s.now) {
 			s.kill(addr)
 			return
 		}
-		s.schedule(tickInterval, look)
+		s.schedule(tickInterval, poll)
 	}
-	s.schedule(tickInterval, look)
+	s.schedule(tickInterval, poll)
 }
 
-// separate cuts the links from some machines to others, and back unless it is one way only.
+// partition cuts the links from one set of nodes to another, and the reverse links unless oneWay is
+// set.
 func (s *simulation) partition(side, other []string, oneWay bool) {
 	for _, a := range side {
 		for _, b := range other {
@@ -72,7 +74,7 @@
 	}
 }
 
-// heal mends all links. What they held up arrives.
+// heal restores all links and delivers the held messages.
 func (s *simulation) heal() {
 	clear(s.cutLinks)
 	held := s.heldMessages
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -11,8 +11,9 @@
 	"nettlefold/internal/replicated"
 )
 
-// A simulated run plays the real replicas of a core against a network, disks and a clock of its own. Nothing in it waits: time is a number
-// that jumps from one event to the next, and all that is drawn by lot comes from a seed.
+// A simulation runs the replicas of a core on a simulated network, disks and clock. Nothing in it
+// sleeps: the time is a number that advances from event to event, and all random choices come from
+// a seed.
 
 const (
 	tickInterval    = 50 * time.Millisecond
@@ -22,75 +23,77 @@
 	reopenInterval  = 400 * time.Millisecond
 )
 
-// simNode is one machine: what it runs, its disk, and what is done to it.
+// simNode is one node: its replica, its disk and the faults that affect it.
 type simNode struct {
 	*testReplica
 	addr        string
 	zone        string
-	incarnation int           // of its process: events of an earlier one are void
+	incarnation int           // of its process; events of earlier ones are ignored
 	up          bool          // powered and running
-	retired     bool          // it is gone for good, or is about to go
-	frozen      bool          // it stands still; what is sent to it waits
-	queued      []func()      // while it is frozen
-	syncTime    time.Duration // that its disk takes for a step
-	busyUntil   time.Duration // until when its disk works
-	// unsynced are the writes that its disk may still be at.
+	retired     bool          // it is removed for good, or will be
+	frozen      bool          // it is paused; messages to it are queued
+	queued      []func()      // events that wait while it is frozen
+	syncTime    time.Duration // duration of a disk write
+	busyUntil   time.Duration // end of the current disk writes
+	// unsynced are the disk writes that may be in progress.
 	unsynced []unsyncedWrite
-	// failing is a disk that takes no write, and silent a replica that met one: it is started anew, on what is there, when that works.
+	// diskFailing makes every disk write fail. halted is set on a failed write, and until the
+	// replica has been recreated from the disk after writes work again.
 	diskFailing bool
 	halted      bool
-	// confirms is what follows when the majority has answered, by nonce.
+	// onConfirmed holds the functions to run after a confirmation by a majority, by nonce.
 	onConfirmed map[uint64]func()
 }
 
-// unsynced is a step's records, which a loss of power before a time may take away, and the disk as it was without them.
+// unsyncedWrite is the records of a step, which a power loss before a time may lose, and the disk
+// without them.
 type unsyncedWrite struct {
 	until   time.Duration
 	before  PersistedState
 	records []Record
 }
 
-// link is one direction between two machines.
+// link is one direction between two nodes.
 type link struct{ from, to string }
 
-// simulation is a core and its world. Machines are named by their addresses.
+// simulation is a core in a simulated environment. Nodes are identified by address.
 type simulation struct {
 	injected            fault
 	random              *rand.Rand
 	now                 time.Duration
 	agenda              agenda.Agenda
 	nodes               map[string]*simNode
-	addrs               []string // in their order
+	addrs               []string // in the order of creation
 	cutLinks            map[link]bool
-	holdMessages        bool // what is sent over a cut link arrives when it heals, else it is lost
+	holdMessages        bool // whether messages over a cut link are delivered when it heals, instead of lost
 	heldMessages        []func()
-	bytesPerSecond      float64 // bytes a second that a link carries, 0 for no limit
+	bytesPerSecond      float64 // capacity of each link, 0 for no limit
 	linkBusyUntil       map[link]time.Duration
-	chunkBytesSent      int // bytes of fetched states that were sent
+	chunkBytesSent      int // total size of the state chunks sent
 	minCopies           int
 	limits              Limits // DefaultLimits if zero
 	incarnations        int
-	replicaLoads        int // of replicas from disks
+	replicaLoads        int // counts replicas created
 	calls               []*call
 	violation           error
-	committedOperations map[uint64]string // committed operations by number
-	viewsByEpoch        map[uint64]string // decided views by epoch
+	committedOperations map[uint64]string // by sequence number
+	viewsByEpoch        map[uint64]string // decided views
 }
 
-// newSimulation starts a core whose first view has all machines given, as addr:zone.
-func newSimulation(seed uint64, copies int, machines ...string) *simulation {
+// newSimulation starts a core whose first view consists of the given nodes, written as addr:zone.
+func newSimulation(seed uint64, copies int, nodes ...string) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, seed)), minCopies: copies, nodes: map[string]*simNode{}, cutLinks: map[link]bool{},
 		committedOperations: map[uint64]string{}, viewsByEpoch: map[uint64]string{}, linkBusyUntil: map[link]time.Duration{},
 	}
 	view := View{Epoch: 1}
-	for _, text := range machines {
+	for _, text := range nodes {
 		addr, _ := splitAddrZone(text)
 		id := NodeID(addr)
 		view.Acceptors = append(view.Acceptors, Member{ID: id, Addr: addr})
 		view.Chain = append(view.Chain, id)
 	}
-	for _, text := range machines {
+	for _, text := range nodes {
 		addr, zone := splitAddrZone(text)
 		s.start(s.placeNode(addr, zone, PersistedState{Meta: Meta{Identity: NodeID(addr), View: view, LogEpoch: 1}}))
 	}
@@ -106,7 +109,7 @@
 	return text, "zone-" + text
 }
 
-// place puts a machine with a disk there; it is not started yet.
+// placeNode adds a node with a disk, not started yet.
 func (s *simulation) placeNode(addr, zone string, disk PersistedState) *simNode {
 	n := &simNode{testReplica: &testReplica{disk: disk}, addr: addr, zone: zone, syncTime: simSyncTime}
 	if s.nodes[addr] == nil {
@@ -116,22 +119,23 @@
 	return n
 }
 
-// join starts a machine with an empty disk, also in the place of one that lost its own.
+// join starts a node with an empty disk. At the address of an existing node it simulates a disk
+// loss.
 func (s *simulation) join(addr, zone string) {
 	s.incarnations++
 	s.start(s.placeNode(addr, zone, PersistedState{Meta: Meta{Identity: NodeID(fmt.Sprintf("%s/%d", addr, s.incarnations))}}))
 }
 
-// start starts a machine's process on what is on its disk.
+// start starts the process of a node from its disk.
 func (s *simulation) start(n *simNode) {
 	s.incarnations++
 	n.incarnation, n.up, n.frozen, n.queued, n.busyUntil, n.onConfirmed, n.halted = s.incarnations, true, false, nil, 0, nil, false
-	n.unsynced = nil // a start syncs what it finds
+	n.unsynced = nil // a start syncs what is on disk
 	s.load(n)
 	s.schedule(s.randomDuration(0, tickInterval), func() { s.tick(n, n.incarnation) })
 }
 
-// load makes a machine's replica of what is on its disk.
+// load creates the replica of a node from its disk.
 func (s *simulation) load(n *simNode) {
 	s.replicaLoads++
 	saved := n.disk
@@ -148,7 +152,8 @@
 	n.replica.SetSeeds(s.seeds())
 }
 
-// seeds are three machines of those that stay, as settings name them.
+// seeds returns the addresses of three nodes that are not retired, as a configuration would list
+// them.
 func (s *simulation) seeds() (addrs []string) {
 	for _, addr := range s.addrs {
 		if len(addrs) < 3 && !s.nodes[addr].retired {
@@ -158,13 +163,14 @@
 	return addrs
 }
 
-// reopen is tried again and again by a process whose disk failed; its connections stay, and so may answers to what it asked before.
-func (s *simulation) scheduleReopen(n *simNode, life int) {
+// scheduleReopen retries to recreate the replica of a process whose disk failed. Its connections
+// stay open, so replies to earlier requests may still arrive.
+func (s *simulation) scheduleReopen(n *simNode, incarnation int) {
 	s.schedule(reopenInterval, func() {
 		switch {
-		case !n.up || n.incarnation != life:
+		case !n.up || n.incarnation != incarnation:
 		case n.diskFailing || n.frozen:
-			s.scheduleReopen(n, life)
+			s.scheduleReopen(n, incarnation)
 		default:
 			n.halted = false
 			s.load(n)
@@ -178,7 +184,7 @@
 
 func (s *simulation) schedule(d time.Duration, do func()) { s.agenda.Book(int64(s.now+d), do) }
 
-// run lets time pass.
+// run processes the events of a duration.
 func (s *simulation) run(d time.Duration) {
 	end := s.now + d
 	for s.violation == nil {
@@ -192,22 +198,23 @@
 	s.now = end
 }
 
-func (s *simulation) tick(n *simNode, life int) {
-	if !n.up || n.incarnation != life {
+func (s *simulation) tick(n *simNode, incarnation int) {
+	if !n.up || n.incarnation != incarnation {
 		return
 	}
 	if !n.frozen && !n.halted {
 		s.perform(n, n.replica.Tick(s.now))
 	}
-	s.schedule(tickInterval, func() { s.tick(n, life) })
+	s.schedule(tickInterval, func() { s.tick(n, incarnation) })
 }
 
-// perform writes a step's records, which takes the disk a while, and sends its messages behind that.
+// perform writes the records of a step, which takes the disk some time, and then sends the
+// messages.
 func (s *simulation) perform(n *simNode, out Output) {
 	if n.halted {
 		return
 	}
-	if n.diskFailing && len(out.Records) > 0 { // some of them may be found there all the same
+	if n.diskFailing && len(out.Records) > 0 { // some records may reach the disk nevertheless
 		n.write(s.injected, out.Records[:s.random.IntN(len(out.Records)+1)])
 		n.halted = true
 		s.scheduleReopen(n, n.incarnation)
@@ -237,24 +244,26 @@
 	for _, nonce := range out.ConfirmedReads {
 		s.afterDiskWrites(n, func() { s.runConfirmed(n, nonce) })
 	}
-	s.afterDiskWrites(n, func() { s.checkNode(n) }) // what a tail commits it has synced
+	s.afterDiskWrites(n, func() { s.checkNode(n) }) // the tail has synced what it commits
 }
 
-// whenWritten does something once a machine's disk has done what it was given, unless its process or its replica goes before.
+// afterDiskWrites runs a function once the disk writes of a node are done, unless its process or
+// replica ends first.
 func (s *simulation) afterDiskWrites(n *simNode, do func()) {
 	if n.busyUntil <= s.now {
 		do()
 		return
 	}
-	life, replica := n.incarnation, n.replica
+	incarnation, replica := n.incarnation, n.replica
 	s.schedule(n.busyUntil-s.now, func() {
-		if n.up && n.incarnation == life && n.replica == replica && !n.halted {
+		if n.up && n.incarnation == incarnation && n.replica == replica && !n.halted {
 			s.afterDiskWrites(n, do)
 		}
 	})
 }
 
-// carry tells when a message has left, on a link that carries so many bytes a second, one message after the other.
+// sendDelay returns the delay after which a message has left, on a link that transmits messages one
+// after the other at bytesPerSecond.
 func (s *simulation) sendDelay(l link, delay time.Duration, m *Message) time.Duration {
 	if s.bytesPerSecond == 0 {
 		return delay
@@ -280,12 +289,12 @@
 	return n
 }
 
-// send has something done at another machine, unless the way to it is cut or it is down then, or the sender is before the message has
-// left. A frozen one does it when it wakes.
+// send runs a function at another node after the link delay, unless the link is cut, the node is
+// down, or the sender ended before the message had left. A frozen node runs it when it resumes.
 func (s *simulation) send(from *simNode, to string, delay time.Duration, do func(to *simNode)) {
-	life, onTheWay := from.incarnation, s.randomDuration(simLinkMinDelay, simLinkMaxDelay)
+	incarnation, onTheWay := from.incarnation, s.randomDuration(simLinkMinDelay, simLinkMaxDelay)
 	leave := func() {
-		if from.up && from.incarnation == life {
+		if from.up && from.incarnation == incarnation {
 			s.schedule(onTheWay, func() { s.arrive(from, to, do) })
 		}
 	}
@@ -296,15 +305,15 @@
 	s.schedule(delay, leave)
 }
 
-// arrive has what was sent over a link done at its other end.
+// arrive delivers a message at the receiving end of a link.
 func (s *simulation) arrive(from *simNode, to string, do func(to *simNode)) {
 	n := s.nodes[to]
 	if n == nil || !n.up {
 		return
 	}
-	life := n.incarnation
+	incarnation := n.incarnation
 	doIt := func() {
-		if n.up && n.incarnation == life {
+		if n.up && n.incarnation == incarnation {
 			do(n)
 		}
 	}
@@ -319,7 +328,7 @@
 	}
 }
 
-// head is the machine that takes writes and knows that a majority follows it, nil if none does.
+// head returns a node that takes writes and is confirmed by a majority, or nil.
 func (s *simulation) head() *simNode {
 	for _, addr := range s.addrs {
 		n := s.nodes[addr]
@@ -330,7 +339,7 @@
 	return nil
 }
 
-// epoch is the newest view's that anybody knows.
+// epoch returns the epoch of the newest view known to any node.
 func (s *simulation) epoch() (epoch uint64) {
 	for _, n := range s.nodes {
 		epoch = max(epoch, n.replica.View().Epoch)
@@ -354,8 +363,8 @@
 	}
 }
 
-// writable has an operation taken that changes something, asked for at all machines at once until one takes it, and tells how long that
-// took; false if nobody did.
+// waitWritable submits a write through all nodes at once, repeatedly, until one is committed. It
+// returns how long that took, and false if none was within the limit.
 func (s *simulation) waitWritable(limit time.Duration) (time.Duration, bool) {
 	began := s.now
 	for s.now-began < limit && s.violation == nil {
--- a/internal/chain/starvation_test.go
+++ b/internal/chain/starvation_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startOfNine starts a core whose first view has three machines, and six that come soon after.
+// startNineNodes starts a core with three nodes in the first view and six that join soon after.
 func startNineNodes(seed uint64) *simulation {
 	s := newSimulation(seed, 3, "a:u", "b:v", "c:w")
 	for _, other := range []string{"d:u", "e:v", "f:w", "g:x", "h:y", "i:z"} {
@@ -17,7 +17,8 @@
 	return s
 }
 
-// starve gives a machine the processor for short spans only, until a time.
+// starve gives a node processor time only in short intervals until a time; longest bounds the
+// pauses between them.
 func (s *simulation) starve(addr string, longest, until time.Duration) {
 	if s.now >= until {
 		return
@@ -29,13 +30,13 @@
 		s.freeze(addr)
 		s.schedule(s.randomDuration(longest/4, longest), func() {
 			s.thaw(addr)
-			s.perform(s.nodes[addr], s.nodes[addr].replica.Tick(s.now)) // that fell due meanwhile
+			s.perform(s.nodes[addr], s.nodes[addr].replica.Tick(s.now)) // overdue
 			s.starve(addr, longest, until)
 		})
 	})
 }
 
-// chainMembers is how many machines the chain of the newest view has that any machine knows.
+// newestChainLength returns the length of the chain in the newest view known to any node.
 func (s *simulation) newestChainLength() int {
 	var newest View
 	for _, addr := range s.addrs {
@@ -46,19 +47,21 @@
 	return len(newest.Chain)
 }
 
-// TestNewcomersThatComeTogether: six machines that come at about the same time are taken in by two views at most, not by one each.
+// TestConcurrentJoins checks that six nodes that join at about the same time are added by at most
+// two views, not by one view each.
 func TestConcurrentJoins(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		s := startNineNodes(seed)
 		s.run(4 * time.Second)
 		require.NoError(t, s.violation)
-		require.Equal(t, 9, s.newestChainLength(), "seed %d", seed)
-		require.LessOrEqual(t, s.epoch(), uint64(3), "seed %d", seed)
+		require.Equal(t, 9, s.newestChainLength(), "seed %d: chain length", seed)
+		require.LessOrEqual(t, s.epoch(), uint64(3), "seed %d: epoch", seed)
 	}
 }
 
-// TestStarvedMembersStayInTheChain: machines that come to their work only now and then, always in a shorter time than that of suspicion, are
-// not left out of a view by a proposer that was starved itself while their answers waited for it.
+// TestStarvedNodesStayInChain checks that nodes whose pauses are shorter than SuspectTimeout stay
+// in the chain. The fault: a proposer that was starved itself timed others out while their replies
+// waited in its queue.
 func TestStarvedNodesStayInChain(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		s := startNineNodes(seed)
@@ -75,7 +78,7 @@
 			before = members
 		}
 		require.NoError(t, s.violation)
-		require.Zero(t, shrunk, "seed %d: views that lost a member", seed)
-		require.Equal(t, 9, before, "seed %d", seed)
+		require.Zero(t, shrunk, "seed %d: number of views that lost a chain member", seed)
+		require.Equal(t, 9, before, "seed %d: chain length", seed)
 	}
 }
