--- a/internal/chain/acceptors.go
+++ b/internal/chain/acceptors.go
@@ -16,8 +16,8 @@
 
 // betterThan reports whether s survives more failures than another set. The loss of single nodes is
 // compared first while there are too few acceptors (tooFew), otherwise the loss of a zone.
-func (s faultTolerance) betterThan(than faultTolerance, tooFew bool) bool {
-	first, second := cmp.Compare(s.spareAfterZoneLoss, than.spareAfterZoneLoss), cmp.Compare(s.spareNodes, than.spareNodes)
+func (s faultTolerance) betterThan(other faultTolerance, tooFew bool) bool {
+	first, second := cmp.Compare(s.spareAfterZoneLoss, other.spareAfterZoneLoss), cmp.Compare(s.spareNodes, other.spareNodes)
 	if tooFew {
 		first, second = second, first
 	}
--- a/internal/chain/search_test.go
+++ b/internal/chain/search_test.go
@@ -15,6 +15,7 @@
 
 var statesFlag = flag.Int("states", maxSearchStates, "maximum number of states per search")
 
+// TestSearchTwoWrites tries every order of two writes, with one lost message and one power loss.
 func TestSearchTwoWrites(t *testing.T) {
 	w := newSearchWorld(3, noFault)
 	w.pendingWrites = []string{"x", "y"}
@@ -25,6 +26,7 @@
 	require.True(t, result.Whole, result.String())
 }
 
+// TestSearchWriteDuringViewChange tries orders of a write and a view change.
 func TestSearchWriteDuringViewChange(t *testing.T) {
 	w := newSearchWorld(3, noFault)
 	w.pendingWrites = []string{"x"}
@@ -34,6 +36,7 @@
 	t.Log(result.String())
 }
 
+// TestSearchTwoProposers tries orders of two concurrent proposals.
 func TestSearchTwoProposers(t *testing.T) {
 	w := newSearchWorld(3, noFault)
 	w.proposers = []NodeID{"a", "c"}
@@ -42,6 +45,7 @@
 	t.Log(result.String())
 }
 
+// TestSearchPowerLoss tries orders of two writes, a view change and a power loss.
 func TestSearchPowerLoss(t *testing.T) {
 	w := newSearchWorld(3, noFault)
 	w.pendingWrites = []string{"x", "y"}
@@ -90,6 +94,7 @@
 	return w
 }
 
+// TestRandomWalkLargeWorld takes random paths through a world too large for a search.
 func TestRandomWalkLargeWorld(t *testing.T) {
 	result := simtest.Walk(largeWorld(noFault), 1500, 120, 1)
 	require.NoError(t, result.Broken, result.String())
--- a/internal/chain/simulation_calls_test.go
+++ b/internal/chain/simulation_calls_test.go
@@ -12,7 +12,7 @@
 const (
 	simCallTimeout   = 900 * time.Millisecond
 	simRetryInterval = 20 * time.Millisecond
-	// simOperatorTimeout is the time after which the operator gives a call up.
+	// simOperatorTimeout is the time after which the operator abandons a call.
 	simOperatorTimeout = time.Second
 )
 
--- a/internal/chain/starvation_test.go
+++ b/internal/chain/starvation_test.go
@@ -17,8 +17,8 @@
 	return s
 }
 
-// starve gives a node processor time only in short intervals until a time; longest bounds the
-// pauses between them.
+// starve lets a node run only in short intervals until a given time; longest bounds the pauses in
+// between.
 func (s *simulation) starve(addr string, longest, until time.Duration) {
 	if s.now >= until {
 		return
--- a/internal/chain/types.go
+++ b/internal/chain/types.go
@@ -203,7 +203,7 @@
 	AcceptorRemovalTimeout time.Duration // silence after which an acceptor is removed if enough others remain
 	AcceptorReplaceTimeout time.Duration // silence after which a learner replaces an acceptor
 	JoinDelay              time.Duration // time that a node must be alive before it is added to the chain
-	WriteTimeout           time.Duration // time that a write may be uncommitted before the chain is reordered
+	WriteTimeout           time.Duration // time that a write may be uncommitted before another view is proposed
 	ProposalTimeout        time.Duration // time that a proposal may take
 }
 
