--- a/internal/lab/fleetcost/page_test.go
+++ b/internal/lab/fleetcost/page_test.go
@@ -68,7 +68,7 @@
 		"../../controller/sessions.go": {`watchHold = 350 \* time.Millisecond`},
 		"../../agent/gossip.go":        {`flushInterval\s+= 60 \* time.Millisecond`, `hubMessagesPerSecond\s+= 400\n`},
 		"../../agent/events.go":        {`eventsPollInterval\s+= 700 \* time.Millisecond`},
-		"../../chain/types.go":         {`Heartbeat: 150 \* time.Millisecond`, `SnapshotBytes: 2 << 20`},
+		"../../chain/types.go":         {`HeartbeatInterval: +150 \* time.Millisecond`, `SnapshotBytes: 2 << 20`},
 		"../../durable/store.go":       {`compactRatio = 4`},
 	} {
 		raw, err := os.ReadFile(file)
