--- a/internal/durable/load.go
+++ b/internal/durable/load.go
@@ -15,74 +15,76 @@
 	"nettlefold/internal/replicated"
 )
 
-// Load reads what a replica starts from. State is nil and Entries are empty where nothing was written. It fails with a *DamageError where
-// what was written once is not there.
+// Load returns the state that a replica starts from. State is nil and Entries is empty if nothing
+// was written. It fails with a *DamageError if records are missing that must have been written.
 func (s *Store) Load() (saved chain.PersistedState, err error) {
-	payload, written, err := s.get(metaKey)
+	payload, hasMeta, err := s.get(metaKey)
 	if err != nil {
 		return saved, err
 	}
-	if written {
+	if hasMeta {
 		if err := cbor.Unmarshal(payload, &saved.Meta); err != nil {
-			return saved, merry.Prepend(err, "store: read meta")
+			return saved, merry.Prepend(err, "durable: decode meta")
 		}
 	}
-	payload, taken, err := s.get(snapshotKey(saved.Meta.Generation))
+	payload, hasSnapshot, err := s.get(snapshotKey(saved.Meta.Generation))
 	if err != nil {
 		return saved, err
 	}
-	if taken {
+	if hasSnapshot {
 		var snapshot chain.Snapshot
 		if err := cbor.Unmarshal(payload, &snapshot); err != nil {
-			return saved, merry.Prepend(err, "store: read snapshot")
+			return saved, merry.Prepend(err, "durable: decode snapshot")
 		}
 		if saved.State, err = replicated.Decode(snapshot.State); err != nil {
-			return saved, merry.Prepend(err, "store: read snapshot")
+			return saved, merry.Prepend(err, "durable: decode snapshot")
 		}
 	}
-	saved.Entries, err = s.entries(saved.Meta.Generation)
+	saved.Entries, err = s.loadEntries(saved.Meta.Generation)
 	if err != nil {
 		return saved, err
 	}
 	slices.SortFunc(saved.Entries, func(a, b chain.Entry) int { return cmp.Compare(a.Seq, b.Seq) })
-	return saved, s.complete(&saved)
+	return saved, s.checkContiguous(&saved)
 }
 
-// complete holds what was loaded to being without gaps: a state that was taken over whole is there, and the entries go on from it.
-func (s *Store) complete(saved *chain.PersistedState) error {
+// checkContiguous checks that the loaded state has no gaps: the snapshot of a generation after the
+// first is present, and the entries follow it without a gap.
+func (s *Store) checkContiguous(saved *chain.PersistedState) error {
 	next := uint64(1)
 	if saved.State != nil {
 		next = saved.State.Seq + 1
 	} else if saved.Meta.Generation > 0 {
-		return s.damage(fmt.Sprintf("the snapshot of generation %d is missing", saved.Meta.Generation))
+		return s.damageError(fmt.Sprintf("the snapshot of generation %d is missing", saved.Meta.Generation))
 	}
 	for _, e := range saved.Entries {
 		if e.Seq > next {
-			return s.damage(fmt.Sprintf("entry %d is missing", next))
+			return s.damageError(fmt.Sprintf("entry %d is missing", next))
 		}
 		next = max(next, e.Seq+1)
 	}
 	return nil
 }
 
-func (s *Store) entries(generation uint64) (entries []chain.Entry, err error) {
-	from := entryKey(generation, 0)
-	within := from[:len("entry/")+9]
+// loadEntries returns the log entries of a generation.
+func (s *Store) loadEntries(generation uint64) (entries []chain.Entry, err error) {
+	first := entryKey(generation, 0)
+	keyPrefix := first[:len("entry/")+9]
 	viewErr := s.db.View(func(tx *buntdb.Tx) error {
-		return tx.AscendGreaterOrEqual("", from, func(key, value string) bool {
-			if !strings.HasPrefix(key, within) {
+		return tx.AscendGreaterOrEqual("", first, func(key, value string) bool {
+			if !strings.HasPrefix(key, keyPrefix) {
 				return false
 			}
-			var e chain.Entry
-			payload, ok := unseal(key, value)
+			var entry chain.Entry
+			payload, ok := verifyChecksum(key, value)
 			if !ok {
-				err = s.damage("the checksum of " + key + " does not hold")
+				err = s.damageError("checksum mismatch of " + key)
 				return false
 			}
-			if err = cbor.Unmarshal(payload, &e); err != nil {
+			if err = cbor.Unmarshal(payload, &entry); err != nil {
 				return false
 			}
-			entries = append(entries, e)
+			entries = append(entries, entry)
 			return true
 		})
 	})
