--- a/internal/chain/fetch.go
+++ b/internal/chain/fetch.go
@@ -7,57 +7,60 @@
 	"nettlefold/internal/replicated"
 )
 
-// A machine that is far behind fetches the committed state from a member of the chain in pieces, beside whatever else goes on: heartbeats
-// come between the pieces, and a transfer that was cut goes on where it stood. Only one that is near is taken into the chain, so that a
-// proposal, during which nothing is written, brings no more than some entries.
+// A node that is far behind fetches the committed state from a chain member in chunks, beside other
+// traffic: heartbeats are sent between chunks, and an interrupted transfer resumes at its offset. A
+// node joins the chain only when it is nearly caught up, so that a proposal, during which no writes
+// are taken, has to transfer only a few entries.
 
 const (
-	// fetchRetry is how long a piece is waited for.
-	fetchRetry = 400 * time.Millisecond
-	// offerKept is how long an encoded state is kept for who fetches it.
-	offerKept = 10 * time.Second
+	// chunkTimeout is the time after which a requested chunk is requested again.
+	chunkTimeout = 400 * time.Millisecond
+	// servedStateTTL is how long an encoded state is kept after the last request for one of its
+	// chunks.
+	servedStateTTL = 10 * time.Second
 )
 
-// Fetch asks for a piece of the committed state.
-type Fetch struct {
-	Seq    uint64 `cbor:"1,keyasint"` // of the state that pieces are there of, 0 to begin
-	Offset int    `cbor:"2,keyasint"`
+// FetchState requests a chunk of the committed state.
+type FetchState struct {
+	Seq    uint64 `cbor:"1,keyasint"` // sequence number of the state being fetched, 0 for the first request
+	Offset int    `cbor:"2,keyasint"` // in bytes
 }
 
-// Piece is a piece of a committed state's encoding.
-type Piece struct {
+// StateChunk is a part of the encoding of a committed state.
+type StateChunk struct {
 	Seq    uint64 `cbor:"1,keyasint"`
-	Offset int    `cbor:"2,keyasint"`
-	Total  int    `cbor:"3,keyasint"`
+	Offset int    `cbor:"2,keyasint"` // in bytes
+	Total  int    `cbor:"3,keyasint"` // size of the whole encoding in bytes
 	Bytes  []byte `cbor:"4,keyasint"`
 }
 
-// fetching is what has come so far.
-type fetching struct {
-	from    NodeID
-	seq     uint64
-	total   int
-	encoded []byte
-	asked   time.Duration
+// stateFetch is the progress of a state transfer to this replica.
+type stateFetch struct {
+	from        NodeID
+	seq         uint64
+	total       int
+	encoded     []byte
+	requestedAt time.Duration
 }
 
-// offer is an encoded state that others fetch.
-type offer struct {
-	seq     uint64
-	encoded []byte
-	used    time.Duration
+// servedState is an encoded state that other nodes are fetching.
+type servedState struct {
+	seq      uint64
+	encoded  []byte
+	lastUsed time.Duration
 }
 
-// nearFrom is the least number from which a machine that has committed it can be brought the rest within a proposal: the entries behind
-// it are here and not too long. It is 0 where the state is small: then anyone can.
-func (r *Replica) nearFrom() uint64 {
-	if r.state.Size() <= r.options.Limits.WholeBytes {
+// minCatchUpSeq returns the lowest committed sequence number from which a node can catch up within
+// a proposal: the entries after it are still in the log and not larger than CatchUpBytes. It is 0
+// if the whole state is that small; any node can catch up then.
+func (r *Replica) minCatchUpSeq() uint64 {
+	if r.state.Size() <= r.options.Limits.CatchUpBytes {
 		return 0
 	}
-	bytes, from := 0, r.state.Seq // what is not committed can only be brought
-	for from >= r.first {
-		bytes += len(r.log[from-r.first].Operation)
-		if bytes > r.options.Limits.WholeBytes {
+	bytes, from := 0, r.state.Seq // uncommitted entries can only be sent with a CatchUp
+	for from >= r.firstSeq {
+		bytes += len(r.log[from-r.firstSeq].Operation)
+		if bytes > r.options.Limits.CatchUpBytes {
 			break
 		}
 		from--
@@ -65,90 +68,93 @@
 	return from
 }
 
-// near tells whether a machine can be brought the rest of the log within a proposal, whichever member of the chain is its source.
-func (r *Replica) near(now time.Duration, id NodeID) bool {
+// isNearlyCaughtUp reports whether a node can catch up within a proposal, whichever chain member is
+// the source.
+func (r *Replica) isNearlyCaughtUp(now time.Duration, id NodeID) bool {
 	commit := r.state.Seq
 	if id != r.meta.Identity {
-		commit = r.peers[id].beat.Commit
+		commit = r.peers[id].heartbeat.Commit
 	}
 	for _, member := range r.meta.View.Chain {
-		if member == r.meta.Identity || !r.hears(now, member) {
+		if member == r.meta.Identity || !r.isAlive(now, member) {
 			continue
 		}
-		if beat := &r.peers[member].beat; beat.LogEpoch == r.meta.View.Epoch && commit < beat.Near {
+		if beat := &r.peers[member].heartbeat; beat.LogEpoch == r.meta.View.Epoch && commit < beat.MinCatchUpSeq {
 			return false
 		}
 	}
-	return !r.serving() || commit >= r.nearFrom()
+	return !r.serving() || commit >= r.minCatchUpSeq()
 }
 
-// fetch asks for the next piece while this machine is far behind.
-func (r *Replica) fetch(now time.Duration) {
-	from := r.fetchFrom(now)
+// fetchState requests the next chunk while this node is too far behind to catch up within a
+// proposal.
+func (r *Replica) fetchState(now time.Duration) {
+	from := r.fetchSource(now)
 	if from == "" {
-		return // what has come is kept until somebody is heard
+		return // the received chunks are kept until a source is alive
 	}
-	if r.serving() || r.near(now, r.meta.Identity) {
-		r.fetching = nil
+	if r.serving() || r.isNearlyCaughtUp(now, r.meta.Identity) {
+		r.stateFetch = nil
 		return
 	}
-	if r.fetching != nil && now-r.fetching.asked < fetchRetry {
+	if r.stateFetch != nil && now-r.stateFetch.requestedAt < chunkTimeout {
 		return
 	}
-	if r.fetching == nil || r.fetching.from != from {
-		r.fetching = &fetching{from: from}
+	if r.stateFetch == nil || r.stateFetch.from != from {
+		r.stateFetch = &stateFetch{from: from}
 	}
-	r.askPiece(now)
+	r.requestChunk(now)
 }
 
-// fetchFrom is the member of the chain, nearest to its tail, that is heard and has its log.
-func (r *Replica) fetchFrom(now time.Duration) NodeID {
+// fetchSource returns the chain member closest to the tail that is alive and holds its log, or "".
+func (r *Replica) fetchSource(now time.Duration) NodeID {
 	chain := r.meta.View.Chain
 	for _, id := range slices.Backward(chain) {
-		if id != r.meta.Identity && r.hears(now, id) && r.peers[id].beat.LogEpoch == r.meta.View.Epoch {
+		if id != r.meta.Identity && r.isAlive(now, id) && r.peers[id].heartbeat.LogEpoch == r.meta.View.Epoch {
 			return id
 		}
 	}
 	return ""
 }
 
-func (r *Replica) askPiece(now time.Duration) {
-	f := r.fetching
-	f.asked = now
-	r.sendTo(f.from, Message{Fetch: &Fetch{f.seq, len(f.encoded)}})
+// requestChunk requests the chunk that follows those received.
+func (r *Replica) requestChunk(now time.Duration) {
+	f := r.stateFetch
+	f.requestedAt = now
+	r.sendTo(f.from, Message{FetchState: &FetchState{f.seq, len(f.encoded)}})
 }
 
-func (r *Replica) onFetch(now time.Duration, m *Message) {
+func (r *Replica) onFetchState(now time.Duration, m *Message) {
 	if !r.serving() {
 		return
 	}
-	f := *m.Fetch
-	if r.offer == nil || f.Seq != r.offer.seq {
-		r.offer = &offer{seq: r.state.Seq, encoded: r.state.Encode()}
+	f := *m.FetchState
+	if r.servedState == nil || f.Seq != r.servedState.seq {
+		r.servedState = &servedState{seq: r.state.Seq, encoded: r.state.Encode()}
 		f.Offset = 0
 	}
-	o := r.offer
-	o.used = now
+	o := r.servedState
+	o.lastUsed = now
 	if f.Offset < 0 || f.Offset > len(o.encoded) {
 		return
 	}
-	end := min(f.Offset+r.options.Limits.PieceBytes, len(o.encoded))
-	r.send(m.From, Message{Piece: &Piece{o.seq, f.Offset, len(o.encoded), o.encoded[f.Offset:end]}})
+	end := min(f.Offset+r.options.Limits.ChunkBytes, len(o.encoded))
+	r.send(m.From, Message{StateChunk: &StateChunk{o.seq, f.Offset, len(o.encoded), o.encoded[f.Offset:end]}})
 }
 
-// dropOffer frees a state that nobody fetches any more.
-func (r *Replica) dropOffer(now time.Duration) {
-	if r.offer != nil && now-r.offer.used > offerKept {
-		r.offer = nil
+// releaseServedState frees an encoded state that is no longer being fetched.
+func (r *Replica) releaseServedState(now time.Duration) {
+	if r.servedState != nil && now-r.servedState.lastUsed > servedStateTTL {
+		r.servedState = nil
 	}
 }
 
-func (r *Replica) onPiece(now time.Duration, m *Message) {
-	f, piece := r.fetching, m.Piece
+func (r *Replica) onStateChunk(now time.Duration, m *Message) {
+	f, piece := r.stateFetch, m.StateChunk
 	if f == nil || m.From.ID != f.from || r.serving() {
 		return
 	}
-	if piece.Offset == 0 { // also when the sender had to encode its state anew
+	if piece.Offset == 0 { // a new transfer, or the source encoded a newer state
 		f.seq, f.total, f.encoded = piece.Seq, piece.Total, nil
 	}
 	if piece.Seq != f.seq || piece.Offset != len(f.encoded) {
@@ -156,33 +162,34 @@
 	}
 	f.encoded = append(f.encoded, piece.Bytes...)
 	if len(f.encoded) < f.total {
-		r.askPiece(now)
+		r.requestChunk(now)
 		return
 	}
-	r.fetching = nil
-	r.install(f.encoded)
+	r.stateFetch = nil
+	r.installState(f.encoded)
 }
 
-// install takes over a committed state that is newer than this machine's own. It is a log of no chain: the machine answers for nothing
-// with it before a proposal has brought it the rest.
-func (r *Replica) install(encoded []byte) {
+// installState replaces the committed state by a newer fetched one. The result is not the log of
+// any chain, so this node takes no part in serving until a proposal has transferred the rest.
+func (r *Replica) installState(encoded []byte) {
 	if r.meta.LogEpoch >= r.meta.View.Epoch {
-		return // its log is of the chain in force, and may be counted on
+		return // its log belongs to the current chain, which relies on it
 	}
 	state, err := replicated.Decode(encoded)
 	if err != nil || state.Seq <= r.state.Seq {
 		return
 	}
 	r.state, r.meta.LogEpoch = state, 0
-	r.restartLog(encoded)
-	r.out.Committed = true
+	r.startLogGeneration(encoded)
+	r.out.StateChanged = true
 }
 
-// restartLog begins another generation of the log behind the committed state: what else the log had was of another chain.
-func (r *Replica) restartLog(encoded []byte) {
-	r.log, r.first = nil, r.state.Seq+1
+// startLogGeneration starts a new, empty log generation after the committed state, and drops the
+// entries of the previous chain.
+func (r *Replica) startLogGeneration(encoded []byte) {
+	r.log, r.firstSeq = nil, r.state.Seq+1
 	r.meta.Generation++
-	r.written.entries, r.written.bytes = 0, 0
+	r.sinceSnapshot.entries, r.sinceSnapshot.bytes = 0, 0
 	r.out.Records = append(r.out.Records, Record{Snapshot: &Snapshot{r.meta.Generation, encoded}})
 	r.saveMeta()
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -174,13 +174,13 @@
 // logProposals logs view changes that this replica proposes or abandons, with the delay of the
 // event loop in the current interval.
 func (c *Controller) logProposals(out *chain.Output) {
-	if a := out.Attempt; a != nil {
+	if a := out.ProposalStarted; a != nil {
 		c.log.Info().Str("step", "propose").Uint64("epoch", a.Epoch).Uint64("round", a.Round).Interface("reasons", a.Reasons).
 			Interface("removed", a.Removed).Interface("added", a.Added).
 			Int("queue", len(c.commands)+len(c.urgentCommands)).Dur("slowest", c.recentStats.maxDelay()).Msg("proposing a new view")
 	}
-	if g := out.GivenUp; g != nil {
-		c.log.Info().Str("step", "propose").Uint64("epoch", g.Epoch).Uint64("round", g.Round).Int("asked", g.Asked).Int("promised", g.Promised).
+	if g := out.ProposalTimedOut; g != nil {
+		c.log.Info().Str("step", "propose").Uint64("epoch", g.Epoch).Uint64("round", g.Round).Int("asked", g.Participants).Int("promised", g.Promised).
 			Int("caught_up", g.CaughtUp).Int("accepted", g.Accepted).Dur("slowest", c.recentStats.maxDelay()).Msg("abandoning a view proposal")
 	}
 }
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -82,7 +82,7 @@
 
 // handOffComplete reports whether the other machines have all state that only this machine held.
 func (c *Controller) handOffComplete() bool {
-	return c.replica.MayEnd(c.sinceStart()) && (c.tallies == nil || c.tallies.flushed.Load())
+	return c.replica.SafeToStop(c.sinceStart()) && (c.tallies == nil || c.tallies.flushed.Load())
 }
 
 // shutDownAPI lets the operator's requests in progress finish, then closes the server.
--- a/internal/durable/load.go
+++ b/internal/durable/load.go
@@ -17,7 +17,7 @@
 
 // Load returns the state that a replica starts from. State is nil and Entries is empty if nothing
 // was written. It fails with a *DamageError if records are missing that must have been written.
-func (s *Store) Load() (saved chain.Saved, err error) {
+func (s *Store) Load() (saved chain.PersistedState, err error) {
 	payload, hasMeta, err := s.get(metaKey)
 	if err != nil {
 		return saved, err
@@ -50,7 +50,7 @@
 
 // checkContiguous checks that the loaded state has no gaps: the snapshot of a generation after the
 // first is present, and the entries follow it without a gap.
-func (s *Store) checkContiguous(saved *chain.Saved) error {
+func (s *Store) checkContiguous(saved *chain.PersistedState) error {
 	next := uint64(1)
 	if saved.State != nil {
 		next = saved.State.Seq + 1
