--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -11,93 +11,96 @@
 	"nettlefold/internal/replicated"
 )
 
-// A simulated run plays the real replicas of a core against a network, disks and a clock of its own. Nothing in it waits: time is a number
-// that jumps from one event to the next, and all that is drawn by lot comes from a seed.
+// A simulation runs the replicas of a core on a simulated network, disks and clock. Nothing in it
+// sleeps: the time is a number that advances from event to event, and all random choices come from
+// a seed.
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	simSync     = 5 * time.Millisecond
-	simLinkLow  = time.Millisecond
-	simLinkHigh = 4 * time.Millisecond
-	reopenEvery = 400 * time.Millisecond
+	tickInterval    = 50 * time.Millisecond
+	simSyncTime     = 5 * time.Millisecond
+	simLinkMinDelay = time.Millisecond
+	simLinkMaxDelay = 4 * time.Millisecond
+	reopenInterval  = 400 * time.Millisecond
 )
 
-// simNode is one machine: what it runs, its disk, and what is done to it.
+// simNode is one node: its replica, its disk and the faults that affect it.
 type simNode struct {
-	*machine
-	addr     string
-	zone     string
-	life     int           // of its process: events of an earlier one are void
-	up       bool          // powered and running
-	departed bool          // it is gone for good, or is about to go
-	frozen   bool          // it stands still; what is sent to it waits
-	waits    []func()      // while it is frozen
-	sync     time.Duration // that its disk takes for a step
-	busy     time.Duration // until when its disk works
-	// unsynced are the writes that its disk may still be at.
-	unsynced []unsynced
-	// failing is a disk that takes no write, and silent a replica that met one: it is started anew, on what is there, when that works.
-	failing bool
-	silent  bool
-	// confirms is what follows when the majority has answered, by nonce.
-	confirms map[uint64]func()
+	*testReplica
+	addr        string
+	zone        string
+	incarnation int           // of its process; events of earlier ones are ignored
+	up          bool          // powered and running
+	retired     bool          // it is removed for good, or will be
+	frozen      bool          // it is paused; messages to it are queued
+	queued      []func()      // events that wait while it is frozen
+	syncTime    time.Duration // duration of a disk write
+	busyUntil   time.Duration // end of the current disk writes
+	// unsynced are the disk writes that may be in progress.
+	unsynced []unsyncedWrite
+	// diskFailing makes every disk write fail. halted is set on a failed write, and until the
+	// replica has been recreated from the disk after writes work again.
+	diskFailing bool
+	halted      bool
+	// onConfirmed holds the functions to run after a confirmation by a majority, by nonce.
+	onConfirmed map[uint64]func()
 }
 
-// unsynced is a step's records, which a loss of power before a time may take away, and the disk as it was without them.
-type unsynced struct {
+// unsyncedWrite is the records of a step, which a power loss before a time may lose, and the disk
+// without them.
+type unsyncedWrite struct {
 	until   time.Duration
-	before  Saved
+	before  PersistedState
 	records []Record
 }
 
-// link is one direction between two machines.
+// link is one direction between two nodes.
 type link struct{ from, to string }
 
-// simulation is a core and its world. Machines are named by their addresses.
+// simulation is a core in a simulated environment. Nodes are identified by address.
 type simulation struct {
-	fault  fault
-	random *rand.Rand
-	now    time.Duration
-	agenda agenda.Agenda
-	nodes  map[string]*simNode
-	addrs  []string // in their order
-	cut    map[link]bool
-	hold   bool // what is sent over a cut link arrives when it heals, else it is lost
-	held   []func()
-	rate   float64 // bytes a second that a link carries, 0 for no limit
-	loaded map[link]time.Duration
-	pieces int // bytes of fetched states that were sent
-	copies int
-	limits Limits // DefaultLimits if zero
-	lives  int
-	loads  int // of replicas from disks
-	calls  []*call
-	broken error
-	seen   map[uint64]string // committed operations by number
-	views  map[uint64]string // decided views by epoch
+	injected            fault
+	random              *rand.Rand
+	now                 time.Duration
+	agenda              agenda.Agenda
+	nodes               map[string]*simNode
+	addrs               []string // in the order of creation
+	cutLinks            map[link]bool
+	holdMessages        bool // whether messages over a cut link are delivered when it heals, instead of lost
+	heldMessages        []func()
+	bytesPerSecond      float64 // capacity of each link, 0 for no limit
+	linkBusyUntil       map[link]time.Duration
+	chunkBytesSent      int // total size of the state chunks sent
+	minCopies           int
+	limits              Limits // DefaultLimits if zero
+	incarnations        int
+	replicaLoads        int // counts replicas created
+	calls               []*call
+	violation           error
+	committedOperations map[uint64]string // by sequence number
+	viewsByEpoch        map[uint64]string // decided views
 }
 
-// newSimulation starts a core whose first view has all machines given, as addr:zone.
-func newSimulation(seed uint64, copies int, machines ...string) *simulation {
+// newSimulation starts a core whose first view consists of the given nodes, written as addr:zone.
+func newSimulation(seed uint64, copies int, nodes ...string) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, seed)), copies: copies, nodes: map[string]*simNode{}, cut: map[link]bool{},
-		seen: map[uint64]string{}, views: map[uint64]string{}, loaded: map[link]time.Duration{},
+		random: rand.New(rand.NewPCG(seed, seed)), minCopies: copies, nodes: map[string]*simNode{}, cutLinks: map[link]bool{},
+		committedOperations: map[uint64]string{}, viewsByEpoch: map[uint64]string{}, linkBusyUntil: map[link]time.Duration{},
 	}
 	view := View{Epoch: 1}
-	for _, text := range machines {
-		addr, _ := splitMachine(text)
+	for _, text := range nodes {
+		addr, _ := splitAddrZone(text)
 		id := NodeID(addr)
 		view.Acceptors = append(view.Acceptors, Member{ID: id, Addr: addr})
 		view.Chain = append(view.Chain, id)
 	}
-	for _, text := range machines {
-		addr, zone := splitMachine(text)
-		s.start(s.place(addr, zone, Saved{Meta: Meta{Identity: NodeID(addr), View: view, LogEpoch: 1}}))
+	for _, text := range nodes {
+		addr, zone := splitAddrZone(text)
+		s.start(s.placeNode(addr, zone, PersistedState{Meta: Meta{Identity: NodeID(addr), View: view, LogEpoch: 1}}))
 	}
 	return s
 }
 
-func splitMachine(text string) (addr, zone string) {
+func splitAddrZone(text string) (addr, zone string) {
 	for i, r := range text {
 		if r == ':' {
 			return text[:i], text[i+1:]
@@ -106,9 +109,9 @@
 	return text, "zone-" + text
 }
 
-// place puts a machine with a disk there; it is not started yet.
-func (s *simulation) place(addr, zone string, disk Saved) *simNode {
-	n := &simNode{machine: &machine{disk: disk}, addr: addr, zone: zone, sync: simSync}
+// placeNode adds a node with a disk, not started yet.
+func (s *simulation) placeNode(addr, zone string, disk PersistedState) *simNode {
+	n := &simNode{testReplica: &testReplica{disk: disk}, addr: addr, zone: zone, syncTime: simSyncTime}
 	if s.nodes[addr] == nil {
 		s.addrs = append(s.addrs, addr)
 	}
@@ -116,72 +119,75 @@
 	return n
 }
 
-// join starts a machine with an empty disk, also in the place of one that lost its own.
+// join starts a node with an empty disk. At the address of an existing node it simulates a disk
+// loss.
 func (s *simulation) join(addr, zone string) {
-	s.lives++
-	s.start(s.place(addr, zone, Saved{Meta: Meta{Identity: NodeID(fmt.Sprintf("%s/%d", addr, s.lives))}}))
+	s.incarnations++
+	s.start(s.placeNode(addr, zone, PersistedState{Meta: Meta{Identity: NodeID(fmt.Sprintf("%s/%d", addr, s.incarnations))}}))
 }
 
-// start starts a machine's process on what is on its disk.
+// start starts the process of a node from its disk.
 func (s *simulation) start(n *simNode) {
-	s.lives++
-	n.life, n.up, n.frozen, n.waits, n.busy, n.confirms, n.silent = s.lives, true, false, nil, 0, nil, false
-	n.unsynced = nil // a start syncs what it finds
+	s.incarnations++
+	n.incarnation, n.up, n.frozen, n.queued, n.busyUntil, n.onConfirmed, n.halted = s.incarnations, true, false, nil, 0, nil, false
+	n.unsynced = nil // a start syncs what is on disk
 	s.load(n)
-	s.after(s.between(0, tickEvery), func() { s.tick(n, n.life) })
+	s.schedule(s.randomDuration(0, tickInterval), func() { s.tick(n, n.incarnation) })
 }
 
-// load makes a machine's replica of what is on its disk.
+// load creates the replica of a node from its disk.
 func (s *simulation) load(n *simNode) {
-	s.loads++
+	s.replicaLoads++
 	saved := n.disk
 	saved.Entries = slices.Clone(saved.Entries)
 	if saved.State != nil {
 		saved.State = saved.State.Clone()
 	}
 	self := Member{ID: saved.Meta.Identity, Addr: n.addr, Zone: n.zone}
-	options := Options{Self: self, Copies: s.copies, Timing: DefaultTiming(), Limits: s.limits, FirstNonce: uint64(s.loads) << 32}
-	if s.fault == noncesReused {
+	options := Options{Self: self, MinCopies: s.minCopies, Timing: DefaultTiming(), Limits: s.limits, FirstNonce: uint64(s.replicaLoads) << 32}
+	if s.injected == faultReusedNonces {
 		options.FirstNonce = 0
 	}
 	n.replica = New(options, saved)
 	n.replica.SetSeeds(s.seeds())
 }
 
-// seeds are three machines of those that stay, as settings name them.
+// seeds returns the addresses of three nodes that are not retired, as a configuration would list
+// them.
 func (s *simulation) seeds() (addrs []string) {
 	for _, addr := range s.addrs {
-		if len(addrs) < 3 && !s.nodes[addr].departed {
+		if len(addrs) < 3 && !s.nodes[addr].retired {
 			addrs = append(addrs, addr)
 		}
 	}
 	return addrs
 }
 
-// reopen is tried again and again by a process whose disk failed; its connections stay, and so may answers to what it asked before.
-func (s *simulation) reopen(n *simNode, life int) {
-	s.after(reopenEvery, func() {
+// scheduleReopen retries to recreate the replica of a process whose disk failed. Its connections
+// stay open, so replies to earlier requests may still arrive.
+func (s *simulation) scheduleReopen(n *simNode, incarnation int) {
+	s.schedule(reopenInterval, func() {
 		switch {
-		case !n.up || n.life != life:
-		case n.failing || n.frozen:
-			s.reopen(n, life)
+		case !n.up || n.incarnation != incarnation:
+		case n.diskFailing || n.frozen:
+			s.scheduleReopen(n, incarnation)
 		default:
-			n.silent = false
+			n.halted = false
 			s.load(n)
 		}
 	})
 }
 
-func (s *simulation) between(low, high time.Duration) time.Duration {
+func (s *simulation) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-func (s *simulation) after(d time.Duration, do func()) { s.agenda.Book(int64(s.now+d), do) }
+func (s *simulation) schedule(d time.Duration, do func()) { s.agenda.Book(int64(s.now+d), do) }
 
-// run lets time pass.
+// run processes the events of a duration.
 func (s *simulation) run(d time.Duration) {
 	end := s.now + d
-	for s.broken == nil {
+	for s.violation == nil {
 		at, do, due := s.agenda.Next(int64(end))
 		if !due {
 			break
@@ -192,85 +198,88 @@
 	s.now = end
 }
 
-func (s *simulation) tick(n *simNode, life int) {
-	if !n.up || n.life != life {
+func (s *simulation) tick(n *simNode, incarnation int) {
+	if !n.up || n.incarnation != incarnation {
 		return
 	}
-	if !n.frozen && !n.silent {
+	if !n.frozen && !n.halted {
 		s.perform(n, n.replica.Tick(s.now))
 	}
-	s.after(tickEvery, func() { s.tick(n, life) })
+	s.schedule(tickInterval, func() { s.tick(n, incarnation) })
 }
 
-// perform writes a step's records, which takes the disk a while, and sends its messages behind that.
+// perform writes the records of a step, which takes the disk some time, and then sends the
+// messages.
 func (s *simulation) perform(n *simNode, out Output) {
-	if n.silent {
+	if n.halted {
 		return
 	}
-	if n.failing && len(out.Records) > 0 { // some of them may be found there all the same
-		n.write(s.fault, out.Records[:s.random.IntN(len(out.Records)+1)])
-		n.silent = true
-		s.reopen(n, n.life)
+	if n.diskFailing && len(out.Records) > 0 { // some records may reach the disk nevertheless
+		n.write(s.injected, out.Records[:s.random.IntN(len(out.Records)+1)])
+		n.halted = true
+		s.scheduleReopen(n, n.incarnation)
 		return
 	}
 	delay := time.Duration(0)
 	if len(out.Records) > 0 {
-		n.busy = max(n.busy, s.now) + n.sync
-		delay = n.busy - s.now
-		n.unsynced = slices.DeleteFunc(n.unsynced, func(u unsynced) bool { return u.until <= s.now })
-		n.unsynced = append(n.unsynced, unsynced{n.busy, n.disk, out.Records})
-		n.write(s.fault, out.Records)
-	} else if n.busy > s.now {
-		delay = n.busy - s.now
+		n.busyUntil = max(n.busyUntil, s.now) + n.syncTime
+		delay = n.busyUntil - s.now
+		n.unsynced = slices.DeleteFunc(n.unsynced, func(u unsyncedWrite) bool { return u.until <= s.now })
+		n.unsynced = append(n.unsynced, unsyncedWrite{n.busyUntil, n.disk, out.Records})
+		n.write(s.injected, out.Records)
+	} else if n.busyUntil > s.now {
+		delay = n.busyUntil - s.now
 	}
 	for i := range out.Messages {
 		e := out.Messages[i]
-		if e.Message.Piece != nil {
-			s.pieces += len(e.Message.Piece.Bytes)
+		if e.Message.StateChunk != nil {
+			s.chunkBytesSent += len(e.Message.StateChunk.Bytes)
 		}
-		s.send(n, e.To.Addr, s.carry(link{n.addr, e.To.Addr}, delay, &e.Message), func(to *simNode) {
-			if m := e.Message; !to.silent {
+		s.send(n, e.To.Addr, s.sendDelay(link{n.addr, e.To.Addr}, delay, &e.Message), func(to *simNode) {
+			if m := e.Message; !to.halted {
 				s.perform(to, to.replica.Receive(s.now, &m))
 			}
 		})
 	}
-	for _, nonce := range out.Confirmed {
-		s.whenWritten(n, func() { s.confirmed(n, nonce) })
+	for _, nonce := range out.ConfirmedReads {
+		s.afterDiskWrites(n, func() { s.runConfirmed(n, nonce) })
 	}
-	s.whenWritten(n, func() { s.check(n) }) // what a tail commits it has synced
+	s.afterDiskWrites(n, func() { s.checkNode(n) }) // the tail has synced what it commits
 }
 
-// whenWritten does something once a machine's disk has done what it was given, unless its process or its replica goes before.
-func (s *simulation) whenWritten(n *simNode, do func()) {
-	if n.busy <= s.now {
+// afterDiskWrites runs a function once the disk writes of a node are done, unless its process or
+// replica ends first.
+func (s *simulation) afterDiskWrites(n *simNode, do func()) {
+	if n.busyUntil <= s.now {
 		do()
 		return
 	}
-	life, replica := n.life, n.replica
-	s.after(n.busy-s.now, func() {
-		if n.up && n.life == life && n.replica == replica && !n.silent {
-			s.whenWritten(n, do)
+	incarnation, replica := n.incarnation, n.replica
+	s.schedule(n.busyUntil-s.now, func() {
+		if n.up && n.incarnation == incarnation && n.replica == replica && !n.halted {
+			s.afterDiskWrites(n, do)
 		}
 	})
 }
 
-// carry tells when a message has left, on a link that carries so many bytes a second, one message after the other.
-func (s *simulation) carry(l link, delay time.Duration, m *Message) time.Duration {
-	if s.rate == 0 {
+// sendDelay returns the delay after which a message has left, on a link that transmits messages one
+// after the other at bytesPerSecond.
+func (s *simulation) sendDelay(l link, delay time.Duration, m *Message) time.Duration {
+	if s.bytesPerSecond == 0 {
 		return delay
 	}
 	size := 200
 	switch {
-	case m.Piece != nil:
-		size += len(m.Piece.Bytes)
+	case m.StateChunk != nil:
+		size += len(m.StateChunk.Bytes)
 	case m.CatchUp != nil:
 		size += len(m.CatchUp.State) + entryBytes(m.CatchUp.Entries)
 	case m.Append != nil:
 		size += entryBytes(m.Append.Entries)
 	}
-	start := max(s.now+delay, s.loaded[l])
-	s.loaded[l] = start + time.Duration(float64(size)/s.rate*float64(time.Second))
-	return s.loaded[l] - s.now
+	start := max(s.now+delay, s.linkBusyUntil[l])
+	s.linkBusyUntil[l] = start + time.Duration(float64(size)/s.bytesPerSecond*float64(time.Second))
+	return s.linkBusyUntil[l] - s.now
 }
 
 func entryBytes(entries []Entry) (n int) {
@@ -280,57 +289,57 @@
 	return n
 }
 
-// send has something done at another machine, unless the way to it is cut or it is down then, or the sender is before the message has
-// left. A frozen one does it when it wakes.
+// send runs a function at another node after the link delay, unless the link is cut, the node is
+// down, or the sender ended before the message had left. A frozen node runs it when it resumes.
 func (s *simulation) send(from *simNode, to string, delay time.Duration, do func(to *simNode)) {
-	life, onTheWay := from.life, s.between(simLinkLow, simLinkHigh)
+	incarnation, onTheWay := from.incarnation, s.randomDuration(simLinkMinDelay, simLinkMaxDelay)
 	leave := func() {
-		if from.up && from.life == life {
-			s.after(onTheWay, func() { s.arrive(from, to, do) })
+		if from.up && from.incarnation == incarnation {
+			s.schedule(onTheWay, func() { s.arrive(from, to, do) })
 		}
 	}
 	if delay == 0 {
 		leave()
 		return
 	}
-	s.after(delay, leave)
+	s.schedule(delay, leave)
 }
 
-// arrive has what was sent over a link done at its other end.
+// arrive delivers a message at the receiving end of a link.
 func (s *simulation) arrive(from *simNode, to string, do func(to *simNode)) {
 	n := s.nodes[to]
 	if n == nil || !n.up {
 		return
 	}
-	life := n.life
+	incarnation := n.incarnation
 	doIt := func() {
-		if n.up && n.life == life {
+		if n.up && n.incarnation == incarnation {
 			do(n)
 		}
 	}
 	switch {
-	case s.cut[link{from.addr, n.addr}] && s.hold:
-		s.held = append(s.held, doIt)
-	case s.cut[link{from.addr, n.addr}]:
+	case s.cutLinks[link{from.addr, n.addr}] && s.holdMessages:
+		s.heldMessages = append(s.heldMessages, doIt)
+	case s.cutLinks[link{from.addr, n.addr}]:
 	case n.frozen:
-		n.waits = append(n.waits, doIt)
+		n.queued = append(n.queued, doIt)
 	default:
 		doIt()
 	}
 }
 
-// head is the machine that takes writes and knows that a majority follows it, nil if none does.
+// head returns a node that takes writes and is confirmed by a majority, or nil.
 func (s *simulation) head() *simNode {
 	for _, addr := range s.addrs {
 		n := s.nodes[addr]
-		if v := n.replica.View(); n.up && !n.frozen && !n.silent && v.Head() == n.replica.Self().ID && n.replica.Current(s.now) && n.replica.Serving() {
+		if v := n.replica.View(); n.up && !n.frozen && !n.halted && v.Head() == n.replica.Self().ID && n.replica.HasQuorum(s.now) && n.replica.Serving() {
 			return n
 		}
 	}
 	return nil
 }
 
-// epoch is the newest view's that anybody knows.
+// epoch returns the epoch of the newest view known to any node.
 func (s *simulation) epoch() (epoch uint64) {
 	for _, n := range s.nodes {
 		epoch = max(epoch, n.replica.View().Epoch)
@@ -338,7 +347,7 @@
 	return epoch
 }
 
-func (s *simulation) show(t *testing.T) {
+func (s *simulation) logNodes(t *testing.T) {
 	t.Helper()
 	for _, addr := range s.addrs {
 		n := s.nodes[addr]
@@ -350,15 +359,15 @@
 			return ids
 		}
 		t.Logf("  %s up=%v frozen=%v epoch %d acceptors %v learners %v chain %v seq %d current %v sealed %v", n.replica.Self().ID, n.up, n.frozen, v.Epoch,
-			ids(v.Acceptors), ids(v.Learners), v.Chain, n.replica.State().Seq, n.replica.Current(s.now), n.replica.sealed())
+			ids(v.Acceptors), ids(v.Learners), v.Chain, n.replica.State().Seq, n.replica.HasQuorum(s.now), n.replica.isSealed())
 	}
 }
 
-// writable has an operation taken that changes something, asked for at all machines at once until one takes it, and tells how long that
-// took; false if nobody did.
-func (s *simulation) writable(limit time.Duration) (time.Duration, bool) {
+// waitWritable submits a write through all nodes at once, repeatedly, until one is committed. It
+// returns how long that took, and false if none was within the limit.
+func (s *simulation) waitWritable(limit time.Duration) (time.Duration, bool) {
 	began := s.now
-	for s.now-began < limit && s.broken == nil {
+	for s.now-began < limit && s.violation == nil {
 		var calls []*call
 		for _, addr := range s.addrs {
 			if n := s.nodes[addr]; n.up && !n.frozen {
@@ -367,7 +376,7 @@
 		}
 		for range 20 {
 			s.run(10 * time.Millisecond)
-			if slices.ContainsFunc(calls, func(c *call) bool { return c.outcome == outcomeTaken }) {
+			if slices.ContainsFunc(calls, func(c *call) bool { return c.outcome == outcomeCommitted }) {
 				return s.now - began, true
 			}
 		}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -205,7 +205,7 @@
 	c.store.Close() // every later write fails
 	waiter := make(chan struct{})
 	c.confirmationWaiters[77] = waiter
-	c.applyOutput(chain.Output{Records: []chain.Record{{Meta: &chain.Meta{Identity: "x"}}}, Confirmed: []uint64{77}})
+	c.applyOutput(chain.Output{Records: []chain.Record{{Meta: &chain.Meta{Identity: "x"}}}, ConfirmedReads: []uint64{77}})
 	select {
 	case <-waiter:
 		t.Fatal("read was confirmed although the write failed")
@@ -254,7 +254,7 @@
 	c.store.Close() // every later write fails
 	_, out, err := c.replica.Propose(c.sinceStart(), &replicated.Operation{Kind: replicated.KindVersion, Model: "m", Version: 2})
 	require.NoError(t, err)
-	require.True(t, out.Committed, "a core of one machine commits at once")
+	require.True(t, out.StateChanged, "a core of one machine commits at once")
 	c.applyOutput(out)
 	for range 2 {
 		published := c.published.Load()
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -117,7 +117,7 @@
 		for tail.published.Load().view.Epoch == epoch {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(chain.DefaultTiming().Heartbeat / 3)
+		time.Sleep(chain.DefaultTiming().HeartbeatInterval / 3)
 		synctest.Wait()
 		require.True(t, tail.published.Load().current)
 	})
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -112,7 +112,7 @@
 	}
 	c.propagation.recordProgress(c.sinceStart(), minReceived, minApplied)
 	if c.replica.SetApplied(minApplied) && c.diskFailedAt.IsZero() {
-		c.applyOutput(c.replica.Beat(c.sinceStart()))
+		c.applyOutput(c.replica.SendHeartbeat(c.sinceStart()))
 	}
 }
 
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -36,7 +36,7 @@
 }
 
 // loadStore loads the contents of a store.
-func loadStore(t *testing.T, s *Store) chain.Saved {
+func loadStore(t *testing.T, s *Store) chain.PersistedState {
 	t.Helper()
 	saved, err := s.Load()
 	require.NoError(t, err)
--- a/internal/tally/compact.go
+++ b/internal/tally/compact.go
@@ -2,81 +2,87 @@
 
 import "strings"
 
-// stored is an add in few bytes.
-type stored struct {
-	number uint64 // of the id's key
-	by     int64
-	tally  uint32
-	other  bool
+// compactAdd is the in-memory form of an add, with the id and the tally's name replaced by numbers.
+type compactAdd struct {
+	idNumber   uint64 // idKey.number
+	amount     int64
+	tallyIndex uint32
+	idInterned bool // idKey.interned
 }
 
-func (s *stored) id() idKey { return idKey{s.number, s.other} }
+func (c *compactAdd) id() idKey { return idKey{c.idNumber, c.idInterned} }
 
-// chunkAdds is how many adds are kept in one piece, so that none is copied as an origin's grow.
-const chunkAdds = 1024
+// addsPerChunk is the number of adds per chunk. Chunks are never reallocated, so appending to an
+// origin doesn't copy its earlier adds.
+const addsPerChunk = 1024
 
-// sequence is the adds of one origin.
-type sequence struct {
-	index  uint32
-	size   uint64
-	chunks [][]stored
+// originAdds stores the adds of one origin in the order of their sequence numbers.
+type originAdds struct {
+	originIndex uint32 // index in Set.origins
+	count       uint64
+	chunks      [][]compactAdd
 }
 
-func (q *sequence) append(add stored) {
-	last := len(q.chunks) - 1
-	if last < 0 || len(q.chunks[last]) == chunkAdds {
-		q.chunks = append(q.chunks, nil)
+func (a *originAdds) append(add compactAdd) {
+	last := len(a.chunks) - 1
+	if last < 0 || len(a.chunks[last]) == addsPerChunk {
+		a.chunks = append(a.chunks, nil)
 		last++
 	}
-	q.chunks[last] = append(q.chunks[last], add)
-	q.size++
+	a.chunks[last] = append(a.chunks[last], add)
+	a.count++
 }
 
-func (q *sequence) at(index uint64) stored { return q.chunks[index/chunkAdds][index%chunkAdds] }
+// at returns the add with sequence number index+1.
+func (a *originAdds) at(index uint64) compactAdd {
+	return a.chunks[index/addsPerChunk][index%addsPerChunk]
+}
 
-// names gives texts indexes.
-type names struct {
+// stringTable interns strings: it assigns each distinct string an index.
+type stringTable struct {
 	indexes map[string]uint32
-	list    []string
+	values  []string
 }
 
-func newNames() names { return names{indexes: map[string]uint32{}} }
+func newStringTable() stringTable { return stringTable{indexes: map[string]uint32{}} }
 
-func (n *names) intern(name string) uint32 {
-	index, known := n.indexes[name]
+// intern returns the index of a string and assigns one if it is new.
+func (t *stringTable) intern(value string) uint32 {
+	index, known := t.indexes[value]
 	if !known {
-		index = uint32(len(n.list))
-		n.list = append(n.list, name)
-		n.indexes[name] = index
+		index = uint32(len(t.values))
+		t.values = append(t.values, value)
+		t.indexes[value] = index
 	}
 	return index
 }
 
-// idKey stands for an id: the number that 16 hex digits spell, or the index of another text.
+// idKey represents an id: the value of an id of 16 lower-case hex digits, or the index of any other id
+// in the string table.
 type idKey struct {
-	number uint64
-	other  bool
+	number   uint64 // the value of the hex digits, or the index in the string table
+	interned bool   // number is an index in the string table
 }
 
-// idDigits is the length of the ids that are kept as numbers.
-const idDigits = 16
+// hexIDDigits is the length, in hex digits, of the ids that are stored as numbers.
+const hexIDDigits = 16
 
 const hexDigits = "0123456789abcdef"
 
-// ids keeps where the add that counts for an id is.
-type ids struct {
-	numbers   map[uint64]position
-	others    names
-	positions map[uint32]position // of others, by index
+// idIndex maps each id to the location of the add that counts for it.
+type idIndex struct {
+	byNumber map[uint64]location
+	texts    stringTable
+	byText   map[uint32]location // of the ids in texts, by index
 }
 
-func newIDs() ids {
-	return ids{numbers: map[uint64]position{}, others: newNames(), positions: map[uint32]position{}}
+func newIDIndex() idIndex {
+	return idIndex{byNumber: map[uint64]location{}, texts: newStringTable(), byText: map[uint32]location{}}
 }
 
-// spelt gives the number that an id spells in lower-case hex digits, all 16 of them.
-func spelt(id string) (number uint64, is bool) {
-	if len(id) != idDigits {
+// parseHexID returns the value of an id of exactly 16 lower-case hex digits; ok is false for other ids.
+func parseHexID(id string) (number uint64, ok bool) {
+	if len(id) != hexIDDigits {
 		return 0, false
 	}
 	for _, digit := range []byte(id) {
@@ -89,53 +95,56 @@
 	return number, true
 }
 
-func spell(number uint64) string {
-	var digits [idDigits]byte
+// formatHexID is the inverse of parseHexID.
+func formatHexID(number uint64) string {
+	var digits [hexIDDigits]byte
 	for i := range digits {
-		digits[idDigits-1-i] = hexDigits[number&0xf]
+		digits[hexIDDigits-1-i] = hexDigits[number&0xf]
 		number >>= 4
 	}
 	return string(digits[:])
 }
 
-// intern gives an id's key, and makes one.
-func (s *ids) intern(id string) idKey {
-	if number, is := spelt(id); is {
+// intern returns the key of an id and creates one if it is new.
+func (x *idIndex) intern(id string) idKey {
+	if number, ok := parseHexID(id); ok {
 		return idKey{number: number}
 	}
-	return idKey{uint64(s.others.intern(id)), true}
+	return idKey{uint64(x.texts.intern(id)), true}
 }
 
-// find gives an id's key, if it has one.
-func (s *ids) find(id string) (idKey, bool) {
-	if number, is := spelt(id); is {
+// find returns the key of an id and reports whether it has one, without creating it.
+func (x *idIndex) find(id string) (idKey, bool) {
+	if number, ok := parseHexID(id); ok {
 		return idKey{number: number}, true
 	}
-	index, known := s.others.indexes[id]
+	index, known := x.texts.indexes[id]
 	return idKey{uint64(index), true}, known
 }
 
-// text gives the id of a key.
-func (s *ids) text(key idKey) string {
-	if key.other {
-		return s.others.list[key.number]
+// text returns the id that a key represents.
+func (x *idIndex) text(key idKey) string {
+	if key.interned {
+		return x.texts.values[key.number]
 	}
-	return spell(key.number)
+	return formatHexID(key.number)
 }
 
-func (s *ids) position(key idKey) (at position, there bool) {
-	if key.other {
-		at, there = s.positions[uint32(key.number)]
+// location returns where the add that counts for an id is stored.
+func (x *idIndex) location(key idKey) (at location, found bool) {
+	if key.interned {
+		at, found = x.byText[uint32(key.number)]
 	} else {
-		at, there = s.numbers[key.number]
+		at, found = x.byNumber[key.number]
 	}
-	return at, there
+	return at, found
 }
 
-func (s *ids) set(key idKey, at position) {
-	if key.other {
-		s.positions[uint32(key.number)] = at
+// set records the location of the add that counts for an id.
+func (x *idIndex) set(key idKey, at location) {
+	if key.interned {
+		x.byText[uint32(key.number)] = at
 	} else {
-		s.numbers[key.number] = at
+		x.byNumber[key.number] = at
 	}
 }
--- a/internal/tally/explore_test.go
+++ b/internal/tally/explore_test.go
@@ -8,91 +8,147 @@
 	"nettlefold/internal/simtest"
 )
 
-// history is a core as the search knows it: the events that led to it, played anew for each look.
-type history struct {
-	make   func() *core
-	past   []event
-	core   *core
-	events []event
+// searchState adapts a cluster to simtest.World. As a cluster can't be copied, each successor is built by
+// replaying the events that lead to it.
+type searchState struct {
+	newCluster func() *cluster
+	past       []event
+	cluster    *cluster
+	events     []event
 }
 
-func start(make func() *core) *history {
-	c := make()
-	return &history{make: make, core: c, events: c.events()}
+func newSearchState(create func() *cluster) *searchState {
+	c := create()
+	return &searchState{newCluster: create, cluster: c, events: c.possibleEvents()}
 }
 
-func (h *history) Choices() int           { return len(h.events) }
-func (h *history) Name(choice int) string { return h.events[choice].String() }
-func (h *history) Fingerprint() string    { return h.core.fingerprint() }
-func (h *history) Check() error           { return h.core.check() }
+func (s *searchState) Choices() int           { return len(s.events) }
+func (s *searchState) Name(choice int) string { return s.events[choice].String() }
+func (s *searchState) Fingerprint() string    { return s.cluster.fingerprint() }
+func (s *searchState) Check() error           { return s.cluster.check() }
 
-func (h *history) Next(choice int) simtest.World {
-	past := append(append([]event{}, h.past...), h.events[choice])
-	c := h.make()
+func (s *searchState) Next(choice int) simtest.World {
+	past := append(append([]event{}, s.past...), s.events[choice])
+	c := s.newCluster()
 	for _, e := range past {
 		c.apply(e)
 	}
-	return &history{make: h.make, past: past, core: c, events: c.events()}
+	return &searchState{newCluster: s.newCluster, past: past, cluster: c, events: c.possibleEvents()}
 }
 
-// mostStates bounds a search; the shortest histories are seen first.
-const mostStates = 60_000
+// maxStates bounds a search. It is breadth-first, so the shortest histories are covered.
+const maxStates = 60_000
 
 var (
-	addA      = Add{ID: "a", Tally: "t", By: 1}
-	addB      = Add{ID: "b", Tally: "t", By: 2}
-	sameTwice = []call{{0, addA}, {1, addA}}
-	twoAdds   = []call{{0, addA}, {0, addB}}
+	addA              = Add{ID: "a", Tally: "t", Amount: 1}
+	addB              = Add{ID: "b", Tally: "t", Amount: 2}
+	sameAddAtTwoNodes = []call{{0, addA}, {1, addA}}
+	twoAdds           = []call{{0, addA}, {0, addB}}
 )
 
-// orders is a search: what was answered before it, and what may happen in it.
-type orders struct {
-	machines int
-	fault    fault
-	before   []call
-	calls    []call
-	allowed  limits
+// searchCase is a search over all event orders: its calls and limits, and the calls that are completed
+// before it.
+type searchCase struct {
+	nodes   int
+	fault   fault
+	before  []call // completed before the search
+	calls   []call
+	allowed limits
 }
 
-func (o orders) search() simtest.Result {
-	return simtest.Search(start(func() *core {
-		return newCore(o.machines, 1, o.fault, o.allowed, o.calls...).settled(o.before...)
-	}), mostStates)
+func (s searchCase) search() simtest.Result {
+	return simtest.Search(newSearchState(func() *cluster {
+		return newCluster(s.nodes, 1, s.fault, s.allowed, s.calls...).converge(s.before...)
+	}), maxStates)
 }
 
-func TestAllOrders(t *testing.T) {
-	const both = 3 // of the calls
-	answered := []call{{0, addB}}
-	for name, o := range map[string]orders{
-		"two, one id twice":                {machines: 2, calls: sameTwice, allowed: limits{adds: both}},
-		"two, one id twice, messages lost": {machines: 2, calls: sameTwice, allowed: limits{adds: both, lostMessages: 1, ticks: 1}},
-		"two, power":                       {machines: 2, calls: twoAdds, allowed: limits{adds: both, powerCuts: 1, ticks: 1}},
-		"two, power twice":                 {machines: 2, calls: twoAdds[:1], allowed: limits{adds: 1, powerCuts: 2}},
-		"two, messages twice":              {machines: 2, calls: sameTwice, allowed: limits{adds: both, twice: 1}},
-		"two, a disk lost":                 {machines: 2, before: answered, calls: sameTwice[:1], allowed: limits{adds: 1, lostDisks: 1, ticks: 2}},
-		"two, a disk lost, power":          {machines: 2, before: answered, calls: sameTwice[:1], allowed: limits{adds: 1, lostDisks: 1, powerCuts: 1}},
-		"two, a disk lost and a message":   {machines: 2, before: answered, allowed: limits{lostDisks: 1, lostMessages: 1, ticks: 3}},
-		"three, one id twice":              {machines: 3, calls: sameTwice, allowed: limits{adds: both}},
-		"three, a message lost":            {machines: 3, calls: sameTwice[:1], allowed: limits{adds: 1, lostMessages: 1, ticks: 1}},
-		"three, power":                     {machines: 3, calls: sameTwice[:1], allowed: limits{adds: 1, powerCuts: 1}},
-		"three, a disk lost":               {machines: 3, before: answered, calls: sameTwice[:1], allowed: limits{adds: 1, lostDisks: 1}},
-		"three, a disk lost, power, a cut": {machines: 3, before: answered, allowed: limits{lostDisks: 1, powerCuts: 1, lostMessages: 1, ticks: 3}},
+// TestExhaustiveEventOrders checks the invariants over all orders of a few calls, faults and
+// messages, up to maxStates states.
+func TestExhaustiveEventOrders(t *testing.T) {
+	const bothCalls = 3 // call mask
+	completed := []call{{0, addB}}
+	for name, test := range map[string]searchCase{
+		"two nodes, same id twice": {
+			nodes: 2, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls},
+		},
+		"two nodes, same id twice, connection loss": {
+			nodes: 2, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls, connectionLosses: 1, ticks: 1},
+		},
+		"two nodes, power loss": {
+			nodes: 2, calls: twoAdds,
+			allowed: limits{callMask: bothCalls, powerLosses: 1, ticks: 1},
+		},
+		"two nodes, two power losses": {
+			nodes: 2, calls: twoAdds[:1],
+			allowed: limits{callMask: 1, powerLosses: 2},
+		},
+		"two nodes, duplicate message": {
+			nodes: 2, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls, duplicates: 1},
+		},
+		"two nodes, disk loss": {
+			nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, diskLosses: 1, ticks: 2},
+		},
+		"two nodes, disk loss, power loss": {
+			nodes: 2, before: completed, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, diskLosses: 1, powerLosses: 1},
+		},
+		"two nodes, disk loss, connection loss": {
+			nodes: 2, before: completed,
+			allowed: limits{diskLosses: 1, connectionLosses: 1, ticks: 3},
+		},
+		"three nodes, same id twice": {
+			nodes: 3, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls},
+		},
+		"three nodes, connection loss": {
+			nodes: 3, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, connectionLosses: 1, ticks: 1},
+		},
+		"three nodes, power loss": {
+			nodes: 3, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, powerLosses: 1},
+		},
+		"three nodes, disk loss": {
+			nodes: 3, before: completed, calls: sameAddAtTwoNodes[:1],
+			allowed: limits{callMask: 1, diskLosses: 1},
+		},
+		"three nodes, disk loss, power loss, connection loss": {
+			nodes: 3, before: completed,
+			allowed: limits{diskLosses: 1, powerLosses: 1, connectionLosses: 1, ticks: 3},
+		},
 	} {
-		result := o.search()
+		result := test.search()
 		require.NoError(t, result.Broken, "%s: %s", name, result)
 		t.Logf("%s: %s", name, result)
 	}
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
-	const both = 3 // of the calls
-	for name, o := range map[string]orders{
-		"acknowledged before the sync": {machines: 2, fault: acknowledgedUnsynced, calls: twoAdds, allowed: limits{adds: both, ticks: 1, powerCuts: 1}},
-		"merged by sum":                {machines: 2, fault: mergedBySum, calls: sameTwice, allowed: limits{adds: both}},
-		"reads while empty":            {machines: 2, fault: readWhileEmpty, before: twoAdds, allowed: limits{ticks: 2, lostDisks: 1}},
-		"a dot used again":             {machines: 2, fault: dotUsedAgain, calls: twoAdds, allowed: limits{adds: both, powerCuts: 1}},
+// TestSearchDetectsInjectedFaults checks that the search finds each injected fault.
+func TestSearchDetectsInjectedFaults(t *testing.T) {
+	const bothCalls = 3 // call mask
+	for name, test := range map[string]searchCase{
+		"acknowledgement before sync": {
+			nodes: 2, fault: ackBeforeSync, calls: twoAdds,
+			allowed: limits{callMask: bothCalls, ticks: 1, powerLosses: 1},
+		},
+		"id counted per origin": {
+			nodes: 2, fault: countPerOrigin, calls: sameAddAtTwoNodes,
+			allowed: limits{callMask: bothCalls},
+		},
+		"ready with empty disk": {
+			nodes: 2, fault: readyWithEmptyDisk, before: twoAdds,
+			allowed: limits{ticks: 2, diskLosses: 1},
+		},
+		"dot reused": {
+			nodes: 2, fault: reuseDots, calls: twoAdds,
+			allowed: limits{callMask: bothCalls, powerLosses: 1},
+		},
 	} {
-		result := o.search()
+		result := test.search()
 		require.Error(t, result.Broken, "%s: %s", name, result)
 		t.Logf("%s: %s", name, result)
 	}
