--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -24,13 +24,13 @@
 	lock, wire := routerTime.At(Parts), wireTime.At(Parts)
 	left := Answer - endMargin - lock - wire
 	return []Latency{
-		{"kept at the end, so that an answer arrives in time", endMargin, "`mixer`, endMargin"},
+		{"kept at the end, so that an answer arrives in time", endMargin, "`mixer`, deadlineMargin"},
 		{"the module's lock for all of a query, 4 holders a part", lock, "query: in the router"},
 		{"reading and writing of requests and frames", wire, "query: reading and writing all of it"},
 		{"wait for the lock behind other queries, were each held in one piece",
 			lock / 2 * LockHeld(lock) / (1 - LockHeld(lock)), "arithmetic (M/D/1)"},
 		{"left for networks, sockets and the slowest of 88 searchers", left, "arithmetic"},
-		{"predicted time of the slowest part beyond which a query is turned away", room * (Answer - endMargin), "`mixer`, room"},
+		{"predicted time of the slowest part beyond which a query is turned away", room * (Answer - endMargin), "`mixer`, admissionShare"},
 	}
 }
 
