--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -10,10 +10,11 @@
 	// attemptCheckInterval is the interval at which attempts are checked for missing progress.
 	attemptCheckInterval = 200 * time.Millisecond
 	// removedBackendTimeout is how long an attempt may make no progress once its backend has been
-	// removed from the list. A backend that drains before its removal still sends data.
+	// removed from the list. A backend that is only draining still sends data, so missing progress
+	// means that it is gone.
 	removedBackendTimeout = time.Second
-	// stalledStreamTimeout is how long a retryable attempt may make no progress at a backend that
-	// sends nothing to any request, before another backend is tried.
+	// stalledStreamTimeout is how long a retryable attempt may make no progress before another backend is
+	// tried, if its backend is stalled (see dispatch.Table.Stalled).
 	stalledStreamTimeout = 1500 * time.Millisecond
 )
 
@@ -48,8 +49,10 @@
 	r.mu.Unlock()
 }
 
-// overdue returns the attempts without progress for too long and the reason to give up on each.
-// stalled reports whether the backend of an attempt is silent to all its requests.
+// overdue returns the attempts that have made no progress for too long at a removed or stalled backend,
+// and the reason to give up on each. stalled reports whether the backend of an attempt is stalled,
+// as dispatch.Table.Stalled does.
+// Removed backends are forgotten after a minute, long after removedBackendTimeout.
 func (r *attemptRegistry) overdue(now time.Duration, stalled func(a *attempt) bool) (overdue map[*attempt]endReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,12 +63,12 @@
 		}
 	}
 	for a := range r.active {
-		silence := now - time.Duration(a.lastProgress.Load())
+		sinceProgress := now - time.Duration(a.lastProgress.Load())
 		_, removed := r.removedAt[a.choice.ID]
 		switch {
-		case removed && silence > removedBackendTimeout:
+		case removed && sinceProgress > removedBackendTimeout:
 			overdue[a] = endReasonBackendRemoved
-		case a.retryable && silence > stalledStreamTimeout && stalled(a):
+		case a.retryable && sinceProgress > stalledStreamTimeout && stalled(a):
 			overdue[a] = endReasonBackendStalled
 		}
 	}
@@ -126,8 +129,8 @@
 	}
 }
 
-// armFirstByteTimer schedules the cancellation of an attempt for when its model version is too old
-// to start a response on. Call it from commandLoop.
+// armFirstByteTimer schedules the cancellation of an attempt for the time from which its model
+// version is too old for a response to start. Call it from commandLoop.
 func (p *Proxy) armFirstByteTimer(now time.Duration, a *attempt) {
 	if deadline := p.dispatchTable.FirstByteDeadline(a.choice); deadline != 0 {
 		a.firstByteTimer.set(deadline-now, p.afterFunc, func() { a.cancelIfPending(endReasonFirstByteDeadline) })
@@ -162,14 +165,14 @@
 // overdueAttempts holds the attempts to give up on and the reason for each.
 type overdueAttempts struct {
 	toCancel   map[*attempt]endReason // response not started: to be cancelled
-	toTakeOver map[*attempt]endReason // response started: another backend is to resume the stream
+	toTakeOver map[*attempt]endReason // response started: to be resumed elsewhere if resumable
 }
 
-// handleOverdue deals with the attempts that are overdue at a time. An attempt whose response has
-// started is never cancelled because its backend is silent: an engine that runs out of memory stops
-// streams for seconds and then continues them. If the stream is resumable, another backend is tried
-// in parallel. An attempt whose response has not started is cancelled if its backend was removed or
-// if another backend would admit the request.
+// handleOverdue deals with the attempts that are overdue at a time. Missing progress is no reason to
+// cancel an attempt whose response has started: an engine that runs out of memory stops streams for
+// seconds and then continues them. If the stream is resumable, another backend is tried in parallel.
+// An attempt whose response has not started is cancelled if its backend was removed or if another
+// backend would admit the request.
 func (p *Proxy) handleOverdue(now time.Duration) { p.resolveOverdue(p.findOverdue(now)) }
 
 // findOverdue returns the attempts that are overdue at a time.
--- a/internal/proxy/end_reason.go
+++ b/internal/proxy/end_reason.go
@@ -93,7 +93,10 @@
 }
 
 // logAborted completes the log line of an aborted response with the times that applied to its
-// request, in ms. left_ms is the time left to the deadline, negative if it has passed.
+// request, in ms. left_ms is the time left to the deadline, negative if it has passed; deadline_ms is the
+// client's deadline header as received. config_taken is the version of the configuration that serves
+// the request, config_now the current one. stopping is set during a shutdown. The message "answer cut"
+// means that the response was aborted.
 func (p *Proxy) logAborted(event *zerolog.Event, q *request, reason endReason) {
 	now := time.Now()
 	var currentVersion int64
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -24,14 +24,17 @@
 	ctx            context.Context // of this attempt alone; its cause may be an endReason
 	cancel         context.CancelCauseFunc
 	request        *request
-	triedBackends  []string     // IDs of the backends tried so far, this one included
-	sendCount      int          // attempts that count against max_attempts, this one included
-	retryable      bool         // the request may be sent to another backend
-	state          atomic.Int32 // a responseState
-	lastProgress   atomic.Int64 // time of the last received bytes, a time.Duration on the clock of the proxy
-	firstBytes     []byte       // first bytes of the response body, until they are relayed
-	firstErr       error        // error of the read that returned firstBytes
-	takeover       atomic.Pointer[streamTakeover]
+	triedBackends  []string // IDs of the backends tried so far, this one included
+	// sendCount counts the attempts that count against max_attempts, this one included. forward counts
+	// all attempts but those whose request was not sent, resumeStream all but those known not to
+	// have been executed.
+	sendCount    int
+	retryable    bool         // the request may be sent to another backend
+	state        atomic.Int32 // a responseState
+	lastProgress atomic.Int64 // time of the last received bytes, a time.Duration on the clock of the proxy
+	firstBytes   []byte       // first bytes of the response body, until they are relayed
+	firstErr     error        // error of the read that returned firstBytes
+	takeover     atomic.Pointer[streamTakeover]
 }
 
 // notExecuted reports whether the backend is known not to have executed the request.
@@ -50,11 +53,11 @@
 	defer cancel()
 	p.execute(func() { p.dispatchTable.RecordRequest(p.now(), q.service) })
 	var tried []string
-	sendCount, mayHaveRun := 0, false
+	sendCount, mayHaveExecuted := 0, false
 	for {
 		choice := p.pickBackend(q, tried)
 		if choice == nil {
-			p.refuseUnserved(q, mayHaveRun, "no backend may take the request now")
+			p.refuseUnserved(q, mayHaveExecuted, "no backend may take the request now")
 			return
 		}
 		if choice.RetryAfterMS > 0 {
@@ -75,24 +78,24 @@
 		}
 		a.release()
 		if !a.notExecuted() {
-			mayHaveRun = true
+			mayHaveExecuted = true
 		}
 		if a.err == nil || !a.notExecuted() {
 			sendCount++
 		}
 		if ctx.Err() != nil {
-			p.refuseUnserved(q, mayHaveRun, "its time is up")
+			p.refuseUnserved(q, mayHaveExecuted, "its time is up")
 			return
 		}
-		if mayHaveRun && !q.route.Repeatable() || sendCount >= max(1, q.route.MaxAttempts) || len(tried) > maxTriedBackends || !p.takeRetry(q, sendCount) {
-			p.refuseUnserved(q, mayHaveRun, "it was not served")
+		if mayHaveExecuted && !q.route.Repeatable() || sendCount >= max(1, q.route.MaxAttempts) || len(tried) > maxFailovers || !p.takeRetry(q, sendCount) {
+			p.refuseUnserved(q, mayHaveExecuted, "it was not served")
 			return
 		}
 	}
 }
 
-// maxTriedBackends bounds the additional backends tried for a request, unreachable ones included.
-const maxTriedBackends = 4
+// maxFailovers bounds the backends tried for a request after the first one, unreachable ones included.
+const maxFailovers = 4
 
 // pickBackend picks a backend other than the tried ones. It returns nil if none may take the request.
 func (p *Proxy) pickBackend(q *request, tried []string) (choice *dispatch.Choice) {
@@ -126,7 +129,7 @@
 	header := q.backendHeader.Clone()
 	header.Set(headerExpectedInstance, c.ID)
 	if c.Version != 0 {
-		header.Set(headerExpectVersion, strconv.FormatInt(c.Version, 10))
+		header.Set(headerExpectedVersion, strconv.FormatInt(c.Version, 10))
 		header.Set(headerCacheSalt, c.Salt)
 		header.Set(headerPriority, strconv.Itoa(c.EnginePriority))
 	}
@@ -145,7 +148,9 @@
 		retryable: q.route.Repeatable() && sendCount < max(1, q.route.MaxAttempts),
 	}
 	a.lastProgress.Store(int64(p.now()))
-	p.execute(func() { // in one step, or the attempt would miss a version change in between
+	p.execute(func() {
+		// In one command, so that the attempt misses no version change between its registration and the
+		// arming of its timer.
 		p.attempts.add(a)
 		p.armFirstByteTimer(p.now(), a)
 	})
@@ -198,16 +203,19 @@
 // errAttemptCancelled means that a response started after its attempt had been cancelled.
 var errAttemptCancelled = errors.New("response started after the attempt was cancelled")
 
-// errNoSeal means that a successful response does not come from a genuine backend.
+// errNoSeal means that a successful response was not produced by a backend, which would have set the
+// X-Response-Seal header, but by something else at its address.
 var errNoSeal = errors.New("successful response lacks the X-Response-Seal header")
 
-// lacksSeal reports whether a successful response has no seal, which every backend sets.
+// lacksSeal reports whether a response is successful but has no X-Response-Seal header, which every
+// backend sets.
 func lacksSeal(r *upstream.Response) bool {
 	return r.StatusCode >= 200 && r.StatusCode < 300 && r.Header.Get(headerResponseSeal) == ""
 }
 
-// connectionLimit returns the share of this mixer in the connections that each backend of a service
-// accepts from all mixers together.
+// connectionLimit returns the maximum number of connections from this mixer to a backend: an equal
+// share of usableFraction of the connections that each backend of the service accepts from all mixers
+// together, or defaultLimit if the service sets no limit.
 func (p *Proxy) connectionLimit(service string) int {
 	const defaultLimit, usableFraction = 64, 0.9
 	table := p.config.Load()
@@ -241,14 +249,14 @@
 	return min(maxRetryAfterSeconds, retryAfterTargetFraction*q.route.TargetLatencyMS/1000)
 }
 
-// refuseUnserved answers a request that no backend has served. If it was not executed, the status
-// says so and names a time for the retry.
-func (p *Proxy) refuseUnserved(q *request, mayHaveRun bool, reason string) {
+// refuseUnserved answers a request that no backend has served. If it was not executed, the answer
+// is status 503 with a Retry-After header.
+func (p *Proxy) refuseUnserved(q *request, mayHaveExecuted bool, reason string) {
 	p.counters.unserved.Add(1)
 	switch {
 	case q.Context().Err() != nil:
 		panic(http.ErrAbortHandler) // the client has disconnected
-	case !mayHaveRun:
+	case !mayHaveExecuted:
 		refuse(q.writer, http.StatusServiceUnavailable, q.retryAfterSeconds(), reason)
 	case time.Now().After(q.effectiveDeadline):
 		refuse(q.writer, http.StatusGatewayTimeout, 0, reason)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -13,7 +13,7 @@
 	inFlight atomic.Int64  // those of them that are running now
 	attempts atomic.Uint64 // requests sent to backends
 	deferred atomic.Uint64 // requests refused with a retry time because too many wait
-	unserved atomic.Uint64 // requests that the proxy answered itself after it looked for a backend
+	unserved atomic.Uint64 // requests that ended without a backend's response, other than deferred ones
 	resumed  atomic.Uint64 // streams resumed at another backend
 	aborted  atomic.Uint64 // responses that started and could not be completed
 }
@@ -36,6 +36,7 @@
 		set.Add("proxy_config_version", float64(table.Version))
 	}
 	p.execute(func() {
+		// proxy_index_wanted counts the backends that need a full prefix cache snapshot.
 		set.Add("proxy_applied_seq", float64(p.applied.SnapshotSeq))
 		set.Add("proxy_backends", float64(p.dispatchTable.BackendCount()))
 		set.Add("proxy_backends_avoided", float64(p.dispatchTable.AvoidedCount(p.now())))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,7 @@
 // Package proxy implements the data plane of a front machine. It accepts client requests, picks a
 // backend for each through the dispatch table, forwards the request and streams the response back.
-// Configuration, backend list and state in force come from the agent on the same machine.
+// The configuration, the backend list, the evacuated zones and the wanted model versions come from the
+// agent on the same machine. Each such proxy is a mixer, identified by the address of its agent.
 package proxy
 
 import (
@@ -63,7 +64,7 @@
 	// The following fields belong to the goroutine of commandLoop.
 
 	dispatchTable *dispatch.Table
-	// applied holds the revisions of the feed that are in force.
+	// applied is the next feed request: it holds the revisions that have been applied.
 	applied feed.Request
 	// loggedVersions maps a model to its last logged version.
 	loggedVersions map[string]int64
@@ -97,6 +98,7 @@
 		afterFunc:    time.AfterFunc,
 		openRequests: newRequestTracker(),
 	}
+	// The table's clock is that of now, which starts at 0.
 	p.dispatchTable = dispatch.New(0, dispatch.Settings{
 		Zone:              settings.Zone,
 		VersionLimit:      settings.Bounds.Version,
@@ -108,6 +110,9 @@
 		DiscoveryLag:      settings.CloudLag,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if log.GetLevel() <= zerolog.DebugLevel {
+		// The times wait (expected in the queue), read (expected prefill) and took (until the first byte)
+		// are in ms. Of dispatch.CacheTrace, subject is LastSharedPart, kept CachedTokens, held LocalTokens,
+		// fit FetchableTokens and unfit UnfetchableTokens.
 		p.dispatchTable.OnFirstByte(func(c *dispatch.Choice, ms float64) {
 			log.Debug().Str("step", "began").Str("peer", c.Addr).Float64("wait", c.WaitMS).Float64("read", c.PrefillMS).Float64("took", ms).
 				Str("subject", c.LastSharedPart).Str("salt", c.Salt).Int("shared", c.SharedTokens).Int("kept", c.CachedTokens).Int("held", c.LocalTokens).
@@ -273,6 +278,7 @@
 		p.applyList(now, reply.List)
 	}
 	p.applied.ApplyIndex(p.dispatchTable.Index(), reply)
+	// A new revision with nil loads means that there are none: the encoding omits an empty map.
 	if reply.Loads != nil || reply.LoadsRevision != p.applied.LoadsRevision {
 		p.dispatchTable.SetOtherLoads(reply.Loads)
 	}
@@ -324,8 +330,8 @@
 }
 
 // versionHistories converts the version ages of a reply to times on the clock of the proxy. The
-// reply was not written before requestedAt plus its long-poll time, so the time in transit makes no
-// version look younger.
+// earliest time at which the reply can have been written is requestedAt plus LongPollMS. Assuming that
+// time may overestimate the age of a version but never underestimates it.
 func versionHistories(requestedAt time.Duration, reply *feed.Reply) map[string]superseded.History {
 	written := requestedAt + time.Duration(reply.LongPollMS)*time.Millisecond
 	versions := map[string]superseded.History{}
@@ -363,7 +369,7 @@
 	}
 }
 
-// applyMembers applies the set of mixers.
+// applyMembers applies the set of mixers, each of which is listed by the address of its agent.
 func (p *Proxy) applyMembers(set *distribute.MemberSet) {
 	p.applied.MembersDigest = set.Digest
 	members := dispatch.Members{}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -176,7 +176,7 @@
 	body, _ := io.ReadAll(received.Body)
 	require.Equal(t, "the body", string(body))
 	for name, want := range map[string]string{
-		headerExpectedInstance: "i-0", headerTenantName: "walled", headerCacheSalt: "v1/walled", headerExpectVersion: "1", headerAPIKey: "", headerKVFetch: "",
+		headerExpectedInstance: "i-0", headerTenantName: "walled", headerCacheSalt: "v1/walled", headerExpectedVersion: "1", headerAPIKey: "", headerKVFetch: "",
 		"X-Hop": "", "X-Kept": "yes", headerModel: "m", headerPromptPrefix: "p1:100,p2:20", headerRequestID: "id-1",
 	} {
 		require.Equal(t, want, received.Header.Get(name), "header %s at the backend", name)
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -20,7 +20,8 @@
 const firstReadBytes = 4 << 10
 
 // writeDeadlineMargin is the time from the deadline of a request to the write deadline of its client
-// connection. When a write fails, the deadline of the request is then known to have passed.
+// connection. A write that fails by timeout then proves that the deadline of the request has
+// passed.
 const writeDeadlineMargin = 50 * time.Millisecond
 
 // errClientDisconnected means that a write to the client failed.
@@ -144,7 +145,7 @@
 // adds the failed attempts to former.
 func (p *Proxy) resumeStream(ctx context.Context, q *request, former *attempt, lastEvent string) *attempt {
 	tried, sendCount := former.triedBackends, former.sendCount
-	for sendCount < max(1, q.route.MaxAttempts) && len(tried) <= maxTriedBackends && ctx.Err() == nil {
+	for sendCount < max(1, q.route.MaxAttempts) && len(tried) <= maxFailovers && ctx.Err() == nil {
 		choice := p.pickBackend(q, tried)
 		if choice == nil || choice.RetryAfterMS > 0 || !p.takeRetry(q, sendCount) {
 			if choice != nil && choice.RetryAfterMS == 0 {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -24,8 +24,8 @@
 	headerTokenUsage       = "X-Token-Usage"
 	headerPromptPrefix     = "X-Prompt-Prefix"
 	headerLastEvent        = "Last-Event-Id"
-	headerExpectedInstance = "X-Expected-Instance"
-	headerExpectVersion    = "Expect-Version"
+	headerExpectedInstance = "X-Expected-Instance" // backend ID; a backend with another ID answers 421
+	headerExpectedVersion  = "Expect-Version"      // version of the model's weights that the backend must serve
 	headerPriority         = "Priority"
 	headerCacheSalt        = "Cache-Salt"
 	headerKVFetch          = "Kv-Fetch"
@@ -40,15 +40,17 @@
 	defaultTimeout = 30 * time.Second
 	// maxRetryAfterSeconds bounds the time after which a refused client should retry.
 	maxRetryAfterSeconds = 0.3
-	// startupRetryAfterSeconds is the retry time while no configuration is in force yet.
+	// startupRetryAfterSeconds is the time after which a client should retry that was refused
+	// because no configuration is in force yet.
 	startupRetryAfterSeconds = 1.0
 	// retryAfterTargetFraction is the fraction of the route's target latency after which a refused
 	// client should retry.
 	retryAfterTargetFraction = 0.1
 	// likelyRetryFraction is the fraction of the route's timeout below which a client's deadline marks
-	// its request as a retry.
+	// its request as a likely retry.
 	likelyRetryFraction = 0.98
-	// routeRanksPerTenant is the number of route ranks within one tenant rank.
+	// routeRanksPerTenant is the number of route ranks within one tenant rank. For a request with a
+	// tenant, higher route priorities count as the last of them.
 	routeRanksPerTenant = 3
 )
 
@@ -65,8 +67,8 @@
 	effectiveDeadline time.Time // when the proxy gives up: at clientDeadline or the route's timeout
 	receivedAt        time.Time // when the request header had been read
 	configVersion     int64     // version of the configuration that the request is served by
-	// likelyRetry is set if the client allows less time than the route: it was refused before, or it
-	// is in a hurry.
+	// likelyRetry is set if the client allows less time than the route: the request may be a retry with
+	// the remaining time, or have a short deadline from the start.
 	likelyRetry   bool
 	promptTokens  int
 	promptParts   []kvindex.Part
@@ -106,8 +108,8 @@
 	p.forward(q)
 }
 
-// refuse answers a request on behalf of the proxy. retryAfter is in seconds, 0 for none; it goes with
-// a status that says that the request was not executed.
+// refuse answers a request on behalf of the proxy. retryAfter is in seconds, 0 for none; it is set
+// only with status 503, which means that the request was not executed.
 func refuse(w http.ResponseWriter, status int, retryAfter float64, reason string) {
 	if retryAfter > 0 {
 		w.Header().Set(headerRetryAfter, strconv.FormatFloat(retryAfter, 'f', 2, 64))
@@ -209,7 +211,7 @@
 
 // reservedHeaders are set by the proxy only; values sent by clients are dropped.
 var reservedHeaders = []string{
-	headerTenantName, headerExpectedInstance, headerExpectVersion, headerPriority, headerCacheSalt, headerKVFetch, headerKVSave,
+	headerTenantName, headerExpectedInstance, headerExpectedVersion, headerPriority, headerCacheSalt, headerKVFetch, headerKVSave,
 }
 
 // hopByHopHeaders apply to a single connection and are not forwarded.
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -59,8 +59,8 @@
 }
 
 // start tries to resume the stream elsewhere in the background, unless a try is running or the stream
-// may not be resumed. It never blocks: while forwardBytes waits for a slow client, the stream is not
-// stalled because of its backend.
+// may not be resumed. It never blocks: if the lock is taken, forwardBytes may be waiting for a slow
+// client, and then the backend is not the cause of the stall.
 func (t *streamTakeover) start(reason endReason) {
 	if !t.mu.TryLock() {
 		return
@@ -91,7 +91,8 @@
 	}
 	if t.closed || t.events.lastID != lastEvent {
 		p.finishAttempt(next, dispatch.Cancelled)
-		a.triedBackends, a.sendCount = next.triedBackends, next.sendCount // next may have been executed
+		// Count next against the limits, because its backend may have executed the request.
+		a.triedBackends, a.sendCount = next.triedBackends, next.sendCount
 		return
 	}
 	t.successor, t.closed = next, true
