--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,9 +30,10 @@
 	tickInterval       = 100 * time.Millisecond
 	commandQueueLength = 1024
 	// phaseTTL is how long a received phase stays valid without being announced again.
-	// phaseAnnouncePeriod is how long the holder of a rollout lease keeps announcing a phase.
-	phaseTTL            = 4 * time.Second
-	phaseAnnouncePeriod = loadTimeout + 2*time.Second
+	phaseTTL = 4 * time.Second
+	// phaseAnnouncePeriod is how long the holder of a rollout lease keeps announcing a phase, unless
+	// a newer one replaces it. It covers the loading of weights and the last query of their state.
+	phaseAnnouncePeriod = weightLoadTimeout + 2*time.Second
 	feedLongPollTimeout = 200 * time.Millisecond
 	proxyTimeout        = time.Second
 	// minRecentBatches is the minimum number of index batches that are kept for the proxy. The
@@ -52,12 +53,12 @@
 	startedAt   time.Time
 	commands    chan func()
 	done        chan struct{}
-	feedChanged chan struct{} // closed and replaced when the proxy may be missing an update
+	feedChanged chan struct{} // closed and replaced to wake the waiting feed requests
 
 	// The fields below are owned by the command loop.
 	snapshot          *distribute.Snapshot
-	versionHistories  map[string]superseded.History // by model: the time bounds of its wanted versions
-	lastQuorumContact time.Duration                 // start of the last call answered with a quorum
+	versionHistories  map[string]superseded.History // by model: when its wanted versions were set at the earliest
+	lastQuorumContact time.Duration                 // start of the last call that a controller with a quorum answered
 	controllers       []string
 	epoch             uint64 // of the chain view that the controllers are from
 	members           *distribute.MemberSet
@@ -82,7 +83,7 @@
 	readersCheckedAt time.Time
 	resync           indexResync
 
-	eventOwners *rendezvous.OwnerCache // owners of the keys under which backend events are read
+	eventOwners *rendezvous.OwnerCache // rendezvous owners of the backends' events
 
 	gossip          *gossiper
 	gossipBytesSent uint64
@@ -92,7 +93,7 @@
 	// phaseSeq numbers the phases that this agent announces.
 	phaseSeq uint64
 
-	kvStoresConfigSeq uint64 // sequence number of the configuration that kvStoreAddrs is from
+	kvStoresConfigSeq uint64 // number of the configuration that kvStoreAddrs was read from
 	kvStoreAddrs      []string
 }
 
@@ -181,7 +182,8 @@
 // now returns the time since the agent's start.
 func (a *Agent) now() time.Duration { return time.Since(a.startedAt) }
 
-// enqueue queues a command for the command loop. It drops the command once the agent has stopped.
+// enqueue queues a command for the command loop. It blocks while the queue is full, and drops the
+// command once the agent has stopped.
 func (a *Agent) enqueue(command func()) {
 	select {
 	case a.commands <- command:
@@ -189,7 +191,8 @@
 	}
 }
 
-// runInLoop runs a command in the command loop and waits until it has finished.
+// runInLoop runs a command in the command loop and waits until it has finished. The command loop
+// itself must not call it.
 func (a *Agent) runInLoop(ctx context.Context, command func()) error {
 	finished := make(chan struct{})
 	a.enqueue(func() { command(); close(finished) })
@@ -219,7 +222,8 @@
 	a.feedChanged = make(chan struct{})
 }
 
-// handlePeer handles the calls of other agents.
+// handlePeer handles the calls of other agents. The texts of its errors travel to the caller and
+// stay the same across releases.
 func (a *Agent) handlePeer(ctx context.Context, kind string, body []byte) (any, error) {
 	switch kind {
 	case feed.KindGossip:
@@ -240,7 +244,7 @@
 			a.resync.served++
 		})
 		if err == nil && snapshot == nil {
-			err = merry.New("agent: backend index: unknown backend " + request.Backend)
+			err = merry.New("nothing is known of " + request.Backend)
 		}
 		return snapshot, err
 	case feed.KindList:
@@ -252,10 +256,11 @@
 	case feed.KindPing:
 		return struct{}{}, nil
 	}
-	return nil, merry.New("agent: handle peer call: unknown kind " + kind)
+	return nil, merry.New("no such call: " + kind)
 }
 
-// handleProxy handles the calls of the proxy beside this agent.
+// handleProxy handles the calls of the proxy beside this agent. The texts of its errors travel to
+// the proxy and stay the same across releases.
 func (a *Agent) handleProxy(ctx context.Context, kind string, body []byte) (any, error) {
 	if kind == feed.KindLoads {
 		loads := map[string]dispatch.Load{}
@@ -266,7 +271,7 @@
 		return nil, nil
 	}
 	if kind != feed.KindFeed {
-		return nil, merry.New("agent: handle proxy call: unknown kind " + kind)
+		return nil, merry.New("no such call: " + kind)
 	}
 	request := new(feed.Request)
 	if err := cbor.Unmarshal(body, request); err != nil {
@@ -329,16 +334,16 @@
 
 // addIndexUpdates adds the index updates that the proxy is missing to a reply, as many as one reply
 // may carry, and reports whether it added any. A reply with a snapshot, which is urgent, carries at
-// most the reset of the index. List and members don't delay the index: during a rollout the list
-// changes with each call.
-func (a *Agent) addIndexUpdates(request *feed.Request, reply *feed.Reply, snapshotOnly bool) (isNew bool) {
+// most the reset of the index. A reply with a new list or new members still carries batches: during
+// a rollout the list changes with each call, and the index must not wait for its end.
+func (a *Agent) addIndexUpdates(request *feed.Request, reply *feed.Reply, hasSnapshot bool) (isNew bool) {
 	lag := a.batchCount - request.BatchCount
 	if request.AgentID != a.self.ID || lag > uint64(len(a.recentBatches)) {
 		reply.Reset, reply.KnownBackends = true, a.index.Backends()
 		return true
 	}
 	reply.BatchCount = request.BatchCount
-	if snapshotOnly {
+	if hasSnapshot {
 		return false
 	}
 	changes := 0
@@ -367,8 +372,8 @@
 // versionAges returns the ages of the wanted versions by model.
 func (a *Agent) versionAges() map[string][]superseded.Age {
 	ages := map[string][]superseded.Age{}
-	for model, times := range a.versionHistories {
-		ages[model] = times.Ages(a.now())
+	for model, history := range a.versionHistories {
+		ages[model] = history.Ages(a.now())
 	}
 	return ages
 }
--- a/internal/agent/apply_latency.go
+++ b/internal/agent/apply_latency.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// logSlowStage logs a stage of distribution that took longer than slowStageThreshold.
+// logSlowStage logs a stage of distribution that took longer than slowStageThreshold. The text of
+// the stage is part of the log format.
 func (a *Agent) logSlowStage(stage string, duration time.Duration) {
 	if duration > slowStageThreshold {
 		a.log.Info().Str("step", "late").Str("stage", stage).Dur("took", duration).Msg("update was applied or received late")
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -30,12 +30,12 @@
 type eventsPage struct {
 	Epoch  int64   `json:"epoch"`
 	Next   int64   `json:"next_page_token"`
-	Lost   bool    `json:"lost"`
+	Lost   bool    `json:"lost"` // the backend doesn't have all events since the cursor
 	Events []event `json:"events"`
 }
 
-// event is a cache event, encoded as the array [number, "+" or "-", salt, part, tokens now cached,
-// model].
+// event is a cache event of one part of a prompt, encoded as the array [number, "+" or "-", salt,
+// part, tokens of the part that are now cached, model].
 type event struct {
 	Seq    int64
 	Added  bool
@@ -61,8 +61,8 @@
 }
 
 // UnmarshalJSON decodes an entry from its array.
-func (h *kvListEntry) UnmarshalJSON(text []byte) error {
-	return unmarshalTuple(text, &h.Salt, &h.Part, &h.Tokens, &h.Model)
+func (e *kvListEntry) UnmarshalJSON(text []byte) error {
+	return unmarshalTuple(text, &e.Salt, &e.Part, &e.Tokens, &e.Model)
 }
 
 // unmarshalTuple decodes the leading items of a JSON array. Items that are null leave their target
@@ -182,7 +182,7 @@
 }
 
 // readEvents reads the events of one backend until ctx is done. It continues at the index's cursor,
-// up to which the former owner may have published the events.
+// which says how far the former reader's published events have been applied.
 func (a *Agent) readEvents(ctx context.Context, s eventSource) {
 	lastListed := time.Time{}
 	time.Sleep(time.Duration(rand.Int64N(int64(eventsPollInterval)))) // spread the requests over the backends
--- a/internal/agent/gossip.go
+++ b/internal/agent/gossip.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// flushInterval is the interval of gossip. It grows where a hub would send more than
-	// hubMessagesPerSecond to the agents of its zone, or would use more than gossipLinkShare of its
-	// machine's link for them: CPU and link are shared with the proxy and with configuration
-	// updates. The link share extends it to maxFlushInterval at most, so that loads don't become
-	// useless.
+	// flushInterval is the shortest interval between two flushes of gossip. A hub uses a longer one
+	// if it would otherwise send more than hubMessagesPerSecond to the agents of its zone or use
+	// more than gossipLinkShare of its machine's link: CPU and link are shared with the proxy and
+	// with configuration updates. The link share extends the interval to maxFlushInterval at most,
+	// because loads are soon out of date.
 	flushInterval        = 60 * time.Millisecond
 	maxFlushInterval     = 300 * time.Millisecond
 	hubMessagesPerSecond = 400
@@ -57,7 +57,7 @@
 	toOtherHubs outbox // as a hub: to the other hubs
 	toZone      outbox // as a hub: to the agents of this zone
 
-	localLoads      loadTable            // loads of the proxy beside this agent, as last sent
+	sentLocalLoads  loadTable            // loads of the proxy beside this agent, as last sent
 	zoneLoads       map[string]loadTable // as a hub: loads of this zone's agents by address
 	otherZoneLoads  map[string]loadTable // as a hub: loads of the other zones by the address of their hub
 	totalLoads      loadTable            // loads of all agents, as received from this zone's hub
@@ -99,7 +99,8 @@
 	return &list
 }
 
-// hasUrgent reports whether there is an update that doesn't wait for its share of the link.
+// hasUrgent reports whether there is an update that is sent with the next flush. Batches wait for
+// their share of the link; loads are sent with each flush and aren't in the outbox.
 func (o *outbox) hasUrgent() bool { return o.list != nil || len(o.phases) > 0 }
 
 // empty reports whether there is nothing to send.
@@ -183,8 +184,8 @@
 	if hub == "" {
 		return
 	}
-	g.localLoads.loads = loadsByKey(a.localLoads)
-	loads := g.sentToHub.next(g.localLoads.loads)
+	g.sentLocalLoads.loads = loadsByKey(a.localLoads)
+	loads := g.sentToHub.next(g.sentLocalLoads.loads)
 	if hub == a.self.Addr {
 		g.receive(&feed.GossipMessage{From: a.self.Addr, Hop: feed.HopToHub, Loads: loads, List: g.toHub.currentList(), Batches: g.toHub.batches, Phases: g.toHub.phases})
 	} else if loads != nil || !g.toHub.empty() {
@@ -223,7 +224,7 @@
 }
 
 // attachBulkInTrial adds the index batches to a message of loads in trial builds that don't
-// separate them.
+// separate them. A trial build disables a mechanism to measure its effect.
 func (o *outbox) attachBulkInTrial(message *feed.GossipMessage) {
 	if trial.Disabled(trial.SeparateLoadUpdates) {
 		message.Batches, o.batches = o.batches, nil
@@ -360,7 +361,7 @@
 	remote := make(map[string]dispatch.Load, len(g.totalLoads.loads))
 	for _, backend := range g.agent.backends {
 		key := feed.BackendKeyOf(backend.ID)
-		if load := g.totalLoads.loads[key].Sub(g.localLoads.loads[key]); load != (dispatch.Load{}) {
+		if load := g.totalLoads.loads[key].Sub(g.sentLocalLoads.loads[key]); load != (dispatch.Load{}) {
 			remote[backend.ID] = load
 		}
 	}
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -16,7 +16,7 @@
 // of a rollout.
 type lease struct {
 	name           string
-	hadPredecessor bool // another agent may have held the lease before
+	hadPredecessor bool // another agent, the predecessor, may have held the lease before
 	mu             sync.Mutex
 	state          *leases.Lease
 }
@@ -55,8 +55,8 @@
 }
 
 // rolloutLeaseTiming returns the timing of rollout leases. Engines that reject lower fencing tokens
-// need no separation between two holders: an order of the former one has arrived by then or is
-// rejected.
+// need no separation between two holders: once an order of the new holder has arrived, those of the
+// former one are rejected.
 func (a *Agent) rolloutLeaseTiming() leases.Timing {
 	timing := leases.Timing{HoldFor: leaseHoldTime, MaxTransit: orderTimeout}
 	if !a.settings.Bounds.Fenced {
@@ -65,8 +65,8 @@
 	return timing
 }
 
-// acquireLease takes a lease over and waits until shortly before it becomes valid, which is after
-// the former holder has stopped. It returns up to emptyingLead before that time.
+// acquireLease acquires a lease and returns at most emptyingLead before it becomes valid, which is
+// after the former holder has stopped.
 func (a *Agent) acquireLease(ctx context.Context, name string) (*lease, error) {
 	var record replicated.LeaseRecord
 	if err := a.runInLoop(ctx, func() { record = a.snapshot.Leases[name] }); err != nil {
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -126,7 +126,7 @@
 		io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
 		return merry.New("agent: GET " + target + ": " + response.Status)
 	}
-	return merry.Prepend(json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into), "agent: GET "+target)
+	return merry.Prepend(json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into), "agent: decode response of GET "+target)
 }
 
 // backendInfoOf converts an entry of the platform's list.
--- a/internal/agent/listread.go
+++ b/internal/agent/listread.go
@@ -16,9 +16,10 @@
 	successorReadAgeStep = 400 * time.Millisecond
 	successorCount       = 3
 	// hubReadAge is the list age from which a zone's hub reads the list, because its zone may be
-	// cut off from the others. memberReadAge is the one from which all other members read it, at a
-	// rate at which together they use memberRateShare of the calls that the platform answers.
-	hubReadAge      = 2300 * time.Millisecond
+	// cut off from the others.
+	hubReadAge = 2300 * time.Millisecond
+	// memberReadAge is the list age from which all other members read the list. Together they use
+	// memberRateShare of the calls that the platform answers.
 	memberReadAge   = 2700 * time.Millisecond
 	memberRateShare = 0.1
 )
@@ -32,7 +33,7 @@
 	isZoneHub     bool          // this agent is the hub of its zone
 	memberCount   int           // 0 if no members are known
 	pageCount     int           // pages of the list
-	platformRate  float64       // calls per second that the platform answers, all agents together
+	platformRate  float64       // calls per second that the platform answers, all agents together: setting CloudRate
 }
 
 // due reports whether to read the list now. random is a uniform random number in [0, 1).
--- a/internal/agent/listread_test.go
+++ b/internal/agent/listread_test.go
@@ -77,14 +77,14 @@
 	last := reader.listSync.history[len(reader.listSync.history)-1]
 	other.applyPushedList(last, reader.self.Addr)
 	require.Len(t, other.backends, 2)
-	require.Equal(t, reader.self.Addr, other.listSync.missingFrom)
+	require.Equal(t, reader.self.Addr, other.listSync.gapSender)
 	require.Equal(t, reader.self.Addr, other.nextListPeer())
 	update := reader.listUpdateSince(other.listSync.digest)
 	require.False(t, update.Full)
 	other.applyListUpdate(update, reader.self.Addr)
 	require.ElementsMatch(t, list, other.backends)
 	require.Equal(t, reader.listSync.digest, other.listSync.digest)
-	require.Empty(t, other.listSync.missingFrom)
+	require.Empty(t, other.listSync.gapSender)
 	require.True(t, reader.listUpdateSince(12345).Full, "an unknown list must be answered with the full list")
 }
 
--- a/internal/agent/listrevisions.go
+++ b/internal/agent/listrevisions.go
@@ -7,8 +7,8 @@
 	"nettlefold/internal/feed"
 )
 
-// maxRememberedRemovals bounds the removed entries that are remembered for proxies, in addition to
-// as many as the list has entries.
+// maxRememberedRemovals is the number of entries that listRevisions.changedAt may have beyond twice
+// the number of listed backends before it is cleared.
 const maxRememberedRemovals = 512
 
 // listRevisions numbers the changes of the list for the proxy, including the phases that rollout
@@ -44,7 +44,7 @@
 func (a *Agent) fullList() *feed.List { return a.listSinceRevision(0) }
 
 // listSinceRevision returns the changes of the list since a revision, or the full list if they
-// aren't known any more.
+// aren't known any more. Revision 0 always gets the full list, whose BaseRevision is 0.
 func (a *Agent) listSinceRevision(revision uint64) *feed.List {
 	revisions := &a.listRevisions
 	list := &feed.List{Revision: revisions.current, Backends: []dispatch.BackendInfo{}, Phases: map[string]string{}}
--- a/internal/agent/listsync.go
+++ b/internal/agent/listsync.go
@@ -28,7 +28,7 @@
 // reads and requests. It is owned by the command loop.
 type listSyncState struct {
 	digest     uint64    // of the list, 0 if there is none
-	revision   uint64    // of the read that the list is from
+	revision   uint64    // number of the read that the list is from, see feed.ListUpdate
 	readAt     time.Time // start of that read, according to the agents that passed the list on
 	receivedAt time.Time // time of the last update, at first the agent's start
 	pushedAt   time.Time // time of the last update that was not requested
@@ -37,7 +37,7 @@
 	lastReadAt time.Time
 	pageCount  int // pages that the list had
 
-	missingFrom   string // address of the sender of an update to an unknown list, "" if there is none
+	gapSender     string // address of the sender of a delta to a list that this agent doesn't have, or ""
 	requesting    bool
 	nextRequestAt time.Time // earliest time of the next request to another agent
 	requestCount  int
@@ -69,20 +69,20 @@
 }
 
 // applyListUpdate applies an update from another agent. If it is a delta to an unknown list, the
-// sender is recorded in missingFrom, and the list is requested from it.
+// sender is recorded in gapSender, and the list is requested from it.
 func (a *Agent) applyListUpdate(update *feed.ListUpdate, from string) {
 	if update.Revision < a.listSync.revision || update.Revision == a.listSync.revision && update.Digest == a.listSync.digest {
 		return
 	}
 	list, ok := update.Apply(a.backends, a.listSync.digest)
 	if !ok {
-		a.listSync.missingFrom = from
+		a.listSync.gapSender = from
 		return
 	}
 	age := time.Duration(update.AgeMS) * time.Millisecond
 	a.listArrivalDelays.Observe(age)
-	a.logSlowStage("list received from "+from, age)
-	a.listSync.revision, a.listSync.missingFrom = update.Revision, ""
+	a.logSlowStage("list heard from "+from, age)
+	a.listSync.revision, a.listSync.gapSender = update.Revision, ""
 	a.listSync.receivedAt = time.Now()
 	a.listSync.readAt = a.listSync.receivedAt.Add(-age)
 	if update.Full && a.backends != nil {
@@ -149,7 +149,7 @@
 // arrived for a while.
 func (a *Agent) requestListIfStale(ctx context.Context) {
 	now := time.Now()
-	stale := a.backends == nil || a.listSync.missingFrom != "" || now.Sub(a.listSync.pushedAt) >= listSilenceTimeout
+	stale := a.backends == nil || a.listSync.gapSender != "" || now.Sub(a.listSync.pushedAt) >= listSilenceTimeout
 	if !stale || a.listSync.requesting || now.Before(a.listSync.nextRequestAt) || len(a.members.Agents) == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 	if peer == "" {
 		return
 	}
-	a.listSync.requesting, a.listSync.missingFrom = true, ""
+	a.listSync.requesting, a.listSync.gapSender = true, ""
 	a.listSync.requestCount++
 	request := &feed.ListRequest{Digest: a.listSync.digest}
 	go func() {
@@ -179,7 +179,7 @@
 // sender of an update that could not be applied, else in turns the hub of this zone and a hub of
 // another zone.
 func (a *Agent) nextListPeer() string {
-	if peer := a.listSync.missingFrom; peer != "" {
+	if peer := a.listSync.gapSender; peer != "" {
 		return peer
 	}
 	hub := a.gossip.hubAddr(a.self.Zone)
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	if update == nil {
-		return nil, merry.New("agent: serve list: no list is known")
+		return nil, merry.New("the list is not known here")
 	}
 	return update, nil
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -18,7 +18,9 @@
 	return set, nil
 }
 
-// addMetrics adds the agent's metrics to set. It runs in the command loop.
+// addMetrics adds the agent's metrics to set. It runs in the command loop. In the metric names,
+// "news" is gossip, "wholes" are whole backend indexes, and "in touch" is the last contact with a
+// quorum.
 func (a *Agent) addMetrics(set *metrics.Set) {
 	seq := uint64(0)
 	if a.snapshot != nil {
--- a/internal/agent/phases.go
+++ b/internal/agent/phases.go
@@ -12,7 +12,9 @@
 	receivedAt time.Time
 }
 
-// announcePhase applies a backend's phase and gossips it.
+// announcePhase applies a backend's phase and gossips it. A phase with a name takes the backend out
+// of service. A phase without a name returns it to service: with a model and a version after these
+// weights were loaded, without them after a failure.
 func (r *rollout) announcePhase(backend string, phase feed.Phase) {
 	phase.FencingToken = r.lease.fencingToken()
 	r.agent.enqueue(func() {
@@ -60,8 +62,8 @@
 	firstSentAt, lastSentAt time.Time
 }
 
-// reannouncePhases announces phases again, for agents that missed them, until a later holder
-// announces a newer one. Meanwhile they stay valid at this agent.
+// reannouncePhases announces phases again, for agents that missed them, for phaseAnnouncePeriod or
+// until a newer one is known. Meanwhile they stay valid at this agent.
 func (a *Agent) reannouncePhases() {
 	for backend, phase := range a.announcedPhases {
 		switch known := a.phases[backend]; {
--- a/internal/agent/resync.go
+++ b/internal/agent/resync.go
@@ -42,7 +42,7 @@
 // startResyncs starts queued fetches up to the limit.
 func (a *Agent) startResyncs() {
 	if len(a.members.Agents) == 0 {
-		return // only a hub can be known yet: the next membership update calls this again
+		return // the events' reader isn't known either: the next membership update calls this again
 	}
 	for a.resync.running < maxConcurrentResyncs && len(a.resync.queue) > 0 {
 		next := a.resync.queue[0]
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// loadingDivisor is the divisor of a model's serving backends that gives how many may load new
-	// weights at a time.
+	// loadingDivisor limits how many backends load new weights at a time: one in loadingDivisor of
+	// those that serve the model.
 	loadingDivisor = 6
-	// outOfServiceFactor is how many times the loading limit may be out of service at once: some
-	// backends finish their requests while others load.
+	// outOfServiceFactor is the maximum number of backends out of service at once, as a multiple of
+	// the loading limit: some backends finish their requests while others load.
 	outOfServiceFactor = 2
-	// minEmptyingTime and maxEmptyingTime bound how long a backend gets no new requests before its
-	// load order, so that none is queued there that has not begun.
+	// minEmptyingTime is how long a backend gets no new requests before its load order.
+	// maxEmptyingTime is how much longer the order waits for the backend's queue to become empty.
 	minEmptyingTime      = 250 * time.Millisecond
 	maxEmptyingTime      = 1200 * time.Millisecond
 	emptyingPollInterval = 50 * time.Millisecond
-	// emptyingLead is how long before its lease becomes valid a successor takes the first backends
-	// out of service, so that they are empty by then.
+	// emptyingLead is how long before its lease becomes valid a new holder takes the first
+	// backends out of service, so that they are empty by then.
 	emptyingLead = 500 * time.Millisecond
 	// leaseRenewInterval is how often the holder of a lease renews it. leaseHoldTime is how long
 	// the holder acts after requesting a renewal.
@@ -40,10 +40,12 @@
 	orderTimeout       = 800 * time.Millisecond
 	reportInterval     = 250 * time.Millisecond
 	reportTimeout      = 600 * time.Millisecond
-	loadTimeout        = 12 * time.Second // after this, a load order is considered failed and may be sent again
+	weightLoadTimeout  = 12 * time.Second // then a load order is considered failed and may be sent again
 )
 
-// rolloutLeaseName returns the name of the lease under which a model's load orders are sent.
+// rolloutLeaseName returns the name of the lease under which a model's load orders are sent. A load
+// order tells a backend to load the weights of a version; see dispatch.Load for the load of a
+// backend.
 func rolloutLeaseName(model string) string { return "orders/" + model }
 
 // ownsRollout reports whether this agent should hold a model's rollout lease.
@@ -127,6 +129,7 @@
 		}
 		if time.Since(lastRenewal) >= leaseRenewInterval {
 			if err := r.agent.renewLease(ctx, r.lease); err != nil {
+				// The logged step "confirm" is the renewal.
 				r.agent.log.Warn().Err(err).Str("step", "confirm").Str("model", r.model).Msg("renewing the rollout lease failed")
 				if r.lease.expired(r.agent.now()) {
 					return
@@ -206,11 +209,11 @@
 	return nil
 }
 
-// awaitLoaded waits until a backend has a version, and reports whether it has. If the order was
-// just sent, the backend's report may be from before it, and outdated weights are ignored. If an
-// earlier holder sent it, a backend that isn't loading and has outdated weights needs a new order.
+// awaitLoaded waits until a backend has a version, and reports whether it has. If the order was just
+// sent, the backend's report may be from before it, so a report of outdated weights is ignored. If
+// an earlier holder sent it, a backend that isn't loading and has outdated weights needs a new order.
 func (r *rollout) awaitLoaded(ctx context.Context, backend dispatch.BackendInfo, version int64, orderSent bool) bool {
-	for start := time.Now(); time.Since(start) < loadTimeout && ctx.Err() == nil; {
+	for start := time.Now(); time.Since(start) < weightLoadTimeout && ctx.Err() == nil; {
 		time.Sleep(reportInterval)
 		switch r.queryWeights(ctx, backend, version) {
 		case weightsCurrent:
@@ -224,8 +227,8 @@
 	return false
 }
 
-// awaitQueueEmpty waits until no request is queued at a backend, according to all agents. Requests
-// that have begun may continue.
+// awaitQueueEmpty waits for minEmptyingTime, and then for at most maxEmptyingTime until no request is
+// queued at a backend, according to all agents. Requests that have begun may continue.
 func (r *rollout) awaitQueueEmpty(ctx context.Context, id string) {
 	time.Sleep(minEmptyingTime)
 	for start := time.Now(); time.Since(start) < maxEmptyingTime && ctx.Err() == nil; time.Sleep(emptyingPollInterval) {
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -69,7 +69,8 @@
 // before it, is logged. A controller considers an agent lost that is silent for not much longer.
 const slowWatchThreshold = 600 * time.Millisecond
 
-// logSlowWatch logs a watch call that took longer than slowWatchThreshold.
+// logSlowWatch logs a watch call that took longer than slowWatchThreshold: as "owner" the wait for
+// the command loop, which owns the agent's state, and as "queue" the number of queued commands.
 func (a *Agent) logSlowWatch(loopWait, call time.Duration, addr string, err error) {
 	if loopWait+call < slowWatchThreshold {
 		return
@@ -156,7 +157,7 @@
 // applyWatchReply applies the reply of a controller with a quorum to a call made at requestedAt.
 // Everything that was in force at that time is known afterwards.
 func (a *Agent) applyWatchReply(requestedAt time.Duration, reply *distribute.WatchReply) {
-	defer func() { a.lastQuorumContact = requestedAt }()
+	defer func() { a.lastQuorumContact = requestedAt }() // mergeVersionAges uses the previous contact
 	if len(reply.Controllers) > 0 {
 		a.controllers, a.epoch = reply.Controllers, reply.Epoch
 	}
@@ -204,7 +205,8 @@
 }
 
 // mergeVersionAges merges a controller's ages of the wanted versions with those that this agent
-// knows. A version that was unknown at the last contact with a quorum was set after it.
+// knows. A version that was unknown at the last contact with a quorum was set after that contact,
+// which bounds its age.
 func (a *Agent) mergeVersionAges(requestedAt time.Duration, snapshot *distribute.Snapshot, reply *distribute.WatchReply) {
 	writtenAt := requestedAt + time.Duration(reply.LongPollMS)*time.Millisecond
 	for model, wanted := range snapshot.Models {
