--- a/internal/chain/confirm_test.go
+++ b/internal/chain/confirm_test.go
@@ -9,18 +9,19 @@
 	"nettlefold/internal/replicated"
 )
 
-// lateAnswer plays a tail whose disk fails while an acceptor's confirmation is held up on its way: the others go over to a view without the
-// tail and take a write; then the disk works again, a read comes, and the old answer arrives before any news. It tells whether the read was
-// answered, and from a state that lacks the write.
-func lateAnswer(t *testing.T, planted fault) (answered, old bool) {
-	s := three(1)
-	s.fault = planted
+// playLateConfirmation simulates a tail whose disk fails while an acceptor's confirmation is
+// delayed: the others change to a view without the tail and commit a write; then the disk recovers,
+// a read arrives at the old tail, and the delayed confirmation is delivered before any newer view.
+// It returns whether the read was answered, and whether that was from a state without the write.
+func playLateConfirmation(t *testing.T, injected fault) (answered, stale bool) {
+	s := threeNodes(1)
+	s.injected = injected
 	s.load(s.nodes["c"])
 	s.run(3 * time.Second)
 	head, tail := s.nodes["a"], s.nodes["c"]
 	view := tail.replica.View()
 	require.Equal(t, NodeID("c"), view.Tail())
-	nonce, out := tail.replica.Confirm(s.now)
+	nonce, out := tail.replica.ConfirmEpoch(s.now)
 	var late *Message
 	for _, e := range out.Messages {
 		if e.To.ID == "b" {
@@ -32,30 +33,31 @@
 	require.NotNil(t, late.Confirmed)
 	require.Equal(t, nonce, late.Confirmed.Nonce)
 
-	s.separate([]string{"c"}, []string{"a", "b"}, false)
+	s.partition([]string{"c"}, []string{"a", "b"}, false)
 	s.run(3 * time.Second)
 	order := s.submit("a", &replicated.Operation{Kind: replicated.KindVersion, Model: "m", Version: 7})
 	s.run(time.Second)
-	require.Equal(t, outcomeTaken, order.outcome)
+	require.Equal(t, outcomeCommitted, order.outcome)
 	require.Greater(t, head.replica.View().Epoch, tail.replica.View().Epoch)
 
-	tail.failing = true
-	s.perform(tail, tail.replica.step(s.now, tail.replica.saveMeta)) // whatever it writes
-	require.True(t, tail.silent)
-	tail.failing = false
-	s.run(2 * reopenEvery)
-	require.False(t, tail.silent)
+	tail.diskFailing = true
+	s.perform(tail, tail.replica.step(s.now, tail.replica.saveMeta)) // any write fails
+	require.True(t, tail.halted)
+	tail.diskFailing = false
+	s.run(2 * reopenInterval)
+	require.False(t, tail.halted)
 	read := s.read("c")
 	s.run(20 * time.Millisecond)
 	s.perform(tail, tail.replica.Receive(s.now, late))
-	answered = read.outcome == outcomeTaken
+	answered = read.outcome == outcomeCommitted
 	return answered, answered && read.state.Models["m"].Version < 7
 }
 
-// TestConfirmationsOfAnEarlierReplica: an answer to what a replica asked before its disk failed confirms nothing that is asked after it.
-func TestConfirmationsOfAnEarlierReplica(t *testing.T) {
-	answered, _ := lateAnswer(t, sound)
-	require.False(t, answered)
-	answered, old := lateAnswer(t, noncesReused)
-	require.True(t, answered && old, "the planted fault shows an old state as the newest")
+// TestConfirmationOfEarlierReplicaIgnored checks that a reply to a request from before a disk
+// failure confirms no read that starts after it.
+func TestConfirmationOfEarlierReplicaIgnored(t *testing.T) {
+	answered, _ := playLateConfirmation(t, noFault)
+	require.False(t, answered, "read answered by a confirmation for an earlier replica")
+	answered, stale := playLateConfirmation(t, faultReusedNonces)
+	require.True(t, answered && stale, "reused nonces: read answered = %v, from a stale state = %v, want both true", answered, stale)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -171,7 +171,7 @@
 		c.store.MarkSynced() // a disk failure is detected by the next write
 	}
 	c.leaseRenewals.SetEpoch(c.sinceStart(), c.replica.View().Epoch)
-	if c.replica.Current(c.sinceStart()) {
+	if c.replica.HasQuorum(c.sinceStart()) {
 		c.lastCurrentAt = c.sinceStart()
 	}
 	c.publish(false)
@@ -195,22 +195,22 @@
 		envelope := &out.Messages[i]
 		c.pool.Post(envelope.To.Addr, distribute.KindCore, &envelope.Message)
 	}
-	if out.Committed || out.ViewNew {
+	if out.StateChanged || out.ViewChanged {
 		c.propagation.recordCommit(c.sinceStart(), c.replica.State().Seq)
 		c.publish(true)
 	}
-	for _, nonce := range out.Confirmed {
+	for _, nonce := range out.ConfirmedReads {
 		if waiter := c.confirmationWaiters[nonce]; waiter != nil {
 			close(waiter)
 			delete(c.confirmationWaiters, nonce)
 		}
 	}
-	if out.ViewNew {
+	if out.ViewChanged {
 		view := c.replica.View()
 		c.log.Info().Str("step", "view").Uint64("epoch", view.Epoch).Interface("chain", view.Chain).
 			Int("acceptors", len(view.Acceptors)).Msg("view installed")
 		// No replica is current under a view before others have confirmed that they have it.
-		c.applyOutput(c.replica.Beat(c.sinceStart()))
+		c.applyOutput(c.replica.SendHeartbeat(c.sinceStart()))
 	}
 }
 
@@ -235,7 +235,7 @@
 // state and view stay as published before, because the replica may be ahead of its disk.
 func (c *Controller) publish(changed bool) {
 	old := c.published.Load()
-	current := c.diskFailedAt.IsZero() && c.replica.Current(c.sinceStart())
+	current := c.diskFailedAt.IsZero() && c.replica.HasQuorum(c.sinceStart())
 	members := c.rateLimitedMembers(old)
 	if old != nil && !changed && old.current == current &&
 		old.members.Digest == members.Digest {
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -38,7 +38,7 @@
 	c.incarnation++
 	c.replica = chain.New(chain.Options{
 		Self:       c.selfMember(saved.Meta.Identity),
-		Copies:     c.settings.MachineFaultTolerance + 1,
+		MinCopies:  c.settings.MachineFaultTolerance + 1,
 		Timing:     chain.DefaultTiming(),
 		FirstNonce: randomNonce(),
 	}, saved)
@@ -60,15 +60,15 @@
 }
 
 // loadStore opens the store and loads its contents.
-func (c *Controller) loadStore() (*durable.Store, chain.Saved, error) {
+func (c *Controller) loadStore() (*durable.Store, chain.PersistedState, error) {
 	store, err := durable.Open(c.settings.DataDirectory)
 	if err != nil {
-		return nil, chain.Saved{}, err
+		return nil, chain.PersistedState{}, err
 	}
 	saved, err := store.Load()
 	if err != nil {
 		store.Close()
-		return nil, chain.Saved{}, err
+		return nil, chain.PersistedState{}, err
 	}
 	return store, saved, nil
 }
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -203,7 +203,7 @@
 			return
 		}
 		var out chain.Output
-		nonce, out = c.replica.Confirm(c.sinceStart())
+		nonce, out = c.replica.ConfirmEpoch(c.sinceStart())
 		c.confirmationWaiters[nonce] = confirmed
 		c.applyOutput(out)
 	})
--- a/internal/tally/world_test.go
+++ b/internal/tally/world_test.go
@@ -7,126 +7,136 @@
 	"time"
 )
 
-// A simulated core plays real replicas against disks and links of its own. Time is a number of units, and each event is chosen by the test:
-// messages wait on their links until they are delivered or lost, writes until their sync ends or the power goes.
+// The simulation in this file runs real replicas on simulated disks and links. The test chooses each
+// event: messages stay on their links until they are delivered or lost, and writes stay pending until
+// their sync completes or power is lost.
 
-const unit = time.Millisecond
+// tickInterval is the unit of simulated time.
+const tickInterval = time.Millisecond
 
-// modelTiming is of few units, so that short histories meet each limit.
-func modelTiming() Timing {
+// testTiming returns timeouts of few ticks, so that short histories reach each of them.
+func testTiming() Timing {
 	return Timing{
-		Gossip: unit, Probe: unit, Reach: 3 * unit, Silence: 2 * unit, Forget: time.Hour, Resend: 2 * unit, Relay: 2 * unit,
-		Answer: 4 * unit, Stall: 3 * unit, Slow: 2 * unit, SlowFor: 2 * unit, Pause: 2 * unit, FirstWait: 2 * unit,
+		GossipInterval: tickInterval, ProbeInterval: tickInterval,
+		RoundTripTimeout: 3 * tickInterval, SilenceTimeout: 2 * tickInterval, PeerExpiry: time.Hour,
+		RetransmitTimeout: 2 * tickInterval, RelayDelay: 2 * tickInterval,
+		AddTimeout: 4 * tickInterval, WriteTimeout: 3 * tickInterval, SlowWrite: 2 * tickInterval,
+		SlowDiskBackoff: 2 * tickInterval, PauseThreshold: 2 * tickInterval, StartupWait: 2 * tickInterval,
 	}
 }
 
-// fault is planted to show that the checks find it.
+// fault is injected to verify that the checks detect it.
 type fault int
 
 const (
-	noFault              fault = iota
-	acknowledgedUnsynced       // a write is reported before it lasts
-	mergedBySum                // an id counts again where it comes from another machine
-	readWhileEmpty             // an empty disk is taken for one that misses nothing
-	dotUsedAgain               // what was sent is lost with the power, and its number given to another add
+	noFault            fault = iota
+	ackBeforeSync            // a write is reported before it is synced
+	countPerOrigin           // an id counts once per origin
+	readyWithEmptyDisk       // an empty disk is treated as complete
+	reuseDots                // adds are sent before their sync, and their dots are reused after a power loss
 )
 
-// call is an add that a caller may send: to a machine, once.
+// call is an add that a caller may send once, to a node given by index.
 type call struct {
-	machine int
-	add     Add
+	node int
+	add  Add
 }
 
-// limits bound what happens in a history.
+// limits holds the numbers of events that may still happen. Bit i of callMask allows call i.
 type limits struct {
-	ticks, powerCuts, lostDisks, lostMessages, twice, adds int
+	ticks, powerLosses, diskLosses, connectionLosses, duplicates, callMask int
 }
 
-// disk is what lasts, and the write that is under way.
+// disk is a simulated disk.
 type disk struct {
-	lasting []Batch
-	pending []*Batch // more than one only where a write is reported too early
+	synced  []Batch
+	pending []*Batch // more than one only if a fault reports writes before their sync
 }
 
+// node is a simulated machine.
 type node struct {
-	addr    string
-	disk    disk
-	replica *Replica
-	life    uint64
-	started time.Duration
-	wiped   map[string]bool // acknowledged on enough disks when this disk was lost
-	acked   map[string]bool // acknowledged here in this life
+	addr                string
+	disk                disk
+	replica             *Replica
+	incarnation         uint64
+	startedAt           time.Duration
+	ackedBeforeDiskLoss map[string]bool // ids of adds acknowledged on enough disks when this disk was lost
+	acked               map[string]bool // ids of adds acknowledged here since the last start
 }
 
-// acknowledged is an add that a caller was told of.
-type acknowledged struct {
-	add    Add
-	by     int
-	disks  int  // that had it then
-	excuse bool // its machine lost its disk since
+// acknowledgement records that an add was acknowledged by a node, given by index.
+type acknowledgement struct {
+	add      Add
+	node     int
+	disks    int  // number of disks that had the add at that time
+	diskLost bool // the node has lost its disk since
 }
 
-// core is the simulated machines and all that is on its way.
-type core struct {
-	fault   fault
-	copies  int
-	now     time.Duration
-	nodes   []*node
-	links   map[[2]int][]*Message
-	calls   []call
-	left    limits
-	issued  []Add
-	acked   []acknowledged
-	tokens  map[uint64]call
-	token   uint64
-	origins uint64
-	broken  error
-	cut     map[[2]int]bool // links that lose all that is sent
-	cuts    bool            // there was such a link since all last went well
+// cluster is the state of the simulation: the nodes and the messages in flight.
+type cluster struct {
+	fault        fault
+	remoteCopies int
+	now          time.Duration
+	nodes        []*node
+	links        map[[2]int][]*Message
+	calls        []call
+	remaining    limits
+	issued       []Add
+	acked        []acknowledgement
+	callsByToken map[uint64]call
+	lastToken    uint64
+	lastOrigin   uint64
+	violation    error
+	cutLinks     map[[2]int]bool // directed links that lose all messages
+	disrupted    bool            // messages were cut off or late since the last heal
 }
 
-func newCore(machines, copies int, planted fault, allowed limits, calls ...call) *core {
-	c := &core{fault: planted, copies: copies, links: map[[2]int][]*Message{}, calls: calls, left: allowed, tokens: map[uint64]call{}, cut: map[[2]int]bool{}}
-	for i := range machines {
+func newCluster(nodes, remoteCopies int, injected fault, allowed limits, calls ...call) *cluster {
+	c := &cluster{
+		fault: injected, remoteCopies: remoteCopies, links: map[[2]int][]*Message{}, calls: calls, remaining: allowed,
+		callsByToken: map[uint64]call{}, cutLinks: map[[2]int]bool{},
+	}
+	for i := range nodes {
 		c.nodes = append(c.nodes, &node{addr: fmt.Sprint("m", i)})
 	}
-	for i := range machines {
-		c.nodes[i].disk.lasting = []Batch{{NewOrigin: c.newOrigin(), Complete: true}}
-		c.boot(i)
+	for i := range nodes {
+		c.nodes[i].disk.synced = []Batch{{NewOrigin: c.newOrigin(), Complete: true}}
+		c.startNode(i)
 	}
 	return c
 }
 
-func (c *core) newOrigin() Origin {
-	c.origins++
-	return Origin(c.origins)
+func (c *cluster) newOrigin() Origin {
+	c.lastOrigin++
+	return Origin(c.lastOrigin)
 }
 
-// settled is a core in which all have met, and some calls have been answered.
-func (c *core) settled(before ...call) *core {
+// converge runs the cluster until all nodes have exchanged messages, then submits the given calls and lets
+// each complete.
+func (c *cluster) converge(before ...call) *cluster {
 	for range 4 {
 		c.tick()
 		for range 4 {
-			c.settleDown()
+			c.settle()
 		}
 	}
 	for _, sent := range before {
-		c.send(sent)
+		c.submit(sent)
 		for range 4 {
-			c.settleDown()
+			c.settle()
 		}
 	}
 	return c
 }
 
-// load reads a disk as the log does.
-func (c *core) load(d *disk) Saved {
-	saved := Saved{Set: NewSet()}
-	for i := range d.lasting {
-		b := &d.lasting[i]
+// load returns the state on a disk, as tallylog.Open does.
+func (c *cluster) load(d *disk) SavedState {
+	saved := SavedState{Set: NewSet()}
+	for i := range d.synced {
+		b := &d.synced[i]
 		for j := range b.Runs {
 			if !saved.Set.Insert(&b.Runs[j]) {
-				c.broken = errors.New("a gap in an origin's numbers on disk")
+				c.violation = errors.New("load disk: gap in the sequence numbers of an origin")
 			}
 		}
 		if b.NewOrigin != 0 {
@@ -137,93 +147,96 @@
 	return saved
 }
 
-// boot starts a machine on what is on its disk.
-func (c *core) boot(i int) {
+// startNode starts a node with the state on its disk.
+func (c *cluster) startNode(i int) {
 	n := c.nodes[i]
-	if len(n.disk.lasting) == 0 {
-		n.disk.lasting = []Batch{{NewOrigin: c.newOrigin(), Complete: c.fault == readWhileEmpty}}
+	if len(n.disk.synced) == 0 {
+		n.disk.synced = []Batch{{NewOrigin: c.newOrigin(), Complete: c.fault == readyWithEmptyDisk}}
 	}
-	n.life++
-	n.started, n.acked = c.now, map[string]bool{}
+	n.incarnation++
+	n.startedAt, n.acked = c.now, map[string]bool{}
 	n.replica = New(c.now, Options{
-		Self: n.addr, Life: n.life, ClockBase: clockBase(n.life), Copies: c.copies, MostAdds: 1 << 20,
-		NewOrigin: c.newOrigin, Timing: modelTiming(),
+		Self: n.addr, Incarnation: n.incarnation, ClockBase: clockBase(n.incarnation), RemoteCopies: c.remoteCopies, MaxAdds: 1 << 20,
+		NewOrigin: c.newOrigin, Timing: testTiming(),
 	}, c.load(&n.disk))
 	var addrs []string
 	for _, other := range c.nodes {
 		addrs = append(addrs, other.addr)
 	}
 	n.replica.SetPeers(c.now, addrs)
-	c.perform(i, n.replica.Tick(c.now))
+	c.execute(i, n.replica.Tick(c.now))
 }
 
-func (c *core) indexOf(addr string) int {
+func (c *cluster) nodeIndex(addr string) int {
 	return slices.IndexFunc(c.nodes, func(n *node) bool { return n.addr == addr })
 }
 
-func (c *core) perform(i int, out Output) {
+// execute applies a replica's output: it starts the write, sends the messages and records the results.
+func (c *cluster) execute(i int, out Output) {
 	n := c.nodes[i]
 	if out.Write != nil {
 		n.disk.pending = append(n.disk.pending, out.Write)
 	}
 	for _, e := range out.Messages {
-		link := [2]int{i, c.indexOf(e.To)}
-		if c.cut[link] {
+		link := [2]int{i, c.nodeIndex(e.To)}
+		if c.cutLinks[link] {
 			continue
 		}
-		c.links[link] = append(c.links[link], c.spoil(i, e.Message))
+		c.links[link] = append(c.links[link], c.injectMessageFault(i, e.Message))
 	}
-	for _, a := range out.Answers {
-		c.answered(i, a)
+	for _, a := range out.Results {
+		c.recordResult(i, a)
 	}
-	if out.Write != nil && (c.fault == acknowledgedUnsynced || c.fault == dotUsedAgain) {
-		c.perform(i, n.replica.Synced(c.now))
+	if out.Write != nil && (c.fault == ackBeforeSync || c.fault == reuseDots) {
+		c.execute(i, n.replica.WriteSucceeded(c.now))
 	}
 }
 
-// spoil plants the faults of messages.
-func (c *core) spoil(i int, m *Message) *Message {
-	if c.fault != mergedBySum {
+// injectMessageFault returns a message with the injected fault, if that concerns messages.
+func (c *cluster) injectMessageFault(i int, m *Message) *Message {
+	if c.fault != countPerOrigin {
 		return m
 	}
-	spoilt := *m
-	spoilt.Runs = nil
+	faulty := *m
+	faulty.Runs = nil
 	for _, run := range m.Runs {
 		adds := slices.Clone(run.Adds)
 		for j := range adds {
 			adds[j].ID = fmt.Sprint(adds[j].ID, "@", run.Origin)
 		}
-		spoilt.Runs = append(spoilt.Runs, Run{Origin: run.Origin, First: run.First, Adds: adds})
+		faulty.Runs = append(faulty.Runs, Run{Origin: run.Origin, First: run.First, Adds: adds})
 	}
-	return &spoilt
+	return &faulty
 }
 
-func (c *core) answered(i int, a Answer) {
-	sent := c.tokens[a.Token]
+// recordResult records and checks the result of a call.
+func (c *cluster) recordResult(i int, a Result) {
+	sent := c.callsByToken[a.Token]
 	switch a.Outcome {
 	case Acknowledged:
 		c.nodes[i].acked[sent.add.ID] = true
-		c.acked = append(c.acked, acknowledged{add: sent.add, by: i, disks: c.disksWith(sent.add)})
-		c.checkCopies(i, sent.add)
+		c.acked = append(c.acked, acknowledgement{add: sent.add, node: i, disks: c.countDisksWith(sent.add)})
+		c.checkAcknowledgement(i, sent.add)
 	case Refused:
-		c.checkNothingDone(i, sent.add)
+		c.checkRefusal(i, sent.add)
 	}
 }
 
-// disksWith counts the disks that an add lasts on.
-func (c *core) disksWith(add Add) (count int) {
+// countDisksWith returns the number of disks that have synced an add.
+func (c *cluster) countDisksWith(add Add) (count int) {
 	for _, n := range c.nodes {
-		if onDisk(&n.disk, add) {
+		if diskContains(&n.disk, add) {
 			count++
 		}
 	}
 	return count
 }
 
-func onDisk(d *disk, add Add) bool {
-	for i := range d.lasting {
-		for j := range d.lasting[i].Runs {
-			if slices.Contains(d.lasting[i].Runs[j].Adds, add) {
+// diskContains reports whether a disk has synced an add.
+func diskContains(d *disk, add Add) bool {
+	for i := range d.synced {
+		for j := range d.synced[i].Runs {
+			if slices.Contains(d.synced[i].Runs[j].Adds, add) {
 				return true
 			}
 		}
@@ -231,27 +244,27 @@
 	return false
 }
 
-// checkCopies holds an acknowledgement against the machine's own disk.
-func (c *core) checkCopies(i int, add Add) {
-	if c.fault != dotUsedAgain && !onDisk(&c.nodes[i].disk, add) {
-		c.broken = fmt.Errorf("%s acknowledged %v, which is not on its disk", c.nodes[i].addr, add)
+// checkAcknowledgement checks that an acknowledged add is on the node's own disk.
+func (c *cluster) checkAcknowledgement(i int, add Add) {
+	if c.fault != reuseDots && !diskContains(&c.nodes[i].disk, add) {
+		c.violation = fmt.Errorf("%s acknowledged %v: got no copy on its disk, want one", c.nodes[i].addr, add)
 	}
 }
 
-// checkNothingDone holds a refusal against the disk: unless another call brought the add, it is not there.
-func (c *core) checkNothingDone(i int, add Add) {
+// checkRefusal checks that a refused add is on no disk, unless another call sent the same add.
+func (c *cluster) checkRefusal(i int, add Add) {
 	sent := 0
 	for _, other := range c.issued {
 		if other == add {
 			sent++
 		}
 	}
-	if sent == 1 && c.disksWith(add) > 0 {
-		c.broken = fmt.Errorf("%s refused %v, which is on a disk", c.nodes[i].addr, add)
+	if sent == 1 && c.countDisksWith(add) > 0 {
+		c.violation = fmt.Errorf("%s refused %v: got a copy on a disk, want none", c.nodes[i].addr, add)
 	}
 }
 
-// event is one thing that may happen.
+// event is an event of the simulation. What a and b mean depends on the kind.
 type event struct {
 	kind string
 	a, b int
@@ -259,10 +272,10 @@
 
 func (e event) String() string { return fmt.Sprintf("%s %d %d", e.kind, e.a, e.b) }
 
-// events gives all that may happen next.
-func (c *core) events() (all []event) {
+// possibleEvents returns all events that may happen next.
+func (c *cluster) possibleEvents() (all []event) {
 	for i := range c.calls {
-		if c.left.adds&(1<<i) != 0 {
+		if c.remaining.callMask&(1<<i) != 0 {
 			all = append(all, event{"add", i, 0})
 		}
 	}
@@ -272,128 +285,133 @@
 				continue
 			}
 			all = append(all, event{"deliver", i, j})
-			if c.left.lostMessages > 0 {
-				all = append(all, event{"lose", i, j})
+			if c.remaining.connectionLosses > 0 {
+				all = append(all, event{"lose connection", i, j})
 			}
-			if c.left.twice > 0 {
-				all = append(all, event{"twice", i, j})
+			if c.remaining.duplicates > 0 {
+				all = append(all, event{"deliver duplicate", i, j})
 			}
 		}
 		if len(c.nodes[i].disk.pending) > 0 {
 			all = append(all, event{"sync", i, 0})
 		}
-		if c.left.powerCuts > 0 {
-			all = append(all, event{"power", i, 0})
+		if c.remaining.powerLosses > 0 {
+			all = append(all, event{"power loss", i, 0})
 			if len(c.nodes[i].disk.pending) > 0 {
-				all = append(all, event{"power, written", i, 0})
+				all = append(all, event{"power loss, write kept", i, 0})
 			}
 		}
-		if c.left.lostDisks > 0 {
-			all = append(all, event{"disk", i, 0})
+		if c.remaining.diskLosses > 0 {
+			all = append(all, event{"disk loss", i, 0})
 		}
 	}
-	if c.left.ticks > 0 {
+	if c.remaining.ticks > 0 {
 		all = append(all, event{"tick", 0, 0})
 	}
 	return all
 }
 
-// apply lets an event happen.
-func (c *core) apply(e event) {
+// apply executes an event.
+func (c *cluster) apply(e event) {
 	link := [2]int{e.a, e.b}
 	switch e.kind {
 	case "add":
-		c.left.adds &^= 1 << e.a
-		c.send(c.calls[e.a])
+		c.remaining.callMask &^= 1 << e.a
+		c.submit(c.calls[e.a])
 	case "deliver":
 		m := c.links[link][0]
 		c.links[link] = c.links[link][1:]
 		c.receive(e.b, m)
-	case "twice":
-		c.left.twice--
+	case "deliver duplicate":
+		c.remaining.duplicates--
 		c.receive(e.b, c.links[link][0])
-	case "lose":
-		c.left.lostMessages--
-		c.links[link] = nil // a connection's end takes all that waits on it
+	case "lose connection":
+		c.remaining.connectionLosses--
+		c.links[link] = nil // a closed connection loses all its messages
 	case "sync":
-		c.synced(e.a)
-	case "power":
-		c.left.powerCuts--
-		c.powerCut(e.a, false)
-	case "power, written":
-		c.left.powerCuts--
-		c.powerCut(e.a, true)
-	case "disk":
-		c.left.lostDisks--
+		c.completeSync(e.a)
+	case "power loss":
+		c.remaining.powerLosses--
+		c.losePower(e.a, false)
+	case "power loss, write kept":
+		c.remaining.powerLosses--
+		c.losePower(e.a, true)
+	case "disk loss":
+		c.remaining.diskLosses--
 		c.loseDisk(e.a)
 	case "tick":
-		c.left.ticks--
+		c.remaining.ticks--
 		c.tick()
 	}
 }
 
-func (c *core) send(sent call) {
-	c.token++
-	c.tokens[c.token] = sent
+// submit sends a call to its node.
+func (c *cluster) submit(sent call) {
+	c.lastToken++
+	c.callsByToken[c.lastToken] = sent
 	c.issued = append(c.issued, sent.add)
-	c.perform(sent.machine, c.nodes[sent.machine].replica.Add(c.now, c.token, sent.add))
+	c.execute(sent.node, c.nodes[sent.node].replica.Add(c.now, c.lastToken, sent.add))
 }
 
-func (c *core) receive(to int, m *Message) {
-	c.perform(to, c.nodes[to].replica.Receive(c.now, m))
+// receive delivers a message to a node.
+func (c *cluster) receive(to int, m *Message) {
+	c.execute(to, c.nodes[to].replica.Receive(c.now, m))
 }
 
-func (c *core) synced(i int) {
+// completeSync completes a node's oldest pending write.
+func (c *cluster) completeSync(i int) {
 	n := c.nodes[i]
-	n.disk.lasting = append(n.disk.lasting, *n.disk.pending[0])
+	n.disk.synced = append(n.disk.synced, *n.disk.pending[0])
 	n.disk.pending = n.disk.pending[1:]
-	if c.fault != acknowledgedUnsynced && c.fault != dotUsedAgain {
-		c.perform(i, n.replica.Synced(c.now))
+	if c.fault != ackBeforeSync && c.fault != reuseDots {
+		c.execute(i, n.replica.WriteSucceeded(c.now))
 	}
 }
 
-// powerCut ends a machine's process and starts it again; what was not synced may be there all the same.
-func (c *core) powerCut(i int, written bool) {
+// losePower restarts a node. Its pending writes are lost, except that the oldest one may be on disk.
+func (c *cluster) losePower(i int, writeKept bool) {
 	n := c.nodes[i]
-	if written {
-		n.disk.lasting = append(n.disk.lasting, *n.disk.pending[0])
+	if writeKept {
+		n.disk.synced = append(n.disk.synced, *n.disk.pending[0])
 	}
 	n.disk.pending = nil
 	for j := range c.nodes {
 		c.links[[2]int{i, j}], c.links[[2]int{j, i}] = nil, nil
 	}
-	c.boot(i)
+	c.startNode(i)
 }
 
-// loseDisk starts a machine anew on an empty disk.
-func (c *core) loseDisk(i int) {
+// loseDisk restarts a node with an empty disk.
+func (c *cluster) loseDisk(i int) {
 	n := c.nodes[i]
 	n.disk = disk{}
-	n.wiped = map[string]bool{}
+	n.ackedBeforeDiskLoss = map[string]bool{}
 	for k := range c.acked {
 		a := &c.acked[k]
-		if a.by == i {
-			a.excuse = true
+		if a.node == i {
+			a.diskLost = true
 		}
-		if a.disks > c.copies {
-			n.wiped[a.add.ID] = true
+		if a.disks > c.remoteCopies {
+			n.ackedBeforeDiskLoss[a.add.ID] = true
 		}
 	}
-	c.powerCut(i, false)
+	c.losePower(i, false)
 }
 
-func (c *core) tick() {
-	c.now += unit
+// tick advances the time by one tick on all nodes.
+func (c *cluster) tick() {
+	c.now += tickInterval
 	for i, n := range c.nodes {
-		c.perform(i, n.replica.Tick(c.now))
+		c.execute(i, n.replica.Tick(c.now))
 	}
 }
 
-// clockBase is where a life's clock begins, before or behind those of the lives before: it is drawn in the program.
-func clockBase(life uint64) int64 {
-	const lives = 1 << 20
-	if life%2 == 0 {
-		return int64(lives-life) * int64(time.Hour)
+// clockBase returns the start of an incarnation's clock, which may be earlier or later than that of the
+// previous one. In production it is random.
+func clockBase(incarnation uint64) int64 {
+	const offset = 1 << 20
+	if incarnation%2 == 0 {
+		return int64(offset-incarnation) * int64(time.Hour)
 	}
-	return int64(lives+life) * int64(time.Hour)
+	return int64(offset+incarnation) * int64(time.Hour)
 }
