--- a/internal/tally/peer.go
+++ b/internal/tally/peer.go
@@ -86,7 +86,8 @@
 	if p.incarnation != 0 {
 		p.pastIncarnations = append(p.pastIncarnations, p.incarnation)
 	}
-	// latestSentAt is reset because a new incarnation's clock may start earlier.
+	// latestSentAt is reset because each incarnation has its own ClockBase, so that SentAt values of
+	// different incarnations can't be compared.
 	p.incarnation, p.initialVector, p.nextGossip, p.latestSentAt = incarnation, nil, 0, 0
 	p.progress, p.acksPending = map[Origin]*originProgress{}, map[Origin]bool{}
 	return true
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -10,19 +10,19 @@
 type Timing struct {
 	GossipInterval    time.Duration // between full vectors to a peer that was heard within SilenceTimeout
 	ProbeInterval     time.Duration // between full vectors to other peers
-	RoundTripTimeout  time.Duration // a peer that has echoed no message sent within it is unreachable
-	SilenceTimeout    time.Duration // and so is a peer that has sent nothing for this long
+	RoundTripTimeout  time.Duration // a peer that has echoed no message sent within this time is unreachable
+	SilenceTimeout    time.Duration // a peer that has sent nothing for this long is unreachable
 	PeerExpiry        time.Duration // silence after which a peer that isn't permanent is removed
-	RetransmitTimeout time.Duration // adds that a peer hasn't acknowledged by then are sent again
+	RetransmitTimeout time.Duration // adds are sent again after this time without an acknowledgement
 	RelayDelay        time.Duration // adds of another origin that a peer lacks for this long are relayed
-	SuspectWindow     time.Duration // an unreachable peer that was heard within it is only suspected
-	SuspectWait       time.Duration // how long a call waits for suspected peers before the reachable ones suffice
-	AddTimeout        time.Duration // an add that isn't on enough disks by then is answered Unclear
+	SuspectWindow     time.Duration // an unreachable peer that was heard within this time is suspected
+	SuspectWait       time.Duration // how long a call waits for suspected peers before reachable ones suffice
+	AddTimeout        time.Duration // a call whose add isn't on enough disks after this time is answered Unclear
 	WriteTimeout      time.Duration // a write that takes longer counts as a disk failure
 	SlowWrite         time.Duration // after a write that took longer, adds are refused if a peer's disk is healthy
 	SlowDiskBackoff   time.Duration // how long adds are refused after a slow write
 	PauseThreshold    time.Duration // a longer gap between events means that this process was paused
-	StartupWait       time.Duration // for peers that have sent nothing since the start
+	StartupWait       time.Duration // how long reads after a start wait for a silent peer
 }
 
 // DefaultTiming returns values for callers that try another machine after one second; replicas merge
@@ -50,7 +50,7 @@
 // Options configures a replica.
 type Options struct {
 	Self         string // address of this machine
-	ClockBase    int64  // random at each start, nanoseconds; tells echoes of earlier starts apart
+	ClockBase    int64  // nanoseconds, random at each start; offset of SentAt that tells apart echoes of earlier starts
 	Incarnation  uint64 // random at each start
 	RemoteCopies int    // disks besides the local one that an add must be on, if reachable
 	MaxAdds      int    // capacity of the set, in adds; callers' adds are refused at ownAddsLimitPercent of it
@@ -62,7 +62,7 @@
 type SavedState struct {
 	Set      *Set
 	Origins  []Origin // of this disk's own adds, the newest last
-	Complete bool     // the disk has caught up with all that an earlier, lost one had
+	Complete bool     // the disk has lost no adds, or has caught up with the peers since
 }
 
 // ownAddsLimitPercent is the share of MaxAdds from which callers' adds are refused. The rest is reserved
@@ -78,7 +78,7 @@
 // waiter is a call that waits for an add to be on enough disks.
 type waiter struct {
 	token uint64
-	since time.Duration
+	since time.Duration // when the call arrived
 }
 
 // Replica is one machine's replica of the tallies. It isn't safe for concurrent use. Times are durations
@@ -101,13 +101,13 @@
 	waiters            map[Dot][]waiter
 	peers              map[string]*peer
 	ready              bool          // reads are answered
-	complete           bool          // the disk has caught up with all that an earlier, lost one had
-	completeSaved      bool          // and complete is recorded on disk
+	complete           bool          // the disk has lost no adds, or has caught up with the peers since
+	completeSaved      bool          // a batch with Complete set is on disk
 	diskFull           bool          // the disk has no room for callers' adds
 	slowUntil          time.Duration // end of the period in which the disk counts as slow
-	lastStep           time.Duration
+	lastStep           time.Duration // time of the latest event
 	ignoreSilenceUntil time.Duration // until then the silence of peers is no evidence of a partition
-	startedAt          time.Duration
+	startedAt          time.Duration // time at which New was called
 	draining           bool
 	counters           Counters
 }
--- a/internal/tally/types.go
+++ b/internal/tally/types.go
@@ -82,7 +82,7 @@
 type Batch struct {
 	NewOrigin Origin `cbor:"1,keyasint,omitempty"` // origin of this disk's adds from here on; 0: unchanged
 	Runs      []Run  `cbor:"2,keyasint,omitempty"`
-	Complete  bool   `cbor:"3,keyasint,omitempty"` // the disk has caught up with all that an earlier, lost one had
+	Complete  bool   `cbor:"3,keyasint,omitempty"` // the disk has lost no adds, or has caught up with the peers since
 }
 
 // Outcome is the outcome of a call to Add.
--- a/internal/tallylog/log.go
+++ b/internal/tallylog/log.go
@@ -75,7 +75,9 @@
 			l.Close()
 		}
 		if _, err := os.Stat(filepath.Join(dir, quarantineFileName)); err == nil {
-			options.Complete = false // power was lost after the rename and before the new file was created
+			// A corrupt log was renamed at an earlier start, for example just before a power loss. The new
+			// log may lack its adds.
+			options.Complete = false
 		}
 		l, saved, err = create(path, options)
 	}
@@ -178,7 +180,7 @@
 // Append fails until Recover succeeds.
 func (l *Log) Append(batch *tally.Batch) error {
 	if l.writeFailed {
-		return merry.New("tallylog: append batch: an earlier write failed")
+		return merry.New("tallylog: append batch: Recover is required after a failed write")
 	}
 	payload, err := cbor.Marshal(batch)
 	if err != nil {
--- a/internal/tallylog/scan.go
+++ b/internal/tallylog/scan.go
@@ -60,7 +60,7 @@
 	state          tally.SavedState
 	validBytes     int64 // length of the valid frames
 	confirmedBytes int64 // length of the part that a later frame confirms as synced
-	torn           bool  // the file has an unreadable frame behind the valid ones
+	torn           bool  // the valid frames are followed by an unreadable one
 }
 
 // scan reads a file up to its end or its first unreadable frame. It fails with a *CorruptionError if a
