--- a/internal/durable/compact.go
+++ b/internal/durable/compact.go
@@ -11,8 +11,8 @@
 )
 
 // compactIfNeeded counts the live records after a new snapshot, and compacts the file if it is
-// large and mostly obsolete. If that fails, the present file stays in use, and the next snapshot
-// tries again.
+// large and mostly obsolete. Errors are ignored because compaction is optional: the old file stays
+// in use, and the next snapshot tries again.
 func (s *Store) compactIfNeeded(records []chain.Record) {
 	if !slices.ContainsFunc(records, func(r chain.Record) bool { return r.Snapshot != nil }) {
 		return
@@ -23,10 +23,10 @@
 	}
 	s.liveBytes = 0
 	for key, value := range live {
-		s.liveBytes += int64(len(key) + len(value) + 40)
+		s.liveBytes += int64(len(key) + len(value) + recordOverheadBytes)
 	}
 	if s.sizeBytes > max(minCompactBytes, minCompactRatio*s.liveBytes) {
-		s.compact(live) // after a failure the old file stays in use
+		s.compact(live)
 	}
 }
 
@@ -51,7 +51,7 @@
 	if saved.State != nil {
 		snapshotSeq = saved.State.Seq
 	}
-	firstKey := entryKey(generation, snapshotSeq+1)
+	firstKey := entryKey(generation, snapshotSeq+1) // "entry/" and 8 digits are the generation's prefix
 	live := map[string]string{}
 	err = s.db.View(func(tx *buntdb.Tx) error {
 		return tx.Ascend("", func(key, value string) bool {
--- a/internal/durable/inspect.go
+++ b/internal/durable/inspect.go
@@ -40,10 +40,10 @@
 func Inspect(dir string) (*Report, error) {
 	numbers, err := listNumbers(dir)
 	if err != nil {
-		return nil, merry.Prepend(err, "inspect")
+		return nil, merry.Prepend(err, "durable: inspect")
 	}
 	if len(numbers) == 0 {
-		return nil, merry.New("inspect: " + dir + " contains no store")
+		return nil, merry.New("durable: inspect: " + dir + " contains no store")
 	}
 	report := &Report{}
 	var newest map[string][]byte
@@ -51,7 +51,7 @@
 		path := filePath(dir, n)
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return nil, merry.Prepend(err, "inspect")
+			return nil, merry.Prepend(err, "durable: inspect")
 		}
 		file, values := readFile(path, text)
 		report.Files = append(report.Files, file)
@@ -91,17 +91,17 @@
 func (r *Report) decode(values map[string][]byte) error {
 	if payload, ok := values[metaKey]; ok {
 		if err := cbor.Unmarshal(payload, &r.Meta); err != nil {
-			return merry.Prepend(err, "inspect: "+metaKey)
+			return merry.Prepend(err, "durable: inspect: decode "+metaKey)
 		}
 	}
 	if payload, ok := values[snapshotKey(r.Meta.Generation)]; ok {
 		var snapshot chain.Snapshot
 		if err := cbor.Unmarshal(payload, &snapshot); err != nil {
-			return merry.Prepend(err, "inspect: snapshot")
+			return merry.Prepend(err, "durable: inspect: decode snapshot")
 		}
 		state, err := replicated.Decode(snapshot.State)
 		if err != nil {
-			return merry.Prepend(err, "inspect: snapshot")
+			return merry.Prepend(err, "durable: inspect: decode the snapshot's state")
 		}
 		r.State = state
 	}
@@ -112,7 +112,7 @@
 		}
 		var entry chain.Entry
 		if err := cbor.Unmarshal(payload, &entry); err != nil {
-			return merry.Prepend(err, "inspect: "+key)
+			return merry.Prepend(err, "durable: inspect: decode "+key)
 		}
 		r.Entries = append(r.Entries, entry)
 	}
--- a/internal/durable/load.go
+++ b/internal/durable/load.go
@@ -37,7 +37,7 @@
 			return saved, merry.Prepend(err, "durable: decode snapshot")
 		}
 		if saved.State, err = replicated.Decode(snapshot.State); err != nil {
-			return saved, merry.Prepend(err, "durable: decode snapshot")
+			return saved, merry.Prepend(err, "durable: decode the snapshot's state")
 		}
 	}
 	saved.Entries, err = s.loadEntries(saved.Meta.Generation)
@@ -49,7 +49,8 @@
 }
 
 // checkContiguous checks that the loaded state has no gaps: the snapshot of a generation after the
-// first is present, and the entries follow it without a gap.
+// first is present, and the entries follow it without a gap. Entries that the snapshot already covers
+// may remain and are ignored here.
 func (s *Store) checkContiguous(saved *chain.PersistedState) error {
 	next := uint64(1)
 	if saved.State != nil {
@@ -69,7 +70,7 @@
 // loadEntries returns the log entries of a generation.
 func (s *Store) loadEntries(generation uint64) (entries []chain.Entry, err error) {
 	first := entryKey(generation, 0)
-	keyPrefix := first[:len("entry/")+9]
+	keyPrefix := first[:len("entry/")+9] // the generation's 8 digits and a slash
 	viewErr := s.db.View(func(tx *buntdb.Tx) error {
 		return tx.AscendGreaterOrEqual("", first, func(key, value string) bool {
 			if !strings.HasPrefix(key, keyPrefix) {
--- a/internal/durable/scan.go
+++ b/internal/durable/scan.go
@@ -23,8 +23,8 @@
 // castagnoli is the CRC-32C table.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// addChecksum prepends a checksum of key and payload to the payload. The framing of the log alone
-// does not reveal a lost page.
+// addChecksum prepends a checksum of key and payload to the payload. The length
+// fields of the log alone do not reveal that a page within a value was not written.
 func addChecksum(key string, payload []byte) string {
 	sum := crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, payload)
 	return string(append([]byte{byte(sum >> 24), byte(sum >> 16), byte(sum >> 8), byte(sum)}, payload...))
@@ -50,8 +50,8 @@
 	validBytes int64  // length of the valid records, from the start
 	reason     string // why the record after them cannot be read, "" if there is none
 	// damaged reports that a later part of the log contains a sync marker, so the unreadable record
-	// was valid once. Otherwise it was being written during a power loss, and so may have been what
-	// follows it.
+	// was valid once. Otherwise it is taken for a write that a power loss interrupted, and all that
+	// follows it is dropped with it.
 	damaged bool
 }
 
@@ -88,7 +88,7 @@
 func measureRecord(text []byte) (size int, reason string) {
 	parts, size, ok := parseCommand(text)
 	if !ok {
-		return 0, "torn record"
+		return 0, "malformed or truncated record"
 	}
 	if len(parts) != 3 || string(parts[0]) != "set" {
 		return 0, "unknown command"
@@ -100,7 +100,7 @@
 }
 
 // parseCommand parses one command in the format of the log: *N, then N times $LENGTH and as many
-// bytes, each terminated by CR LF.
+// bytes, each terminated by CR LF. It accepts at most 5 parts.
 func parseCommand(text []byte) (parts [][]byte, size int, ok bool) {
 	n, at, ok := parseLength(text, 0, '*')
 	if !ok || n < 1 || n > 5 {
@@ -118,7 +118,7 @@
 }
 
 // parseLength parses a line with a type byte and a number that starts at the offset at, and returns
-// the number and the offset of the next line.
+// the number and the offset of the next line. Lines are at most 16 bytes long.
 func parseLength(text []byte, at int, typeByte byte) (n, next int, ok bool) {
 	if at >= len(text) || text[at] != typeByte {
 		return 0, 0, false
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -1,7 +1,8 @@
 // Package durable stores a replica's records on disk in the log of buntdb. Beyond what buntdb does,
 // it syncs the log and checks the result, verifies the checksum of every value, truncates a write
 // torn by a power loss, distinguishes that from damage, and compacts into a new file. The new file
-// is durable before the old one is removed, instead of being renamed over it.
+// is durable before the old one is removed, instead of being renamed over it. The replica's log is
+// divided into generations: a snapshot that replaces the whole log starts a new one.
 package durable
 
 import (
@@ -22,27 +23,30 @@
 
 const (
 	metaKey       = "meta"
-	completeKey   = "complete" // last record of a compaction, and first record of a new store
+	completeKey   = "complete" // its presence says that the file was created completely; Open ignores a file without it
 	filePrefix    = "state-"
 	fileSuffix    = ".db"
 	damagedPrefix = "damaged-"
 
-	// minCompactBytes is the least size of a file that is compacted, and minCompactRatio its least
-	// ratio to the size of the live records.
+	// A file is compacted if it is larger than minCompactBytes and than minCompactRatio times its
+	// live records.
 	minCompactBytes = 4 << 20
 	minCompactRatio = 4
+
+	// recordOverheadBytes approximates what the log's framing adds to the key and value of a record.
+	recordOverheadBytes = 40
 )
 
 // Store is the open store of one directory.
 type Store struct {
 	dir        string
-	number     int
+	number     int // of the file in use; each compaction takes the next
 	path       string
 	db         *buntdb.DB
 	syncFile   *os.File // to sync what db writes
-	sizeBytes  int64    // of the file, from the records written
-	syncMarked bool     // nothing was synced since the last sync marker
-	liveBytes  int64    // of the records that a compaction would keep, as last counted
+	sizeBytes  int64    // estimate of the file's size: when opened, plus what was written since
+	syncMarked bool     // the last sync already has its marker
+	liveBytes  int64    // of the records that a compaction would keep, as last counted; the file size before that
 }
 
 // Open opens the store in a directory, or creates one if there is none. It fails with a
@@ -273,8 +277,8 @@
 	return syncDir(dir)
 }
 
-// Write makes records durable in their order. After an error none of them may be relied on; the
-// store then holds a prefix of them.
+// Write makes records durable in their order. After an error the open store holds a prefix of them,
+// and it is unknown which of them are on disk; Rewrite makes the file reliable again.
 func (s *Store) Write(records []chain.Record) error {
 	if len(records) == 0 {
 		return nil
@@ -330,7 +334,7 @@
 	if err != nil {
 		return merry.Prepend(err, "durable: write "+key)
 	}
-	s.sizeBytes += int64(len(key) + len(value) + 40)
+	s.sizeBytes += int64(len(key) + len(value) + recordOverheadBytes)
 	return nil
 }
 
