--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,7 @@
 // Package controller implements a core machine: a replica of the control state, the operator's HTTP
-// API, and the sessions of the mixers' agents. A single goroutine, the event loop, owns the replica
-// and the tables of agents and executes queued commands.
+// API, and the sessions of the mixers' agents. Each mixer machine runs a proxy and an agent; the
+// members are the agents with a session at any controller. A single goroutine, the event loop, owns
+// the replica and the tables of agents and executes queued commands.
 package controller
 
 import (
@@ -28,10 +29,12 @@
 	tickInterval         = 50 * time.Millisecond
 	commandQueueCapacity = 1024
 	reopenDelay          = 400 * time.Millisecond // after a failed write
-	// shutdownMargin is the part of the shutdown grace that is reserved for requests in progress to
-	// finish.
-	shutdownMargin     = 1200 * time.Millisecond
-	seedIdentitySuffix = "/first" // ends the identity of a seed at the first start, which all machines can derive
+	// shutdownMargin is the part of the time for a graceful shutdown (Bounds.Grace) that is reserved
+	// for requests in progress to finish.
+	shutdownMargin = 1200 * time.Millisecond
+	// seedIdentitySuffix is the suffix of a seed's identity at the first start. It is fixed, so that
+	// all machines derive the same identities.
+	seedIdentitySuffix = "/first"
 )
 
 // Controller is the program of one core machine.
@@ -86,12 +89,12 @@
 	view             chain.View
 	self             chain.NodeID
 	incarnation      uint64
-	current          bool
+	current          bool // in contact with a quorum, and the disk works
 	controllerAddrs  []string
 	seedAddrs        []string
 	members          *distribute.MemberSet
 	deltas           memberDeltas
-	versionHistories map[string]superseded.History // by model: since when each version is known to be wanted
+	versionHistories map[string]superseded.History // by model: when each wanted version came into force at the earliest
 	changed          chan struct{}
 }
 
@@ -214,9 +217,9 @@
 	}
 }
 
-// updateVersionHistories records when the wanted version of each model came into force: at the
-// earliest when this controller was last current and therefore knew that another version was
-// wanted.
+// updateVersionHistories records the earliest time at which the wanted version of each model can
+// have come into force: the last time that this controller had the newest state, which still named
+// another version.
 func updateVersionHistories(
 	old *publishedState, state *replicated.State, lastCurrentAt time.Duration,
 ) map[string]superseded.History {
@@ -231,13 +234,14 @@
 	return histories
 }
 
-// publish replaces the published state if it differs or if changed is set. While the disk fails,
-// state and view stay as published before, because the replica may be ahead of its disk.
-func (c *Controller) publish(changed bool) {
+// publish replaces the published state if the quorum contact or the members changed, or if force is
+// set. Callers set force when the state, view or seeds may have changed. While the disk fails, state
+// and view stay as published before, because the replica may be ahead of its disk.
+func (c *Controller) publish(force bool) {
 	old := c.published.Load()
 	current := c.diskFailedAt.IsZero() && c.replica.HasQuorum(c.sinceStart())
-	members := c.rateLimitedMembers(old)
-	if old != nil && !changed && old.current == current &&
+	members := c.membersToPublish(old)
+	if old != nil && !force && old.current == current &&
 		old.members.Digest == members.Digest {
 		return
 	}
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -38,7 +38,7 @@
 	c.incarnation++
 	c.replica = chain.New(chain.Options{
 		Self:       c.selfMember(saved.Meta.Identity),
-		MinCopies:  c.settings.MachineFaultTolerance + 1,
+		MinCopies:  c.settings.MachineFaultTolerance + 1, // includes this machine
 		Timing:     chain.DefaultTiming(),
 		FirstNonce: randomNonce(),
 	}, saved)
@@ -51,8 +51,9 @@
 	return nil
 }
 
-// randomNonce returns a random first nonce for confirmations. The chance that it overlaps with
-// nonces of an earlier start is about 2^-40.
+// randomNonce returns a random first nonce for confirmations, so that a late confirmation of an
+// earlier start does not count for this one. The chance that the nonces of two starts overlap is
+// about 2^-40.
 func randomNonce() uint64 {
 	var random [8]byte
 	rand.Read(random[:])
@@ -75,7 +76,8 @@
 
 // initialMeta returns the metadata of an empty disk. At the first start of the whole system the
 // seeds form the first view, which all machines derive alike. Any other machine joins with a new
-// random identity, which is not bound by promises that a lost or damaged disk may have recorded.
+// random identity: a lost or damaged disk may have recorded promises that the old identity would
+// have to keep.
 func (c *Controller) initialMeta(damaged bool) chain.Meta {
 	if c.settings.FirstStart && !damaged && slices.Contains(c.settings.Seeds, c.settings.ControlAddr) {
 		view := chain.View{Epoch: 1}
@@ -103,7 +105,7 @@
 		return
 	}
 	if err := c.store.Rewrite(); err != nil {
-		c.log.Error().Err(err).Str("step", "reopen").Msg("cannot reopen the store; will retry")
+		c.log.Error().Err(err).Str("step", "reopen").Msg("cannot rewrite the store after a failed write; will retry")
 		return
 	}
 	c.diskFailedAt = time.Time{}
--- a/internal/controller/roster.go
+++ b/internal/controller/members.go
@@ -116,9 +116,10 @@
 	}
 }
 
-// rateLimitedMembers returns the member set to publish: the present one if nothing changed or if it
-// was published too recently. Each tick calls it again.
-func (c *Controller) rateLimitedMembers(old *publishedState) *distribute.MemberSet {
+// membersToPublish returns the member set to publish: the one published before if nothing changed
+// or if it was published less than knownAgentCount times publishIntervalPerMember ago. A later tick
+// then publishes the change. It resets membersChanged when it computes a new set.
+func (c *Controller) membersToPublish(old *publishedState) *distribute.MemberSet {
 	if old != nil && (!c.membersChanged || time.Since(c.membersPublishedAt) < time.Duration(c.knownAgentCount())*publishIntervalPerMember) {
 		return old.members
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -13,7 +13,7 @@
 // have a session here.
 type Status struct {
 	Controller    string                             `json:"controller"`
-	Current       bool                               `json:"current"` // in contact with a quorum of the core
+	Current       bool                               `json:"current"` // in contact with a quorum of the core, and the disk works
 	DiskFails     bool                               `json:"disk_fails"`
 	Epoch         uint64                             `json:"epoch"`
 	Chain         []string                           `json:"chain"` // head first
@@ -23,7 +23,7 @@
 	ConfigVersion int64                              `json:"config_version"`     // of the configuration in force
 	Evacuated     []string                           `json:"evacuated"`
 	Models        map[string]replicated.ModelVersion `json:"models"`
-	Leases        map[string]replicated.LeaseRecord  `json:"duties"`
+	Leases        map[string]replicated.LeaseRecord  `json:"duties"` // "duties" is the name of the leases in the API
 	Mixers        int                                `json:"mixers"` // with a session at any controller
 	Sessions      []SessionStatus                    `json:"sessions"`
 	Tallies       *TallyStatus                       `json:"tallies,omitempty"` // nil where tallies are disabled
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -19,8 +19,8 @@
 	// limit for such operations.
 	largeBodyBytes      = 64 << 10
 	largeRequestTimeout = 1800 * time.Millisecond
-	// retryInterval is the pause after an attempt that failed for lack of a chain or because it was
-	// busy.
+	// retryInterval is the pause between the attempts of an operation or a read. Attempts fail, for
+	// example, while no chain is in force or the head is busy.
 	retryInterval = 20 * time.Millisecond
 	// applyWaitTimeout limits how long an acknowledgement waits for the mixers to apply the
 	// operation.
@@ -81,7 +81,7 @@
 // submitAsHead proposes an operation to this replica and waits until it is committed and confirmed.
 func (c *Controller) submitAsHead(ctx context.Context, request *distribute.SubmitRequest) (*distribute.SubmitReply, error) {
 	var seq, fencingToken uint64
-	var idle time.Duration
+	var predecessorIdle time.Duration
 	var instance replicaInstance
 	var proposeErr error
 	err := c.runInLoop(ctx, func() {
@@ -98,7 +98,7 @@
 		seq, out, proposeErr = c.replica.Propose(c.sinceStart(), &request.Operation)
 		fencingToken = stateBefore.FencingTokenAfter(&request.Operation, seq)
 		if proposeErr == nil && request.Operation.Kind == replicated.KindLease {
-			idle = c.leaseRenewals.RecordRenewal(c.sinceStart(), instance.epoch, request.Operation.LeaseName, request.Operation.Holder)
+			predecessorIdle = c.leaseRenewals.RecordRenewal(c.sinceStart(), instance.epoch, request.Operation.LeaseName, request.Operation.Holder)
 		}
 		c.applyOutput(out)
 	})
@@ -120,7 +120,7 @@
 	}
 	reply := &distribute.SubmitReply{Outcome: distribute.OutcomeCommitted, Seq: seq}
 	if request.Operation.Kind == replicated.KindLease {
-		reply.PredecessorIdleMS = idle.Milliseconds()
+		reply.PredecessorIdleMS = predecessorIdle.Milliseconds()
 		// The present state may already hold the token of another holder.
 		reply.FencingToken = fencingToken
 		return reply, nil
--- a/internal/controller/tallies.go
+++ b/internal/controller/tallies.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// contractTallies is the contract in the settings that enables tallies.
+	// contractTallies is the value in the contracts setting that enables tallies.
 	contractTallies = "apart"
 	// addsMemoryPercent is the part of a machine's memory that adds may use, and bytesPerAdd the
 	// memory that one add uses.
 	addsMemoryPercent = 35
 	bytesPerAdd       = 80
-	// logDiskPercent is the part of a machine's disk at which no more adds are accepted: the
-	// control state needs the rest.
+	// logDiskPercent is the tally log's share of a machine's disk from which no more adds are
+	// accepted: the control state needs the rest.
 	logDiskPercent = 40
 	// peerRefreshInterval is how often the peers are updated from the seeds and the view.
 	peerRefreshInterval = 500 * time.Millisecond
@@ -46,7 +46,7 @@
 	batches        chan *tally.Batch
 	done           chan struct{}
 	loaded         atomic.Bool // the log is loaded; before that no command is accepted
-	flushed        atomic.Bool // the reachable peers have all adds accepted here
+	flushed        atomic.Bool // the reachable peers have all adds accepted here; true until the log is loaded
 	logBytes       atomic.Int64
 	peerAddrs      func() []string
 	tallyLog       *tallylog.Log // belongs to the writer goroutine
@@ -68,10 +68,12 @@
 		commands:    make(chan func(), commandQueueCapacity), batches: make(chan *tally.Batch, 1), done: make(chan struct{}),
 		peerAddrs: c.tallyPeerAddrs, pendingAdds: map[uint64]chan tally.Result{},
 		replicaOptions: tally.Options{
-			Self:         c.settings.InternalAddr(c.settings.IP),
-			Incarnation:  randomNonce(),
+			Self:        c.settings.InternalAddr(c.settings.IP),
+			Incarnation: randomNonce(), // identifies this start of the process
+			// A random start of the clock distinguishes echoes of messages of an earlier start. The
+			// shift leaves room to count up.
 			ClockBase:    int64(randomNonce() >> 1),
-			RemoteCopies: c.settings.MachineFaultTolerance,
+			RemoteCopies: c.settings.MachineFaultTolerance, // besides this machine
 			MaxAdds:      c.settings.MemoryMB << 20 / 100 * addsMemoryPercent / bytesPerAdd,
 			NewOrigin:    randomOrigin,
 			Timing:       tally.DefaultTiming(),
@@ -79,6 +81,8 @@
 	}
 	t.flushed.Store(true)
 	t.logOptions = tallylog.Options{
+		// Without a log, no tallies were lost if the system starts for the first time or if this
+		// disk stored the control state before it stored tallies.
 		Complete:  c.settings.FirstStart || durable.Exists(c.settings.DataDirectory),
 		NewOrigin: randomOrigin,
 	}
@@ -119,7 +123,7 @@
 // errShuttingDown is returned to calls that the shutdown interrupts.
 var errShuttingDown = errors.New("this machine ends")
 
-// randomOrigin returns a random nonzero origin.
+// randomOrigin returns a random nonzero ID for a disk's sequence of adds.
 func randomOrigin() tally.Origin {
 	var random [8]byte
 	rand.Read(random[:])
--- a/internal/controller/tallies_status.go
+++ b/internal/controller/tallies_status.go
@@ -13,8 +13,8 @@
 	NotReadyReason string            `json:"not_ready,omitempty"`
 	DiskFails      bool              `json:"disk_fails"`
 	DiskSlow       bool              `json:"disk_slow"`
-	Adds           int               `json:"adds"`
-	Origins        int               `json:"origins"`
+	Adds           int               `json:"adds"`    // adds stored here, including those of other machines
+	Origins        int               `json:"origins"` // sequences of adds known here, one for each disk that numbered adds
 	LogBytes       int64             `json:"log_bytes"`
 	Behind         uint64            `json:"behind"` // adds that a peer has and this machine lacks
 	Calls          uint64            `json:"calls"`  // adds that callers sent since the start
