--- a/internal/lab/fleetcost/page_test.go
+++ b/internal/lab/fleetcost/page_test.go
@@ -65,11 +65,11 @@
 // The figures that the sums take from the programs are what the programs have.
 func TestFiguresAreThePrograms(t *testing.T) {
 	for file, patterns := range map[string][]string{
-		"../../controller/sessions.go": {`watchHold = 350 \* time.Millisecond`},
+		"../../controller/sessions.go": {`longPollTimeout = 350 \* time.Millisecond`},
 		"../../agent/gossip.go":        {`flushInterval\s+= 60 \* time.Millisecond`, `hubMessagesPerSecond\s+= 400\n`},
 		"../../agent/events.go":        {`eventsPollInterval\s+= 700 \* time.Millisecond`},
 		"../../chain/types.go":         {`HeartbeatInterval: +150 \* time.Millisecond`, `SnapshotBytes: 2 << 20`},
-		"../../durable/store.go":       {`compactRatio = 4`},
+		"../../durable/store.go":       {`minCompactRatio = 4\n`},
 	} {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
