--- a/internal/chain/acceptors.go
+++ b/internal/chain/acceptors.go
@@ -31,8 +31,9 @@
 // as the replacement of an acceptor that is leaving, has been silent for long or lost its disk; as
 // the replacement of one in an overfull zone; or together with a second learner, since an even
 // number of acceptors tolerates no more failures than the odd number below it and needs one more
-// vote. Silence alone does not remove an acceptor: keeping a silent acceptor costs little, and if a
-// zone was removed, its votes are missing when it has returned and another zone fails.
+// vote. A silent acceptor is removed without a replacement only after AcceptorRemovalTimeout, and
+// only if that improves fault tolerance: keeping it costs little, and if a zone was removed, its
+// votes are missing when it has returned and another zone fails.
 func (r *Replica) nextAcceptors(now time.Duration, chain []NodeID) []Member {
 	var acceptors, learners []Member
 	for _, m := range r.meta.View.Acceptors {
@@ -70,10 +71,10 @@
 // improveAcceptors returns the first change of the acceptors that improves fault tolerance, and the
 // learners that remain. next is nil if no change does.
 func (r *Replica) improveAcceptors(now time.Duration, acceptors, learners []Member) (next, left []Member) {
-	least := 2*r.options.MinCopies - 1
+	minAcceptors := 2*r.options.MinCopies - 1 // the smallest set whose majority is MinCopies
 	before := r.faultToleranceOf(now, acceptors)
 	better := func(changed []Member) bool {
-		return r.faultToleranceOf(now, changed).betterThan(before, len(acceptors) < least)
+		return r.faultToleranceOf(now, changed).betterThan(before, len(acceptors) < minAcceptors)
 	}
 	for i, learner := range learners { // as a replacement
 		without := slices.Delete(slices.Clone(learners), i, i+1)
@@ -92,7 +93,7 @@
 			}
 		}
 	}
-	return r.withoutDeparted(now, acceptors, least, better), learners
+	return r.withoutDeparted(now, acceptors, minAcceptors, better), learners
 }
 
 // bestSwap returns the index of the acceptor that the learner should replace, or -1 if no
@@ -115,14 +116,14 @@
 
 // withoutDeparted returns the acceptors without one or two that are leaving or have been silent for
 // longer than AcceptorRemovalTimeout, or nil if that does not improve fault tolerance.
-func (r *Replica) withoutDeparted(now time.Duration, acceptors []Member, least int, better func([]Member) bool) []Member {
+func (r *Replica) withoutDeparted(now time.Duration, acceptors []Member, minAcceptors int, better func([]Member) bool) []Member {
 	var departed []NodeID
 	for _, m := range acceptors {
 		if m.ID != r.meta.Identity && (r.isLeaving(m.ID) || r.sinceHeartbeat(now, m.ID) > r.options.Timing.AcceptorRemovalTimeout) {
 			departed = append(departed, m.ID)
 		}
 	}
-	for n := 1; n <= min(2, len(departed), len(acceptors)-least); n++ {
+	for n := 1; n <= min(2, len(departed), len(acceptors)-minAcceptors); n++ {
 		fewer := slices.DeleteFunc(slices.Clone(acceptors), func(m Member) bool { return slices.Contains(departed[:n], m.ID) })
 		if better(fewer) {
 			return fewer
@@ -141,7 +142,9 @@
 		}
 		live++
 		zone := m.Zone
-		if zone == "" { // unknown until the first heartbeat of a seed of the initial view
+		// A member of the initial view that is known only by its address has no zone until its first
+		// heartbeat; until then it counts as a zone of its own.
+		if zone == "" {
 			zone = "of " + string(m.ID)
 		}
 		inZone[zone]++
--- a/internal/chain/connectivity.go
+++ b/internal/chain/connectivity.go
@@ -20,21 +20,22 @@
 
 // newConnectivity builds the connectivity graph of some nodes.
 func (r *Replica) newConnectivity(now time.Duration, ids []NodeID) *connectivity {
-	l := &connectivity{ids: ids, adjacency: make([]uint64, len(ids))}
+	c := &connectivity{ids: ids, adjacency: make([]uint64, len(ids))}
 	for i, id := range ids {
-		l.adjacency[i] |= 1 << i
+		c.adjacency[i] |= 1 << i
 		for j := range i {
 			if r.areConnected(now, id, ids[j]) {
-				l.adjacency[i] |= 1 << j
-				l.adjacency[j] |= 1 << i
+				c.adjacency[i] |= 1 << j
+				c.adjacency[j] |= 1 << i
 			}
 		}
 	}
-	return l
+	return c
 }
 
-// areConnected reports whether two nodes receive heartbeats from each other. It is assumed for two
-// nodes that are both alive only according to other nodes.
+// areConnected reports whether two nodes receive heartbeats from each other. If only one of them
+// is alive here, its report decides; if both are alive only according to other nodes, they are
+// assumed to be connected.
 func (r *Replica) areConnected(now time.Duration, a, b NodeID) bool {
 	if a == r.meta.Identity {
 		a, b = b, a
@@ -113,10 +114,11 @@
 
 // largestChain returns the largest set of nodes that are all connected to each other and each
 // connected to a majority of the acceptors. Among sets of equal size the one whose members come
-// first in ids wins. The current chain is part of the result while it is such a set itself.
+// first in ids wins. If the members of the current chain among the candidates are all connected to
+// each other, the result contains them.
 func (r *Replica) largestChain(now time.Duration, ids []NodeID) []NodeID {
 	ids = slices.DeleteFunc(slices.Clone(ids), func(id NodeID) bool { return !r.reachesMajority(now, id) })
-	l := r.newConnectivity(now, ids)
+	c := r.newConnectivity(now, ids)
 	every := uint64(1)<<len(ids) - 1
 	if len(ids) == maxChainCandidates {
 		every = ^uint64(0)
@@ -127,10 +129,10 @@
 			current |= 1 << i
 		}
 	}
-	if !l.isClique(current) {
+	if !c.isClique(current) {
 		current = 0
 	}
-	best := l.largestClique(current, every&l.commonNeighbors(current, every)&^current)
+	best := c.largestClique(current, every&c.commonNeighbors(current, every)&^current)
 	var chain []NodeID
 	for i, id := range ids {
 		if best&(1<<i) != 0 {
@@ -153,27 +155,27 @@
 }
 
 // isClique reports whether all nodes of a set are connected to each other.
-func (l *connectivity) isClique(set uint64) bool { return l.commonNeighbors(set, set) == set }
+func (c *connectivity) isClique(set uint64) bool { return c.commonNeighbors(set, set) == set }
 
 // commonNeighbors returns the nodes of set "of" that are connected to all nodes of set "with".
-func (l *connectivity) commonNeighbors(with, of uint64) uint64 {
+func (c *connectivity) commonNeighbors(with, of uint64) uint64 {
 	for rest := with; rest != 0; rest &= rest - 1 {
-		of &= l.adjacency[bits.TrailingZeros64(rest)]
+		of &= c.adjacency[bits.TrailingZeros64(rest)]
 	}
 	return of
 }
 
 // largestClique extends a set by the largest clique among the candidates, which are all connected
 // to every node of the set.
-func (l *connectivity) largestClique(set, candidates uint64) uint64 {
-	if l.isClique(candidates) {
+func (c *connectivity) largestClique(set, candidates uint64) uint64 {
+	if c.isClique(candidates) {
 		return set | candidates
 	}
 	best := set
 	for candidates != 0 && bits.OnesCount64(set|candidates) > bits.OnesCount64(best) {
 		first := candidates & -candidates
 		candidates &^= first
-		with := l.largestClique(set|first, candidates&l.adjacency[bits.TrailingZeros64(first)])
+		with := c.largestClique(set|first, candidates&c.adjacency[bits.TrailingZeros64(first)])
 		if bits.OnesCount64(with) > bits.OnesCount64(best) {
 			best = with
 		}
--- a/internal/chain/desired_view.go
+++ b/internal/chain/desired_view.go
@@ -32,16 +32,16 @@
 	if _, acceptor := r.meta.View.Acceptor(r.meta.Identity); !acceptor || !slices.Contains(desired.chain, r.meta.Identity) {
 		return false
 	}
-	alive, intact := 0, false
+	alive, chainMemberAlive := 0, false
 	for _, m := range r.meta.View.Acceptors {
 		if r.isAlive(now, m.ID) {
 			alive++
 		}
 	}
 	for _, id := range r.meta.View.Chain {
-		intact = intact || r.isAlive(now, id)
+		chainMemberAlive = chainMemberAlive || r.isAlive(now, id)
 	}
-	return alive >= r.meta.View.Majority() && intact && len(desired.chain) >= r.options.MinCopies
+	return alive >= r.meta.View.Majority() && chainMemberAlive && len(desired.chain) >= r.options.MinCopies
 }
 
 // desiredView returns the desired view and whether a view change is needed. A replica that has
@@ -51,7 +51,7 @@
 	desired := desiredView{chain: r.nextChain(now)}
 	desired.acceptors = r.nextAcceptors(now, desired.chain)
 	same := r.isRecentlyStarted(now) || sameMembers(desired.acceptors, view.Acceptors) && sameIDs(desired.chain, view.Chain)
-	return desired, !same || r.writeStuck(now) || r.anyAcceptorSealed(now) || r.chainBroken(now)
+	return desired, !same || r.writeStuck(now) || r.anyNodeSealed(now) || r.chainBroken(now)
 }
 
 // memberInfo returns the best known information about a node, preferably from its own messages.
@@ -84,7 +84,7 @@
 
 // writeStuck reports whether a write has been uncommitted for longer than WriteTimeout.
 func (r *Replica) writeStuck(now time.Duration) bool {
-	return r.serving() && r.pendingSince != 0 && now-r.pendingSince > r.options.Timing.WriteTimeout
+	return r.holdsChainLog() && r.pendingSince != 0 && now-r.pendingSince > r.options.Timing.WriteTimeout
 }
 
 // chainBroken reports whether a chain member is alive but does not hold the log of the chain.
@@ -95,11 +95,13 @@
 			return true
 		}
 	}
-	return r.meta.View.InChain(r.meta.Identity) && !r.serving()
+	return r.meta.View.InChain(r.meta.Identity) && !r.holdsChainLog()
 }
 
-// anyAcceptorSealed reports whether a proposal was started that may never finish.
-func (r *Replica) anyAcceptorSealed(now time.Duration) bool {
+// anyNodeSealed reports whether this node or a live one has promised a ballot for the next epoch.
+// The proposal of that ballot may never finish, and until a new view is adopted a sealed node takes
+// no writes.
+func (r *Replica) anyNodeSealed(now time.Duration) bool {
 	if r.isSealed() {
 		return true
 	}
--- a/internal/chain/fetch.go
+++ b/internal/chain/fetch.go
@@ -8,9 +8,10 @@
 )
 
 // A node that is far behind fetches the committed state from a chain member in chunks, beside other
-// traffic: heartbeats are sent between chunks, and an interrupted transfer resumes at its offset. A
-// node joins the chain only when it is nearly caught up, so that a proposal, during which no writes
-// are taken, has to transfer only a few entries.
+// traffic: heartbeats are sent between chunks, and an interrupted transfer resumes at its offset
+// if the same source is alive again; another source starts over. A node joins the chain only when it
+// is nearly caught up, so that a proposal, during which no writes are taken, has to transfer only a
+// few entries.
 
 const (
 	// chunkTimeout is the time after which a requested chunk is requested again.
@@ -34,11 +35,11 @@
 	Bytes  []byte `cbor:"4,keyasint"`
 }
 
-// stateFetch is the progress of a state transfer to this replica.
-type stateFetch struct {
+// fetchProgress is the progress of a state transfer to this replica.
+type fetchProgress struct {
 	from        NodeID
-	seq         uint64
-	total       int
+	seq         uint64 // sequence number of the state, 0 before the first chunk
+	total       int    // size of the whole encoding in bytes
 	encoded     []byte
 	requestedAt time.Duration
 }
@@ -57,7 +58,7 @@
 	if r.state.Size() <= r.options.Limits.CatchUpBytes {
 		return 0
 	}
-	bytes, from := 0, r.state.Seq // uncommitted entries can only be sent with a CatchUp
+	bytes, from := 0, r.state.Seq // uncommitted entries are not counted: only a CatchUp can send them
 	for from >= r.firstSeq {
 		bytes += len(r.log[from-r.firstSeq].Operation)
 		if bytes > r.options.Limits.CatchUpBytes {
@@ -83,17 +84,17 @@
 			return false
 		}
 	}
-	return !r.serving() || commit >= r.minCatchUpSeq()
+	return !r.holdsChainLog() || commit >= r.minCatchUpSeq()
 }
 
-// fetchState requests the next chunk while this node is too far behind to catch up within a
+// continueFetch requests the next chunk while this node is too far behind to catch up within a
 // proposal.
-func (r *Replica) fetchState(now time.Duration) {
+func (r *Replica) continueFetch(now time.Duration) {
 	from := r.fetchSource(now)
 	if from == "" {
-		return // the received chunks are kept until a source is alive
+		return // the received chunks are kept until a source is alive; another source than before starts over
 	}
-	if r.serving() || r.isNearlyCaughtUp(now, r.meta.Identity) {
+	if r.holdsChainLog() || r.isNearlyCaughtUp(now, r.meta.Identity) {
 		r.stateFetch = nil
 		return
 	}
@@ -101,7 +102,7 @@
 		return
 	}
 	if r.stateFetch == nil || r.stateFetch.from != from {
-		r.stateFetch = &stateFetch{from: from}
+		r.stateFetch = &fetchProgress{from: from}
 	}
 	r.requestChunk(now)
 }
@@ -125,7 +126,7 @@
 }
 
 func (r *Replica) onFetchState(now time.Duration, m *Message) {
-	if !r.serving() {
+	if !r.holdsChainLog() {
 		return
 	}
 	f := *m.FetchState
@@ -133,13 +134,13 @@
 		r.servedState = &servedState{seq: r.state.Seq, encoded: r.state.Encode()}
 		f.Offset = 0
 	}
-	o := r.servedState
-	o.lastUsed = now
-	if f.Offset < 0 || f.Offset > len(o.encoded) {
+	served := r.servedState
+	served.lastUsed = now
+	if f.Offset < 0 || f.Offset > len(served.encoded) {
 		return
 	}
-	end := min(f.Offset+r.options.Limits.ChunkBytes, len(o.encoded))
-	r.send(m.From, Message{StateChunk: &StateChunk{o.seq, f.Offset, len(o.encoded), o.encoded[f.Offset:end]}})
+	end := min(f.Offset+r.options.Limits.ChunkBytes, len(served.encoded))
+	r.send(m.From, Message{StateChunk: &StateChunk{served.seq, f.Offset, len(served.encoded), served.encoded[f.Offset:end]}})
 }
 
 // releaseServedState frees an encoded state that is no longer being fetched.
@@ -151,7 +152,7 @@
 
 func (r *Replica) onStateChunk(now time.Duration, m *Message) {
 	f, piece := r.stateFetch, m.StateChunk
-	if f == nil || m.From.ID != f.from || r.serving() {
+	if f == nil || m.From.ID != f.from || r.holdsChainLog() {
 		return
 	}
 	if piece.Offset == 0 { // a new transfer, or the source encoded a newer state
@@ -170,7 +171,8 @@
 }
 
 // installState replaces the committed state by a newer fetched one. The result is not the log of
-// any chain, so this node takes no part in serving until a proposal has transferred the rest.
+// any chain, so this node takes no part in serving until a proposal has transferred the rest. A
+// state that cannot be decoded is dropped without a report; a later tick starts a new fetch.
 func (r *Replica) installState(encoded []byte) {
 	if r.meta.LogEpoch >= r.meta.View.Epoch {
 		return // its log belongs to the current chain, which relies on it
--- a/internal/chain/fingerprint_test.go
+++ b/internal/chain/fingerprint_test.go
@@ -14,7 +14,7 @@
 		r := w.replicas[id].replica
 		fmt.Fprint(&b, id, viewText(&r.meta.View), r.meta.Promised, r.meta.Accepted, r.meta.AcceptedView != nil, r.meta.LogEpoch, r.state.Seq, logText(r.log), r.highestRound)
 		if p := r.proposal; p != nil {
-			fmt.Fprint(&b, p.ballot, promisesText(p.promises), p.source, p.sourceLength, slices.Sorted(maps.Keys(p.caughtUp)), p.view != nil, slices.Sorted(maps.Keys(p.accepted)))
+			fmt.Fprint(&b, p.ballot, promisesText(p.promises), p.source, p.sourceLastSeq, slices.Sorted(maps.Keys(p.caughtUp)), p.view != nil, slices.Sorted(maps.Keys(p.accepted)))
 		}
 	}
 	var messages []string
--- a/internal/chain/heartbeat.go
+++ b/internal/chain/heartbeat.go
@@ -11,10 +11,10 @@
 	return r.step(now, func() {
 		r.compensateForPause(now)
 		r.expireAnnouncements(now)
-		if now-r.lastHeartbeat >= r.options.Timing.HeartbeatInterval {
+		if now-r.heartbeatSentAt >= r.options.Timing.HeartbeatInterval {
 			r.broadcastHeartbeat(now)
 		}
-		r.fetchState(now)
+		r.continueFetch(now)
 		r.releaseServedState(now)
 		r.driveProposal(now)
 	})
@@ -31,7 +31,7 @@
 func (r *Replica) compensateForPause(now time.Duration) {
 	if gap := now - r.lastTick; gap > r.options.Timing.SuspectTimeout/2 {
 		for _, p := range r.peers {
-			p.lastHeartbeat += gap
+			p.heartbeatReceivedAt += gap
 			p.aliveSince += gap
 		}
 		r.startedAt += gap
@@ -42,7 +42,7 @@
 
 // broadcastHeartbeat sends a heartbeat to all other core nodes.
 func (r *Replica) broadcastHeartbeat(now time.Duration) {
-	r.lastHeartbeat = now
+	r.heartbeatSentAt = now
 	beat := Heartbeat{
 		Epoch:           r.meta.View.Epoch,
 		LogEpoch:        r.meta.LogEpoch,
@@ -55,7 +55,7 @@
 		RecentlyStarted: r.isRecentlyStarted(now),
 	}
 	for id, p := range r.peers {
-		if now-p.lastHeartbeat < r.options.Timing.SuspectTimeout {
+		if now-p.heartbeatReceivedAt < r.options.Timing.SuspectTimeout {
 			beat.AlivePeers = append(beat.AlivePeers, id)
 		}
 	}
@@ -131,7 +131,7 @@
 
 // expireAnnouncements drops joining nodes that are no longer announced.
 func (r *Replica) expireAnnouncements(now time.Duration) {
-	maps.DeleteFunc(r.announced, func(_ string, t announcement) bool { return now-t.receivedAt >= r.options.Timing.SuspectTimeout })
+	maps.DeleteFunc(r.announced, func(_ string, a announcement) bool { return now-a.receivedAt >= r.options.Timing.SuspectTimeout })
 }
 
 // joiningNodes returns the live nodes that are not members of the view.
@@ -152,7 +152,7 @@
 		return true
 	}
 	p := r.peers[id]
-	return p != nil && now-p.lastHeartbeat < r.options.Timing.SuspectTimeout
+	return p != nil && now-p.heartbeatReceivedAt < r.options.Timing.SuspectTimeout
 }
 
 // sinceHeartbeat returns how long this replica, while it ran, has received no heartbeat from a
@@ -162,7 +162,7 @@
 		return 0
 	}
 	if p := r.peers[id]; p != nil {
-		return now - max(p.lastHeartbeat, r.startedAt)
+		return now - max(p.heartbeatReceivedAt, r.startedAt)
 	}
 	return now - r.startedAt
 }
@@ -170,7 +170,7 @@
 func (r *Replica) onHeartbeat(now time.Duration, m *Message) {
 	beat := m.Heartbeat
 	p := r.peers[m.From.ID]
-	if p == nil || now-p.lastHeartbeat >= r.options.Timing.SuspectTimeout {
+	if p == nil || now-p.heartbeatReceivedAt >= r.options.Timing.SuspectTimeout {
 		old := p
 		p = &peer{aliveSince: now}
 		if old != nil {
@@ -178,10 +178,10 @@
 		}
 		r.peers[m.From.ID] = p
 	}
-	p.member, p.lastHeartbeat, p.heartbeat = m.From, now, *beat
+	p.member, p.heartbeatReceivedAt, p.heartbeat = m.From, now, *beat
 	r.recordAnnouncements(now, beat.JoiningNodes)
 	for id, other := range r.peers { // a node that lost its disk is a new member at the same address
-		if id != m.From.ID && other.member.Addr == m.From.Addr && other.lastHeartbeat < now {
+		if id != m.From.ID && other.member.Addr == m.From.Addr && other.heartbeatReceivedAt < now {
 			delete(r.peers, id)
 		}
 	}
@@ -189,7 +189,7 @@
 	case beat.Epoch < r.meta.View.Epoch:
 		view := r.meta.View
 		r.send(m.From, Message{Decided: &view})
-	case r.serving() && beat.LogEpoch == r.meta.View.Epoch && r.meta.View.InChain(m.From.ID):
+	case r.holdsChainLog() && beat.LogEpoch == r.meta.View.Epoch && r.meta.View.InChain(m.From.ID):
 		r.commitTo(min(beat.Commit, r.lastSeq()))
 		r.resendEntries(m.From.ID, beat)
 	}
@@ -209,7 +209,7 @@
 // the acceptors, each alive and receiving heartbeats from this replica. The result may be outdated
 // at once; a linearizable read needs ConfirmEpoch.
 func (r *Replica) HasQuorum(now time.Duration) bool {
-	if !r.serving() {
+	if !r.holdsChainLog() {
 		return false
 	}
 	n := 0
--- a/internal/chain/leave.go
+++ b/internal/chain/leave.go
@@ -12,8 +12,9 @@
 }
 
 // SafeToStop reports whether this node, after Leave, is no longer needed: a chain without it takes
-// writes, each of its members has started the view, and no learner is left that could replace this
-// node as an acceptor. It is also true for a node that is the only member or has no view yet.
+// writes, each of its members is alive, has adopted the view, holds its log and has not promised to
+// replace it, and no learner is left that could replace this node as an acceptor. It is
+// also true for a node that is the only member or has no view yet.
 func (r *Replica) SafeToStop(now time.Duration) bool {
 	view := &r.meta.View
 	if len(view.Members()) <= 1 {
--- a/internal/chain/messages.go
+++ b/internal/chain/messages.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Message is an envelope with the sender and exactly one of the other fields.
+// Message consists of the sender and exactly one payload: one of the other fields.
 type Message struct {
 	From       Member      `cbor:"1,keyasint"`
 	Heartbeat  *Heartbeat  `cbor:"2,keyasint,omitempty"`
@@ -32,7 +32,7 @@
 	Sealed          bool     `cbor:"5,keyasint,omitempty"`  // it has promised a ballot for the next epoch
 	AlivePeers      []NodeID `cbor:"6,keyasint,omitempty"`  // nodes with a recent heartbeat; empty if AllMembersAlive
 	AllMembersAlive bool     `cbor:"8,keyasint,omitempty"`  // the live nodes are exactly the other members of its view
-	Applied         uint64   `cbor:"7,keyasint"`            // applied by all its sessions' agents, or NoSessions
+	Applied         uint64   `cbor:"7,keyasint"`            // applied by all agents with sessions at the sender, or NoSessions
 	Leaving         bool     `cbor:"9,keyasint,omitempty"`  // it is shutting down and waits for a view without it
 	MinCatchUpSeq   uint64   `cbor:"10,keyasint,omitempty"` // lowest commit from which a proposal can catch a node up
 	RecentlyStarted bool     `cbor:"11,keyasint,omitempty"` // it may not have received heartbeats from all live nodes yet
@@ -97,8 +97,8 @@
 	Proposer Member  `cbor:"3,keyasint"`
 	State    []byte  `cbor:"4,keyasint,omitempty"`
 	Entries  []Entry `cbor:"5,keyasint,omitempty"`
-	Rebase   bool    `cbor:"6,keyasint,omitempty"` // the receiver replaces its log; Entries follow its state at Base
-	Base     uint64  `cbor:"7,keyasint,omitempty"`
+	Rebase   bool    `cbor:"6,keyasint,omitempty"` // without State: the receiver replaces its log, starting from its own committed state
+	Base     uint64  `cbor:"7,keyasint,omitempty"` // with Rebase: Entries follow this sequence number; the receiver's state must be at it or later
 }
 
 // CaughtUp tells the proposer that the sender holds the log up to LogLength.
--- a/internal/chain/proposal_events.go
+++ b/internal/chain/proposal_events.go
@@ -14,7 +14,7 @@
 	ReasonAdded     Reason = "member added to chain"
 	ReasonAcceptors Reason = "acceptors change"
 	ReasonStuck     Reason = "write stuck"
-	ReasonSealed    Reason = "unfinished proposal"
+	ReasonSealed    Reason = "unfinished proposal" // a node is sealed
 	ReasonBroken    Reason = "chain member without its log"
 )
 
@@ -22,7 +22,7 @@
 // JSON.
 type PeerSilence struct {
 	ID           NodeID
-	Duration     time.Duration `json:"For"` // since the last heartbeat
+	Duration     time.Duration `json:"For"` // since the last heartbeat; 0 if not Known
 	Known        bool          // false if no heartbeat was ever received
 	SeesReporter bool          `json:"Hears"` // whether its latest heartbeat reports this replica as alive
 }
@@ -49,33 +49,33 @@
 // describeStart describes a proposal that starts now.
 func (r *Replica) describeStart(now time.Duration, p *proposal) *ProposalStarted {
 	view := &r.meta.View
-	a := &ProposalStarted{Epoch: view.Epoch, Round: p.ballot.Round}
+	started := &ProposalStarted{Epoch: view.Epoch, Round: p.ballot.Round}
 	for _, id := range view.Chain {
 		if !slices.Contains(p.desired.chain, id) {
-			a.Removed = append(a.Removed, r.peerSilence(now, id))
+			started.Removed = append(started.Removed, r.peerSilence(now, id))
 		}
 	}
 	for _, id := range p.desired.chain {
 		if !view.InChain(id) {
-			a.Added = append(a.Added, r.peerSilence(now, id))
+			started.Added = append(started.Added, r.peerSilence(now, id))
 		}
 	}
 	for _, reason := range []struct {
 		applies bool
 		name    Reason
 	}{
-		{len(a.Removed) > 0, ReasonRemoved},
-		{len(a.Added) > 0, ReasonAdded},
+		{len(started.Removed) > 0, ReasonRemoved},
+		{len(started.Added) > 0, ReasonAdded},
 		{!sameMembers(p.desired.acceptors, view.Acceptors), ReasonAcceptors},
 		{r.writeStuck(now), ReasonStuck},
-		{r.anyAcceptorSealed(now), ReasonSealed},
+		{r.anyNodeSealed(now), ReasonSealed},
 		{r.chainBroken(now), ReasonBroken},
 	} {
 		if reason.applies {
-			a.Reasons = append(a.Reasons, reason.name)
+			started.Reasons = append(started.Reasons, reason.name)
 		}
 	}
-	return a
+	return started
 }
 
 // peerSilence describes the silence of one peer.
@@ -84,7 +84,7 @@
 	if p == nil {
 		return PeerSilence{ID: id}
 	}
-	return PeerSilence{ID: id, Duration: now - p.lastHeartbeat, Known: true, SeesReporter: p.heartbeat.SeesAlive(&r.meta.View, r.meta.Identity)}
+	return PeerSilence{ID: id, Duration: now - p.heartbeatReceivedAt, Known: true, SeesReporter: p.heartbeat.SeesAlive(&r.meta.View, r.meta.Identity)}
 }
 
 // describeTimeout describes a proposal that timed out.
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -11,17 +11,17 @@
 
 // proposal is the state of one attempt to agree on the next view.
 type proposal struct {
-	ballot       Ballot
-	desired      desiredView
-	startedAt    time.Duration
-	participants []Member
-	promises     map[NodeID]*Promise
-	source       NodeID
-	sourceLength uint64 // last sequence number of the source's log
-	caughtUp     map[NodeID]bool
-	targets      []Target
-	view         *View // proposed view, nil before the accept phase
-	accepted     map[NodeID]bool
+	ballot        Ballot
+	desired       desiredView
+	startedAt     time.Duration
+	participants  []Member // nodes that were sent a Prepare: the acceptors and the desired chain
+	promises      map[NodeID]*Promise
+	source        NodeID          // member whose log the new chain starts from, "" in the prepare phase
+	sourceLastSeq uint64          // last sequence number of the source's log
+	caughtUp      map[NodeID]bool // nodes that hold the source's log, including the source
+	targets       []Target        // nodes that promised, without the source
+	view          *View           // proposed view, nil before the accept phase
+	accepted      map[NodeID]bool
 }
 
 // catchUpBackoff is how long a node that did not catch up in time is kept out of the chain, because
@@ -37,7 +37,7 @@
 			r.out.ProposalTimedOut = p.describeTimeout(r.meta.View.Epoch)
 			r.proposal = nil
 			desired, _ := r.desiredView(now)
-			r.retryAt = now + r.proposalDelay(now, desired)
+			r.nextProposalAt = now + r.proposalDelay(now, desired)
 			return
 		}
 		r.advanceProposal(now)
@@ -51,7 +51,7 @@
 	if r.changeNeededSince == 0 {
 		r.changeNeededSince = now
 	}
-	if now < r.retryAt || now-r.changeNeededSince < r.proposalDelay(now, desired) || !r.canPropose(now, desired) {
+	if now < r.nextProposalAt || now-r.changeNeededSince < r.proposalDelay(now, desired) || !r.canPropose(now, desired) {
 		return
 	}
 	r.startProposal(now, desired)
@@ -128,7 +128,7 @@
 	case p.view != nil:
 	case p.source == "":
 		if r.promisedAcceptors() >= r.meta.View.Majority() && r.enoughPromised(now, waited) {
-			r.chooseSource()
+			r.startTransferOrAccept()
 		}
 	case r.enoughCaughtUp(waited):
 		r.proposeView(now)
@@ -136,8 +136,8 @@
 }
 
 // enoughPromised reports whether to continue without the missing promises: after one heartbeat
-// interval without those of nodes that are not alive, after three without any, as each live node
-// left out costs another view change.
+// interval it no longer waits for nodes that are not alive, after three for no node. It waits that
+// long for live nodes because each one left out costs another view change.
 func (r *Replica) enoughPromised(now, waited time.Duration) bool {
 	p, interval := r.proposal, r.options.Timing.HeartbeatInterval
 	if len(p.promises) == len(p.participants) || waited >= 3*interval {
@@ -150,6 +150,7 @@
 // or enough of them do and four heartbeat intervals have passed.
 func (r *Replica) enoughCaughtUp(waited time.Duration) bool {
 	p, interval := r.proposal, r.options.Timing.HeartbeatInterval
+	// caughtUp also counts the source, which is not a target.
 	return len(p.caughtUp) == len(p.targets)+1 || waited >= 4*interval && len(p.caughtUp) >= r.options.MinCopies
 }
 
@@ -163,11 +164,11 @@
 	return n
 }
 
-// chooseSource proposes the view accepted under the highest ballot, which may have been decided
-// already. If there is none, it chooses the source and has its log transferred to the other
+// startTransferOrAccept proposes the view accepted under the highest ballot, which may have been
+// decided already. If there is none, it chooses the source and has its log transferred to the other
 // participants: the longest sealed log of a chain member, preferably one that stays in the chain.
 // Every sealed log contains all committed entries.
-func (r *Replica) chooseSource() {
+func (r *Replica) startTransferOrAccept() {
 	p := r.proposal
 	var newest *Promise
 	for id, promise := range p.promises {
@@ -206,8 +207,8 @@
 		if promise == nil || promise.LogEpoch != r.meta.View.Epoch || !slices.Contains(candidates, id) {
 			continue
 		}
-		if p.source == "" || promise.LogLength > p.sourceLength {
-			p.source, p.sourceLength = id, promise.LogLength
+		if p.source == "" || promise.LogLength > p.sourceLastSeq {
+			p.source, p.sourceLastSeq = id, promise.LogLength
 		}
 	}
 }
@@ -220,7 +221,7 @@
 		r.proposal = nil
 		return
 	}
-	next := &View{Epoch: view.Epoch + 1, LogLength: p.sourceLength}
+	next := &View{Epoch: view.Epoch + 1, LogLength: p.sourceLastSeq}
 	for _, id := range p.desired.chain {
 		if p.caughtUp[id] {
 			next.Chain = append(next.Chain, id)
@@ -312,12 +313,12 @@
 	if view.Epoch <= r.meta.View.Epoch {
 		return
 	}
-	intact := view.InChain(r.meta.Identity) && r.meta.LogEpoch+1 == view.Epoch && r.lastSeq() >= view.LogLength && r.state.Seq <= view.LogLength
+	holdsStartLog := view.InChain(r.meta.Identity) && r.meta.LogEpoch+1 == view.Epoch && r.lastSeq() >= view.LogLength && r.state.Seq <= view.LogLength
 	r.meta.View = *view
 	r.meta.Promised, r.meta.Accepted, r.meta.AcceptedView = Ballot{}, Ballot{}, nil
 	r.proposal, r.changeNeededSince, r.pendingSince = nil, 0, 0
 	clear(r.pendingReads)
-	if intact {
+	if holdsStartLog {
 		r.log = r.log[:view.LogLength+1-r.firstSeq]
 		r.meta.LogEpoch = view.Epoch
 		r.commitTo(view.LogLength)
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -10,7 +10,8 @@
 	"nettlefold/internal/replicated"
 )
 
-// NoSessions is the value of Heartbeat.Applied if no agent has a session with the sender.
+// NoSessions is the value of Heartbeat.Applied if no agent has a session with the sender. Agents are
+// the processes that connect to a core node by a session and apply the committed state.
 const NoSessions = math.MaxUint64
 
 const (
@@ -20,8 +21,12 @@
 
 // Errors of Propose. The operation did not enter the log.
 var (
+	// ErrNotHead means that another replica takes the writes.
 	ErrNotHead = errors.New("this replica is not the head of the chain")
+	// ErrNoChain means that this replica is sealed for a view change or does not hold the log of the
+	// chain, or that the chain has fewer than MinCopies members.
 	ErrNoChain = errors.New("no chain takes writes at present")
+	// ErrPending means that an earlier write is not committed yet.
 	ErrPending = errors.New("a write is under way")
 )
 
@@ -31,7 +36,7 @@
 	Reason  error
 }
 
-// Error returns the text of the reason.
+// Error returns the text of the reason, without the verdict.
 func (e *RefusedError) Error() string { return e.Reason.Error() }
 
 // Replica is the replication state machine of one core node. It is not safe for concurrent use.
@@ -51,15 +56,15 @@
 	announced         map[string]announcement // joining nodes announced by view members, by address
 	lastTick          time.Duration
 	startedAt         time.Duration
-	lastHeartbeat     time.Duration
+	heartbeatSentAt   time.Duration
 	changeNeededSince time.Duration // since when another view is needed, 0 if none is
 	pendingSince      time.Duration // since when an entry is uncommitted, 0 if none is
 	proposal          *proposal
-	highestRound      uint64 // highest ballot round seen
-	retryAt           time.Duration
-	applied           uint64 // sequence number applied by all agents with sessions at this node
-	leaving           bool   // shutting down
-	stateFetch        *stateFetch
+	highestRound      uint64         // highest ballot round seen
+	nextProposalAt    time.Duration  // no proposal starts before it; set when one times out
+	applied           uint64         // sequence number applied by all agents with sessions at this node
+	leaving           bool           // shutting down
+	stateFetch        *fetchProgress // nil if no state is being fetched
 	servedState       *servedState
 	pendingReads      map[uint64]*pendingRead
 	lastNonce         uint64
@@ -71,10 +76,10 @@
 
 // peer is what this replica knows about another core node.
 type peer struct {
-	member        Member
-	aliveSince    time.Duration // start of the current period without missed heartbeats
-	lastHeartbeat time.Duration
-	heartbeat     Heartbeat
+	member              Member
+	aliveSince          time.Duration // start of the current period without missed heartbeats
+	heartbeatReceivedAt time.Duration
+	heartbeat           Heartbeat
 	// backoffUntil is the time before which the node is not added to the chain, because it did not
 	// catch up in time.
 	backoffUntil time.Duration
@@ -117,14 +122,15 @@
 			r.log = append(r.log, e)
 		}
 	}
-	if r.serving() {
+	if r.holdsChainLog() {
 		r.commitTo(min(r.lastSeq(), r.meta.View.LogLength))
 	}
 	return r
 }
 
-// isCurrentEntry reports whether an entry found on disk belongs to the log. An entry beyond the
-// start of the view must have the epoch of the view; others were truncated when the view started.
+// isCurrentEntry reports whether an entry found on disk belongs to the log. If the log is that of the
+// current view, an entry after the sequence number that the view starts from must have the epoch of
+// the view; others were truncated when the view started. A log of another chain is kept whole.
 func (r *Replica) isCurrentEntry(e *Entry) bool {
 	return r.meta.LogEpoch != r.meta.View.Epoch || e.Seq <= r.meta.View.LogLength || e.Epoch == r.meta.View.Epoch
 }
@@ -136,8 +142,9 @@
 // more writes in the current one.
 func (r *Replica) isSealed() bool { return r.meta.Promised != Ballot{} }
 
-// serving reports whether this replica is a member of the current chain and holds its log.
-func (r *Replica) serving() bool {
+// holdsChainLog reports whether this replica is a member of the current chain and holds its log,
+// whether sealed or not; Serving also requires that it is not sealed.
+func (r *Replica) holdsChainLog() bool {
 	return r.meta.View.InChain(r.meta.Identity) && r.meta.LogEpoch == r.meta.View.Epoch
 }
 
@@ -189,7 +196,7 @@
 	case m.Append != nil:
 		r.onAppend(m)
 	case m.Commit != nil:
-		if m.Commit.Epoch == r.meta.View.Epoch && r.serving() {
+		if m.Commit.Epoch == r.meta.View.Epoch && r.holdsChainLog() {
 			r.commitTo(m.Commit.Seq)
 		}
 	case m.FetchState != nil:
@@ -226,9 +233,9 @@
 	r.out.Records = append(r.out.Records, Record{Meta: &meta})
 }
 
-// Propose appends an operation to the log; only the head can. It returns the sequence number that
-// commits the operation, or the last committed one if the operation was applied before. On error
-// the operation did not enter the log.
+// Propose appends an operation to the log; only the head can. It returns the sequence number of
+// the operation's entry, or the last committed one if the operation was applied before. The
+// operation is committed once the state reaches that number. On error it did not enter the log.
 func (r *Replica) Propose(now time.Duration, o *replicated.Operation) (seq uint64, out Output, err error) {
 	out = r.step(now, func() { seq, err = r.propose(o) })
 	return seq, out, err
@@ -239,7 +246,7 @@
 	switch {
 	case view.Head() != r.meta.Identity:
 		return 0, ErrNotHead
-	case r.isSealed() || !r.serving() || len(view.Chain) < r.options.MinCopies:
+	case r.isSealed() || !r.holdsChainLog() || len(view.Chain) < r.options.MinCopies:
 		return 0, ErrNoChain
 	case r.lastSeq() > r.state.Seq:
 		return 0, ErrPending
@@ -278,7 +285,7 @@
 // member, each of which synced them first.
 func (r *Replica) commitAtTail() {
 	view := &r.meta.View
-	if r.isSealed() || !r.serving() || view.Tail() != r.meta.Identity || len(view.Chain) < r.options.MinCopies {
+	if r.isSealed() || !r.holdsChainLog() || view.Tail() != r.meta.Identity || len(view.Chain) < r.options.MinCopies {
 		return
 	}
 	if r.lastSeq() == r.state.Seq {
@@ -292,7 +299,7 @@
 
 func (r *Replica) onAppend(m *Message) {
 	a, view := m.Append, &r.meta.View
-	if a.Epoch != view.Epoch || r.isSealed() || !r.serving() || view.neighbour(r.meta.Identity, -1) != m.From.ID {
+	if a.Epoch != view.Epoch || r.isSealed() || !r.holdsChainLog() || view.neighbour(r.meta.Identity, -1) != m.From.ID {
 		return
 	}
 	for _, e := range a.Entries {
@@ -353,7 +360,7 @@
 
 // Serving reports whether this replica is a chain member that holds its log, in a view that it has
 // not promised to replace.
-func (r *Replica) Serving() bool { return r.serving() && !r.isSealed() }
+func (r *Replica) Serving() bool { return r.holdsChainLog() && !r.isSealed() }
 
 // SetApplied sets the sequence number that all agents with sessions at this node have applied, for
 // the next heartbeat. It reports whether the number has changed.
@@ -363,13 +370,14 @@
 	return changed
 }
 
-// AppliedEverywhere reports whether the agents of all live nodes have applied a sequence number.
+// AppliedEverywhere reports whether all agents with sessions at live nodes have applied a sequence
+// number.
 func (r *Replica) AppliedEverywhere(now time.Duration, seq uint64) bool {
 	if r.applied < seq {
 		return false
 	}
 	for _, p := range r.peers {
-		if now-p.lastHeartbeat < r.options.Timing.SuspectTimeout && p.heartbeat.Applied < seq {
+		if now-p.heartbeatReceivedAt < r.options.Timing.SuspectTimeout && p.heartbeat.Applied < seq {
 			return false
 		}
 	}
--- a/internal/chain/search_check_test.go
+++ b/internal/chain/search_check_test.go
@@ -32,7 +32,7 @@
 				return fmt.Errorf("view %d starts without acknowledged sequence number %d", r.meta.View.Epoch, seq)
 			}
 		}
-		if r.serving() && r.lastSeq() < r.meta.View.LogLength {
+		if r.holdsChainLog() && r.lastSeq() < r.meta.View.LogLength {
 			return fmt.Errorf("%s serves in view %d without its log", id, r.meta.View.Epoch)
 		}
 	}
--- a/internal/chain/search_world_test.go
+++ b/internal/chain/search_world_test.go
@@ -134,7 +134,7 @@
 // operator.
 func (w *searchWorld) acknowledge(m *testReplica) {
 	view := m.replica.View()
-	if view.Head() != m.replica.Self().ID || !m.replica.serving() {
+	if view.Head() != m.replica.Self().ID || !m.replica.holdsChainLog() {
 		return
 	}
 	upTo := m.replica.state.Seq
--- a/internal/chain/transfer.go
+++ b/internal/chain/transfer.go
@@ -8,7 +8,7 @@
 
 func (r *Replica) onTransfer(m *Message) {
 	t := m.Transfer
-	if t.Epoch != r.meta.View.Epoch || t.Ballot != r.meta.Promised || !r.serving() {
+	if t.Epoch != r.meta.View.Epoch || t.Ballot != r.meta.Promised || !r.holdsChainLog() {
 		return
 	}
 	for _, target := range t.Targets {
@@ -48,7 +48,7 @@
 	if c.Epoch != r.meta.View.Epoch || c.Ballot != r.meta.Promised {
 		return
 	}
-	if r.meta.LogEpoch != c.Epoch && !r.rebase(c) {
+	if r.meta.LogEpoch != c.Epoch && !r.replaceLog(c) {
 		return
 	}
 	for _, e := range c.Entries {
@@ -59,9 +59,10 @@
 	r.send(c.Proposer, Message{CaughtUp: &CaughtUp{c.Epoch, c.Ballot, r.lastSeq()}})
 }
 
-// rebase starts a log of the current chain from the transferred state, or from the committed state
-// of this node. It reports whether that is possible.
-func (r *Replica) rebase(c *CatchUp) bool {
+// replaceLog starts a log of the current chain from the transferred state, or from the committed
+// state of this node. It reports whether that is possible; if not, also for a state that cannot be
+// decoded, this node sends no CaughtUp and stays out of the proposed chain.
+func (r *Replica) replaceLog(c *CatchUp) bool {
 	encoded := c.State
 	switch {
 	case encoded != nil:
@@ -83,11 +84,11 @@
 
 func (r *Replica) onCaughtUp(m *Message) {
 	p, c := r.proposal, m.CaughtUp
-	if p == nil || p.view != nil || p.source == "" || c.Epoch != r.meta.View.Epoch || c.Ballot != p.ballot || c.LogLength < p.sourceLength {
+	if p == nil || p.view != nil || p.source == "" || c.Epoch != r.meta.View.Epoch || c.Ballot != p.ballot || c.LogLength < p.sourceLastSeq {
 		return
 	}
 	p.caughtUp[m.From.ID] = true
-	if len(p.caughtUp) == len(p.targets)+1 {
+	if len(p.caughtUp) == len(p.targets)+1 { // the targets and the source
 		r.proposeView(r.lastTick)
 	}
 }
--- a/internal/chain/types.go
+++ b/internal/chain/types.go
@@ -7,12 +7,14 @@
 // acceptor that has promised a ballot for e+1 is sealed: it takes no more writes in e. The new
 // chain starts from the log of one sealed member of chain e, which contains everything committed in
 // e, and every member of the new chain holds that log before any acceptor is asked to accept the
-// view. All members of a decided chain are therefore intact from its start.
+// view. All members of a decided chain therefore hold its whole log from its start.
 //
-// The package is a pure state machine without I/O, clock or goroutines. The caller must sync the
-// records of an Output before it sends the messages of that Output. docs/system.md has the
-// correctness argument. The design follows Vertical Paxos (Lamport, Malkhi, Zhou 2009) and Chain
-// Replication (van Renesse, Schneider 2004).
+// The package is a pure state machine without I/O, clock or goroutines. Points in time, such as the
+// now parameters, are readings of the caller's monotonic clock as durations since any fixed origin; a
+// stored 0 may mean that no time is set. The caller must sync the records of an Output before it
+// sends the messages of that Output. docs/system.md has the correctness argument. The design
+// follows Vertical Paxos (Lamport, Malkhi, Zhou 2009) and Chain Replication (van Renesse,
+// Schneider 2004).
 package chain
 
 import (
@@ -40,7 +42,7 @@
 	Epoch     uint64   `cbor:"1,keyasint"`
 	Acceptors []Member `cbor:"2,keyasint"`
 	Chain     []NodeID `cbor:"3,keyasint"` // head first
-	LogLength uint64   `cbor:"4,keyasint"` // last sequence number at the start of the view, all committed
+	LogLength uint64   `cbor:"4,keyasint"` // sequence number of the last entry, not a count, at the start of the view; all committed
 	Learners  []Member `cbor:"5,keyasint,omitempty"`
 }
 
@@ -125,7 +127,7 @@
 	Accepted     Ballot `cbor:"4,keyasint"`           // for the next epoch
 	AcceptedView *View  `cbor:"5,keyasint,omitempty"` // view accepted under that ballot
 	LogEpoch     uint64 `cbor:"6,keyasint"`           // epoch of the chain that the log belongs to
-	Generation   uint64 `cbor:"7,keyasint"`           // of the log; installing a whole state starts a new generation
+	Generation   uint64 `cbor:"7,keyasint"`           // number of the log; replacing the log, not extending it, starts a new generation
 }
 
 // Snapshot is a committed state and the log generation that continues from it.
@@ -200,7 +202,7 @@
 type Timing struct {
 	HeartbeatInterval      time.Duration // between heartbeats
 	SuspectTimeout         time.Duration // silence after which a node is no longer alive and leaves the chain
-	AcceptorRemovalTimeout time.Duration // silence after which an acceptor is removed if enough others remain
+	AcceptorRemovalTimeout time.Duration // silence after which an acceptor is removed without a replacement if that improves fault tolerance
 	AcceptorReplaceTimeout time.Duration // silence after which a learner replaces an acceptor
 	JoinDelay              time.Duration // time that a node must be alive before it is added to the chain
 	WriteTimeout           time.Duration // time that a write may be uncommitted before another view is proposed
