--- a/internal/charter/limits.go
+++ b/internal/charter/limits.go
@@ -8,42 +8,43 @@
 
 // Limits are the sizes, counts and durations that the process around the mixer keeps to. They come from the
 // platform or the settings where these state them; the rest are safety bounds that no correct peer reaches.
+// The JSON names are those that the explain command and GET /settings print.
 type Limits struct {
 	// Set by the platform.
-	CPUCores        float64
-	MemoryBytes     int64
-	FileDescriptors int
+	CPUCores        float64 `json:"Cores"`
+	MemoryBytes     int64   `json:"Memory"`
+	FileDescriptors int     `json:"Sockets"`
 
 	// Set by the settings.
-	Shards            int           // number of shards
-	MaxOpenRequests   int           // number of open lookups plus parts at which no further lookup is admitted
-	MaxStreamsPerConn int           // in-flight parts on one backend connection
-	ConnectTimeout    time.Duration // for establishing a backend connection
-	KeepAliveTimeout  time.Duration // idle time after which a backend closes a connection
-	MaxDeadline       time.Duration // longest deadline of any request profile
+	Shards            int           `json:"Slices"`    // number of shards
+	MaxOpenRequests   int           `json:"Open"`      // number of open lookups plus parts at which no further lookup is admitted
+	MaxStreamsPerConn int           `json:"Streams"`   // in-flight parts on one backend connection
+	ConnectTimeout    time.Duration `json:"Connect"`   // for establishing a backend connection
+	KeepAliveTimeout  time.Duration `json:"KeepAlive"` // idle time after which a backend closes a connection
+	MaxDeadline       time.Duration `json:"Patience"`  // longest deadline of any request profile
 
 	// Set by the PROTOCOL document of the platform. The durations ending in AfterTerm are counted from SIGTERM.
-	MaxBodyBytes      int           // of a client's request
-	HeartbeatInterval time.Duration // between the empty lines on a watch without updates
-	ConnectAfterTerm  time.Duration // latest arrival of a new client connection
-	AdmitAfterTerm    time.Duration // latest admission whose deadline, cut to 3 s, still ends before SIGKILL
-	KillAfterTerm     time.Duration // earliest time of SIGKILL
+	MaxBodyBytes      int           `json:"Body"`      // of a client's request
+	HeartbeatInterval time.Duration `json:"Beat"`      // between the empty lines on a watch without updates
+	ConnectAfterTerm  time.Duration `json:"Arrivals"`  // latest arrival of a new client connection
+	AdmitAfterTerm    time.Duration `json:"Taken"`     // latest admission whose deadline, cut to 3 s, still ends before SIGKILL
+	KillAfterTerm     time.Duration `json:"KillAfter"` // earliest time of SIGKILL
 
 	// Safety bounds.
-	MaxHeaderBytes      int           // of a client's request
-	ReadTimeout         time.Duration // for a client's whole request, the first from the start of its connection
-	SlowRequestAfter    time.Duration // longest time that a correct client takes for a request; slower connections are evicted first
-	SingleRequestIdle   time.Duration // longest idle time after the first request of a client connection
-	ReusedIdle          time.Duration // longest idle time after a later request
-	CloseTimeout        time.Duration // for the remaining input of a client connection ended here, or for its close
-	WriteTimeout        time.Duration // for a response, or for one frame
-	FrameReadTimeout    time.Duration // for the rest of a backend's frame that has started to arrive; equals ConnectTimeout
-	MaxFrameBytes       int           // of a backend's frame
-	MaxListMessageBytes int           // of one message of the membership list
-	FirstListTimeout    time.Duration // longest wait at startup for the first reply of service discovery
-	ReadyTimeout        time.Duration // from process start until ready without a live backend; discovery then assumes that this process has the list
-	MaxWatchBackoff     time.Duration // between attempts to open the watch; short, as calls to the local agent are cheap
-	MaxIDBytes          int           // of a lookup's ID
+	MaxHeaderBytes      int           `json:"Header"`    // of a client's request
+	ReadTimeout         time.Duration `json:"Read"`      // for a client's whole request, the first from the start of its connection
+	SlowRequestAfter    time.Duration `json:"Prompt"`    // longest time that a correct client takes for a request; slower connections are evicted first
+	SingleRequestIdle   time.Duration `json:"Once"`      // longest idle time after the first request of a client connection
+	ReusedIdle          time.Duration `json:"Kept"`      // longest idle time after a later request
+	CloseTimeout        time.Duration `json:"Drain"`     // for the remaining input of a client connection ended here, or for its close
+	WriteTimeout        time.Duration `json:"Write"`     // for a response, or for one frame
+	FrameReadTimeout    time.Duration `json:"Rest"`      // for the rest of a backend's frame that has started to arrive; equals ConnectTimeout
+	MaxFrameBytes       int           `json:"Frame"`     // of a backend's frame
+	MaxListMessageBytes int           `json:"Line"`      // of one message of the membership list
+	FirstListTimeout    time.Duration `json:"First"`     // longest wait at startup for the first reply of service discovery
+	ReadyTimeout        time.Duration `json:"Ready"`     // from process start until ready without a live backend; discovery then assumes that this process has the list
+	MaxWatchBackoff     time.Duration `json:"WatchLast"` // between attempts to open the watch; short, as calls to the local agent are cheap
+	MaxIDBytes          int           `json:"ID"`        // of a lookup's ID
 }
 
 // Limits returns the limits that the settings state, together with the fixed ones. The configuration c
