--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -53,22 +53,22 @@
 		if _, port, err := net.SplitHostPort(address.value); err != nil {
 			return c, fmt.Errorf("configuration: %s: %w", address.name, err)
 		} else if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-			return c, fmt.Errorf("configuration: %s: invalid port %q", address.name, truncate(port))
+			return c, fmt.Errorf("configuration: %s: port: %q", address.name, truncate(port))
 		}
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
-		return c, fmt.Errorf("configuration: seed: not a 64-bit hexadecimal number: %q", truncate(in.Seed))
+		return c, fmt.Errorf("configuration: seed: not hex of 64 bits: %q", truncate(in.Seed))
 	}
 	c.Seed = int64(seed)
 	if !(in.Limits.Cores > 0 && in.Limits.Cores < 1e4) {
-		return c, fmt.Errorf("configuration: limits.cores: %v is not in (0, 10000)", in.Limits.Cores)
+		return c, fmt.Errorf("configuration: limits.cores: %v", in.Limits.Cores)
 	}
 	if !(in.Limits.Memory >= 1 && in.Limits.Memory < 1e9) {
-		return c, fmt.Errorf("configuration: limits.memory_mb: %v is not in [1, 1e9)", in.Limits.Memory)
+		return c, fmt.Errorf("configuration: limits.memory_mb: %v", in.Limits.Memory)
 	}
 	if in.Limits.Sockets < 1 {
-		return c, fmt.Errorf("configuration: limits.sockets: %d is below 1", in.Limits.Sockets)
+		return c, fmt.Errorf("configuration: limits.sockets: %d", in.Limits.Sockets)
 	}
 	settings, err := charter.ParseJSON(in.Settings)
 	if err != nil {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -239,7 +239,7 @@
 	}
 	for _, f := range []struct{ old, new, want string }{
 		{`"listen":"`, `"listen":"","was":"`, "listen: missing"},
-		{`"8c1f30d27a5be964"`, `"xyz"`, `seed: not a 64-bit hexadecimal number: "xyz"`},
+		{`"8c1f30d27a5be964"`, `"xyz"`, `seed: not hex of 64 bits: "xyz"`},
 		{`"cores":1.0`, `"cores":0`, "limits.cores: 0"},
 		{`"memory_mb":192`, `"memory_mb":-3`, "limits.memory_mb: -3"},
 		{`"sockets":1024`, `"sockets":0`, "limits.sockets: 0"},
