--- a/internal/chain/acceptors.go
+++ b/internal/chain/acceptors.go
@@ -7,42 +7,46 @@
 	"time"
 )
 
-// standing is how much an acceptor set bears from here: by how many live acceptors it is above a majority, and by how many after the
-// worst loss of one zone. Negative numbers are votes that it would lack.
-type standing struct {
-	machines int
-	zones    int
+// faultTolerance is how many failures an acceptor set survives with a majority left. A negative
+// number is the number of votes missing for a majority.
+type faultTolerance struct {
+	spareNodes         int // live acceptors above a majority
+	spareAfterZoneLoss int // the same after the loss of the zone with the most live acceptors
 }
 
-// better tells whether a set bears more than another. Losses of machines count first while there are too few acceptors for those that
-// must be borne, else losses of zones.
-func (s standing) better(than standing, tooFew bool) bool {
-	first, second := cmp.Compare(s.zones, than.zones), cmp.Compare(s.machines, than.machines)
+// betterThan reports whether s survives more failures than another set. The loss of single nodes is
+// compared first while there are too few acceptors (tooFew), otherwise the loss of a zone.
+func (s faultTolerance) betterThan(other faultTolerance, tooFew bool) bool {
+	first, second := cmp.Compare(s.spareAfterZoneLoss, other.spareAfterZoneLoss), cmp.Compare(s.spareNodes, other.spareNodes)
 	if tooFew {
 		first, second = second, first
 	}
 	return cmp.Or(first, second) > 0
 }
 
-// wantedAcceptors is the acceptors of the next view, given the members of its chain, which hold all that was written.
+// nextAcceptors returns the acceptors of the next view, given the members of its chain, all of
+// which hold the complete log.
 //
-// A newcomer is a learner first. It votes once that helps: in the place of an acceptor that leaves, was silent for long or lost its
-// disk, in one whose zone holds too many, or together with another, as an even number of acceptors bears no more than the odd one
-// below it and needs one vote more. Nobody is taken out for silence alone: a silent acceptor costs little, and a zone that was dropped
-// is missing when it is back and another is lost.
-func (r *Replica) wantedAcceptors(now time.Duration, chain []NodeID) []Member {
+// A new node starts as a learner. It becomes an acceptor only when that improves fault tolerance:
+// as the replacement of an acceptor that is leaving, has been silent for long or lost its disk; as
+// the replacement of one in an overfull zone; or together with a second learner, since an even
+// number of acceptors tolerates no more failures than the odd number below it and needs one more
+// vote. A silent acceptor is removed without a replacement only after AcceptorRemovalTimeout, and
+// only if that improves fault tolerance: keeping it costs little, and if a zone was removed, its
+// votes are missing when it has returned and another zone fails.
+func (r *Replica) nextAcceptors(now time.Duration, chain []NodeID) []Member {
 	var acceptors, learners []Member
 	for _, m := range r.meta.View.Acceptors {
-		acceptors = append(acceptors, r.member(m.ID))
+		acceptors = append(acceptors, r.memberInfo(m.ID))
 	}
 	for _, id := range chain {
 		if _, acceptor := r.meta.View.Acceptor(id); !acceptor {
-			learners = append(learners, r.member(id))
+			learners = append(learners, r.memberInfo(id))
 		}
 	}
 	acceptors, learners = replaceLostDisks(acceptors, learners)
 	for {
-		next, left := r.improve(now, acceptors, learners)
+		next, left := r.improveAcceptors(now, acceptors, learners)
 		if next == nil {
 			return acceptors
 		}
@@ -50,7 +54,8 @@
 	}
 }
 
-// replaceLostDisks puts those that came back under another identity in the places of those at their addresses.
+// replaceLostDisks replaces each acceptor whose address a learner now uses under a new identity:
+// that node has lost its disk.
 func replaceLostDisks(acceptors, learners []Member) (next, left []Member) {
 	for _, learner := range learners {
 		i := slices.IndexFunc(acceptors, func(m Member) bool { return m.Addr == learner.Addr })
@@ -63,20 +68,21 @@
 	return acceptors, left
 }
 
-// improve gives the first change of the acceptors that makes them bear more, nil if none does.
-func (r *Replica) improve(now time.Duration, acceptors, learners []Member) (next, left []Member) {
-	least := 2*r.options.Copies - 1
-	before := r.standing(now, acceptors)
+// improveAcceptors returns the first change of the acceptors that improves fault tolerance, and the
+// learners that remain. next is nil if no change does.
+func (r *Replica) improveAcceptors(now time.Duration, acceptors, learners []Member) (next, left []Member) {
+	minAcceptors := 2*r.options.MinCopies - 1 // the smallest set whose majority is MinCopies
+	before := r.faultToleranceOf(now, acceptors)
 	better := func(changed []Member) bool {
-		return r.standing(now, changed).better(before, len(acceptors) < least)
+		return r.faultToleranceOf(now, changed).betterThan(before, len(acceptors) < minAcceptors)
 	}
-	for i, learner := range learners { // in another's place
+	for i, learner := range learners { // as a replacement
 		without := slices.Delete(slices.Clone(learners), i, i+1)
 		if at := r.bestSwap(now, acceptors, learner, better); at >= 0 {
 			return append(slices.Delete(slices.Clone(acceptors), at, at+1), learner), without
 		}
 	}
-	for i := range learners { // one more, or two
+	for i := range learners { // as an addition, alone or in pairs
 		for j := i; j < len(learners); j++ {
 			more, without := append(slices.Clone(acceptors), learners[i]), slices.Delete(slices.Clone(learners), i, i+1)
 			if j > i {
@@ -87,15 +93,16 @@
 			}
 		}
 	}
-	return r.withoutDeparted(now, acceptors, least, better), learners
+	return r.withoutDeparted(now, acceptors, minAcceptors, better), learners
 }
 
-// bestSwap is the place of the acceptor that a learner should vote instead of: one that leaves or is silent before one that is there;
-// -1 if no swap makes the acceptors bear more.
+// bestSwap returns the index of the acceptor that the learner should replace, or -1 if no
+// replacement improves fault tolerance. A leaving acceptor is preferred, then the one silent for
+// longest.
 func (r *Replica) bestSwap(now time.Duration, acceptors []Member, learner Member, better func([]Member) bool) int {
 	best, longest := -1, time.Duration(-1)
 	for i, m := range acceptors {
-		silence := r.silence(now, m.ID)
+		silence := r.sinceHeartbeat(now, m.ID)
 		if r.isLeaving(m.ID) {
 			silence = math.MaxInt64
 		}
@@ -107,15 +114,16 @@
 	return best
 }
 
-// withoutDeparted leaves out one acceptor or two that were told to end or are silent for very long; nil if that does not help.
-func (r *Replica) withoutDeparted(now time.Duration, acceptors []Member, least int, better func([]Member) bool) []Member {
+// withoutDeparted returns the acceptors without one or two that are leaving or have been silent for
+// longer than AcceptorRemovalTimeout, or nil if that does not improve fault tolerance.
+func (r *Replica) withoutDeparted(now time.Duration, acceptors []Member, minAcceptors int, better func([]Member) bool) []Member {
 	var departed []NodeID
 	for _, m := range acceptors {
-		if m.ID != r.meta.Identity && (r.isLeaving(m.ID) || r.silence(now, m.ID) > r.options.Timing.Drop) {
+		if m.ID != r.meta.Identity && (r.isLeaving(m.ID) || r.sinceHeartbeat(now, m.ID) > r.options.Timing.AcceptorRemovalTimeout) {
 			departed = append(departed, m.ID)
 		}
 	}
-	for n := 1; n <= min(2, len(departed), len(acceptors)-least); n++ {
+	for n := 1; n <= min(2, len(departed), len(acceptors)-minAcceptors); n++ {
 		fewer := slices.DeleteFunc(slices.Clone(acceptors), func(m Member) bool { return slices.Contains(departed[:n], m.ID) })
 		if better(fewer) {
 			return fewer
@@ -124,16 +132,19 @@
 	return nil
 }
 
-// standing judges a set of acceptors.
-func (r *Replica) standing(now time.Duration, acceptors []Member) standing {
+// faultToleranceOf computes the fault tolerance of an acceptor set from the acceptors available
+// now.
+func (r *Replica) faultToleranceOf(now time.Duration, acceptors []Member) faultTolerance {
 	live, inZone := 0, map[string]int{}
 	for _, m := range acceptors {
-		if !r.counts(now, m.ID) {
+		if !r.isAvailable(now, m.ID) {
 			continue
 		}
 		live++
 		zone := m.Zone
-		if zone == "" { // not known yet: the seeds of the first start tell theirs when they are heard
+		// A member of the initial view that is known only by its address has no zone until its first
+		// heartbeat; until then it counts as a zone of its own.
+		if zone == "" {
 			zone = "of " + string(m.ID)
 		}
 		inZone[zone]++
@@ -143,10 +154,10 @@
 		worst = max(worst, n)
 	}
 	majority := len(acceptors)/2 + 1
-	return standing{machines: live - majority, zones: live - worst - majority}
+	return faultTolerance{spareNodes: live - majority, spareAfterZoneLoss: live - worst - majority}
 }
 
-// counts tells whether an acceptor is there and stays, as far as is known.
-func (r *Replica) counts(now time.Duration, id NodeID) bool {
-	return !r.isLeaving(id) && (r.silence(now, id) < r.options.Timing.Replace || r.heardOf(now, id))
+// isAvailable reports whether a node is alive, as far as this replica knows, and not leaving.
+func (r *Replica) isAvailable(now time.Duration, id NodeID) bool {
+	return !r.isLeaving(id) && (r.sinceHeartbeat(now, id) < r.options.Timing.AcceptorReplaceTimeout || r.isReportedAlive(now, id))
 }
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -9,81 +9,84 @@
 	"nettlefold/internal/rendezvous"
 )
 
-// proposal is one attempt at the next view.
+// proposal is the state of one attempt to agree on the next view.
 type proposal struct {
-	ballot   Ballot
-	want     wanted
-	started  time.Duration
-	asked    []Member
-	promises map[NodeID]*Promise
-	source   NodeID
-	length   uint64 // of the source's log
-	caught   map[NodeID]bool
-	targets  []Target
-	view     *View // once it is put to the vote
-	accepted map[NodeID]bool
+	ballot        Ballot
+	desired       desiredView
+	startedAt     time.Duration
+	participants  []Member // nodes that were sent a Prepare: the acceptors and the desired chain
+	promises      map[NodeID]*Promise
+	source        NodeID          // member whose log the new chain starts from, "" in the prepare phase
+	sourceLastSeq uint64          // last sequence number of the source's log
+	caughtUp      map[NodeID]bool // nodes that hold the source's log, including the source
+	targets       []Target        // nodes that promised, without the source
+	view          *View           // proposed view, nil before the accept phase
+	accepted      map[NodeID]bool
 }
 
-// passedOverFor is how long a member is left alone that did not catch up in time: each proposal holds up the writes.
-const passedOverFor = 1500 * time.Millisecond
+// catchUpBackoff is how long a node that did not catch up in time is kept out of the chain, because
+// writes are blocked during each proposal.
+const catchUpBackoff = 1500 * time.Millisecond
 
-// propel starts a proposal where one is wanted, moves one on, or gives it up. Of those that want one the first acceptor that is
-// heard begins; others wait for longer the further behind they are, so that they seldom meet.
-func (r *Replica) propel(now time.Duration) {
+// driveProposal starts a proposal if another view is needed, and advances or times out a running
+// one. Replicas that want to propose wait for a time that grows with their position among the live
+// acceptors, so that concurrent proposals are rare.
+func (r *Replica) driveProposal(now time.Duration) {
 	if p := r.proposal; p != nil {
-		if now-p.started > r.options.Timing.Round {
-			r.out.GivenUp = p.givenUp(r.meta.View.Epoch)
+		if now-p.startedAt > r.options.Timing.ProposalTimeout {
+			r.out.ProposalTimedOut = p.describeTimeout(r.meta.View.Epoch)
 			r.proposal = nil
-			want, _ := r.want(now)
-			r.retryAt = now + r.delay(now, want)
+			desired, _ := r.desiredView(now)
+			r.nextProposalAt = now + r.proposalDelay(now, desired)
 			return
 		}
-		r.advance(now)
+		r.advanceProposal(now)
 		return
 	}
-	want, need := r.want(now)
-	if !need {
-		r.needSince = 0
+	desired, needed := r.desiredView(now)
+	if !needed {
+		r.changeNeededSince = 0
 		return
 	}
-	if r.needSince == 0 {
-		r.needSince = now
+	if r.changeNeededSince == 0 {
+		r.changeNeededSince = now
 	}
-	if now < r.retryAt || now-r.needSince < r.delay(now, want) || !r.possible(now, want) {
+	if now < r.nextProposalAt || now-r.changeNeededSince < r.proposalDelay(now, desired) || !r.canPropose(now, desired) {
 		return
 	}
-	r.begin(now, want)
+	r.startProposal(now, desired)
 }
 
-func (r *Replica) begin(now time.Duration, want wanted) {
-	r.round = max(r.round, r.meta.Promised.Round) + 1
+// startProposal begins the prepare phase of a new proposal.
+func (r *Replica) startProposal(now time.Duration, desired desiredView) {
+	r.highestRound = max(r.highestRound, r.meta.Promised.Round) + 1
 	p := &proposal{
-		ballot:   Ballot{r.round, r.meta.Identity},
-		want:     want,
-		started:  now,
-		promises: map[NodeID]*Promise{},
-		caught:   map[NodeID]bool{},
-		accepted: map[NodeID]bool{},
+		ballot:    Ballot{r.highestRound, r.meta.Identity},
+		desired:   desired,
+		startedAt: now,
+		promises:  map[NodeID]*Promise{},
+		caughtUp:  map[NodeID]bool{},
+		accepted:  map[NodeID]bool{},
 	}
 	r.proposal = p
-	r.out.Attempt = r.attempt(now, p)
-	p.asked = slices.Clone(r.meta.View.Acceptors)
-	for _, id := range want.chain {
+	r.out.ProposalStarted = r.describeStart(now, p)
+	p.participants = slices.Clone(r.meta.View.Acceptors)
+	for _, id := range desired.chain {
 		if _, acceptor := r.meta.View.Acceptor(id); !acceptor {
-			p.asked = append(p.asked, r.member(id))
+			p.participants = append(p.participants, r.memberInfo(id))
 		}
 	}
-	for _, m := range p.asked {
+	for _, m := range p.participants {
 		r.send(m, Message{Prepare: &Prepare{r.meta.View, p.ballot}})
 	}
 }
 
 func (r *Replica) onPrepare(m *Message) {
 	prepare := m.Prepare
-	r.round = max(r.round, prepare.Ballot.Round)
+	r.highestRound = max(r.highestRound, prepare.Ballot.Round)
 	if prepare.View.Epoch > r.meta.View.Epoch {
 		view := prepare.View
-		r.adopt(&view)
+		r.adoptView(&view)
 	}
 	if prepare.View.Epoch < r.meta.View.Epoch {
 		view := r.meta.View
@@ -102,7 +105,7 @@
 	r.send(m.From, Message{Promise: &Promise{
 		Epoch: r.meta.View.Epoch, Ballot: prepare.Ballot,
 		Accepted: r.meta.Accepted, AcceptedView: r.meta.AcceptedView,
-		LogEpoch: r.meta.LogEpoch, LogLength: r.length(), Commit: r.state.Seq,
+		LogEpoch: r.meta.LogEpoch, LogLength: r.lastSeq(), Commit: r.state.Seq,
 	}})
 }
 
@@ -112,42 +115,47 @@
 		return
 	}
 	p.promises[m.From.ID] = m.Promise
-	r.advance(r.lastTick) // a tick judges who is late: more answers may wait behind this one
+	// The time of the last tick: only Tick evaluates timeouts, as more replies may be queued.
+	r.advanceProposal(r.lastTick)
 }
 
-// advance goes on to the next step of a proposal when enough answered: all that were asked, or a majority and some time for the rest.
-func (r *Replica) advance(now time.Duration) {
+// advanceProposal moves a proposal to its next phase once enough nodes have answered: all
+// participants, or a majority after some time.
+func (r *Replica) advanceProposal(now time.Duration) {
 	p := r.proposal
-	waited := now - p.started
+	waited := now - p.startedAt
 	switch {
 	case p.view != nil:
 	case p.source == "":
-		if r.promised() >= r.meta.View.Majority() && r.enoughPromised(now, waited) {
-			r.chooseSource()
+		if r.promisedAcceptors() >= r.meta.View.Majority() && r.enoughPromised(now, waited) {
+			r.startTransferOrAccept()
 		}
 	case r.enoughCaughtUp(waited):
-		r.vote(now)
+		r.proposeView(now)
 	}
 }
 
-// enoughPromised tells whether it is time to go on without the promises that lack: soon without those of machines that are not heard, later
-// without any, as each that is left out costs another view.
+// enoughPromised reports whether to continue without the missing promises: after one heartbeat
+// interval it no longer waits for nodes that are not alive, after three for no node. It waits that
+// long for live nodes because each one left out costs another view change.
 func (r *Replica) enoughPromised(now, waited time.Duration) bool {
-	p, patience := r.proposal, r.options.Timing.Heartbeat
-	if len(p.promises) == len(p.asked) || waited >= 3*patience {
+	p, interval := r.proposal, r.options.Timing.HeartbeatInterval
+	if len(p.promises) == len(p.participants) || waited >= 3*interval {
 		return true
 	}
-	return waited >= patience && !slices.ContainsFunc(p.want.chain, func(id NodeID) bool { return p.promises[id] == nil && r.hears(now, id) })
+	return waited >= interval && !slices.ContainsFunc(p.desired.chain, func(id NodeID) bool { return p.promises[id] == nil && r.isAlive(now, id) })
 }
 
-// enoughCaughtUp tells whether it is time to vote: all that promised hold the log, or enough do and the others had their time.
+// enoughCaughtUp reports whether to start the accept phase: all nodes that promised hold the log,
+// or enough of them do and four heartbeat intervals have passed.
 func (r *Replica) enoughCaughtUp(waited time.Duration) bool {
-	p, patience := r.proposal, r.options.Timing.Heartbeat
-	return len(p.caught) == len(p.targets)+1 || waited >= 4*patience && len(p.caught) >= r.options.Copies
+	p, interval := r.proposal, r.options.Timing.HeartbeatInterval
+	// caughtUp also counts the source, which is not a target.
+	return len(p.caughtUp) == len(p.targets)+1 || waited >= 4*interval && len(p.caughtUp) >= r.options.MinCopies
 }
 
-// promised counts the acceptors that promised.
-func (r *Replica) promised() (n int) {
+// promisedAcceptors counts the acceptors that promised.
+func (r *Replica) promisedAcceptors() (n int) {
 	for id := range r.proposal.promises {
 		if _, acceptor := r.meta.View.Acceptor(id); acceptor {
 			n++
@@ -156,9 +164,11 @@
 	return n
 }
 
-// chooseSource takes up a view that may have been decided already, or has a sealed log of the chain brought to the others: the longest
-// of those that reach the new chain. Each has all that was ever committed.
-func (r *Replica) chooseSource() {
+// startTransferOrAccept proposes the view accepted under the highest ballot, which may have been
+// decided already. If there is none, it chooses the source and has its log transferred to the other
+// participants: the longest sealed log of a chain member, preferably one that stays in the chain.
+// Every sealed log contains all committed entries.
+func (r *Replica) startTransferOrAccept() {
 	p := r.proposal
 	var newest *Promise
 	for id, promise := range p.promises {
@@ -168,10 +178,10 @@
 		}
 	}
 	if newest != nil {
-		r.put(newest.AcceptedView)
+		r.sendAccepts(newest.AcceptedView)
 		return
 	}
-	r.pickSource(p.want.chain)
+	r.pickSource(p.desired.chain)
 	if p.source == "" {
 		r.pickSource(r.meta.View.Chain)
 	}
@@ -179,8 +189,8 @@
 		r.proposal = nil
 		return
 	}
-	p.caught[p.source] = true
-	for _, m := range p.asked {
+	p.caughtUp[p.source] = true
+	for _, m := range p.participants {
 		if promise := p.promises[m.ID]; promise != nil && m.ID != p.source {
 			p.targets = append(p.targets, Target{m, promise.LogEpoch, promise.LogLength, promise.Commit})
 		}
@@ -188,55 +198,58 @@
 	r.sendTo(p.source, Message{Transfer: &Transfer{r.meta.View.Epoch, p.ballot, p.targets}})
 }
 
-// pickSource picks the longest sealed log of the old chain's members among some; of equals the one nearest to the head.
-func (r *Replica) pickSource(among []NodeID) {
+// pickSource picks the longest sealed log of the old chain's members that are in candidates. Among
+// equals it picks the one closest to the head.
+func (r *Replica) pickSource(candidates []NodeID) {
 	p := r.proposal
 	for _, id := range r.meta.View.Chain {
 		promise := p.promises[id]
-		if promise == nil || promise.LogEpoch != r.meta.View.Epoch || !slices.Contains(among, id) {
+		if promise == nil || promise.LogEpoch != r.meta.View.Epoch || !slices.Contains(candidates, id) {
 			continue
 		}
-		if p.source == "" || promise.LogLength > p.length {
-			p.source, p.length = id, promise.LogLength
+		if p.source == "" || promise.LogLength > p.sourceLastSeq {
+			p.source, p.sourceLastSeq = id, promise.LogLength
 		}
 	}
 }
 
-// vote puts the new view to the vote: its chain is those that hold the source's log.
-func (r *Replica) vote(now time.Duration) {
+// proposeView starts the accept phase for a new view, whose chain consists of the nodes that hold
+// the source's log.
+func (r *Replica) proposeView(now time.Duration) {
 	p, view := r.proposal, &r.meta.View
-	if len(p.caught) < r.options.Copies {
+	if len(p.caughtUp) < r.options.MinCopies {
 		r.proposal = nil
 		return
 	}
-	next := &View{Epoch: view.Epoch + 1, LogLength: p.length}
-	for _, id := range p.want.chain {
-		if p.caught[id] {
+	next := &View{Epoch: view.Epoch + 1, LogLength: p.sourceLastSeq}
+	for _, id := range p.desired.chain {
+		if p.caughtUp[id] {
 			next.Chain = append(next.Chain, id)
 		}
 	}
-	if len(next.Chain) < r.options.Copies {
+	if len(next.Chain) < r.options.MinCopies {
 		r.proposal = nil
 		return
 	}
-	next.Acceptors = r.wantedAcceptors(now, next.Chain)
+	next.Acceptors = r.nextAcceptors(now, next.Chain)
 	for _, id := range next.Chain {
 		if _, acceptor := next.Acceptor(id); !acceptor {
-			next.Learners = append(next.Learners, r.member(id))
+			next.Learners = append(next.Learners, r.memberInfo(id))
 		}
 	}
-	for _, m := range p.asked {
-		if other := r.peers[m.ID]; other != nil && !p.caught[m.ID] {
-			other.passedOver = now + passedOverFor
+	for _, m := range p.participants {
+		if other := r.peers[m.ID]; other != nil && !p.caughtUp[m.ID] {
+			other.backoffUntil = now + catchUpBackoff
 		}
 	}
-	r.order(now, next)
-	r.put(next)
+	r.orderChain(now, next)
+	r.sendAccepts(next)
 }
 
-// order keeps the chain's order, newcomers last; after a write was stuck it takes another, as one link of the old may be at fault.
-func (r *Replica) order(now time.Duration, next *View) {
-	if r.stuck(now) {
+// orderChain keeps the order of the current chain and appends new members. After a stuck write it
+// shuffles the chain by rendezvous hashing, since a link between neighbours may be faulty.
+func (r *Replica) orderChain(now time.Duration, next *View) {
+	if r.writeStuck(now) {
 		key := strconv.FormatUint(next.Epoch, 10)
 		slices.SortFunc(next.Chain, func(a, b NodeID) int {
 			return cmp.Compare(rendezvous.Weight(key, string(a)), rendezvous.Weight(key, string(b)))
@@ -252,7 +265,8 @@
 	slices.SortStableFunc(next.Chain, func(a, b NodeID) int { return cmp.Compare(place(a), place(b)) })
 }
 
-func (r *Replica) put(view *View) {
+// sendAccepts asks the acceptors to accept a view.
+func (r *Replica) sendAccepts(view *View) {
 	p := r.proposal
 	p.view = view
 	for _, m := range r.meta.View.Acceptors {
@@ -284,32 +298,33 @@
 		return
 	}
 	view := p.view
-	told := append(r.meta.View.Members(), view.Members()...)
-	r.adopt(view)
-	for _, m := range told {
+	recipients := append(r.meta.View.Members(), view.Members()...)
+	r.adoptView(view)
+	for _, m := range recipients {
 		if m.ID != r.meta.Identity {
 			r.send(m, Message{Decided: view})
 		}
 	}
 }
 
-// adopt takes a decided view. A member of its chain that holds the log it starts from cuts off what goes beyond, and serves.
-func (r *Replica) adopt(view *View) {
+// adoptView applies a decided view if it is newer than the current one. A member of its chain whose
+// log contains the log that the view starts from truncates its log to that length and serves.
+func (r *Replica) adoptView(view *View) {
 	if view.Epoch <= r.meta.View.Epoch {
 		return
 	}
-	intact := view.InChain(r.meta.Identity) && r.meta.LogEpoch+1 == view.Epoch && r.length() >= view.LogLength && r.state.Seq <= view.LogLength
+	holdsStartLog := view.InChain(r.meta.Identity) && r.meta.LogEpoch+1 == view.Epoch && r.lastSeq() >= view.LogLength && r.state.Seq <= view.LogLength
 	r.meta.View = *view
 	r.meta.Promised, r.meta.Accepted, r.meta.AcceptedView = Ballot{}, Ballot{}, nil
-	r.proposal, r.needSince, r.pending = nil, 0, 0
-	clear(r.reads)
-	if intact {
-		r.log = r.log[:view.LogLength+1-r.first]
+	r.proposal, r.changeNeededSince, r.pendingSince = nil, 0, 0
+	clear(r.pendingReads)
+	if holdsStartLog {
+		r.log = r.log[:view.LogLength+1-r.firstSeq]
 		r.meta.LogEpoch = view.Epoch
 		r.commitTo(view.LogLength)
 	}
 	r.saveMeta()
-	r.out.ViewNew = true
+	r.out.ViewChanged = true
 }
 
 func sameMembers(a, b []Member) bool {
@@ -319,10 +334,10 @@
 		}
 		return ids
 	}
-	return sameSet(ids(a), ids(b))
+	return sameIDs(ids(a), ids(b))
 }
 
-func sameSet(a, b []NodeID) bool {
+func sameIDs(a, b []NodeID) bool {
 	a, b = slices.Clone(a), slices.Clone(b)
 	slices.Sort(a)
 	slices.Sort(b)
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -16,22 +16,22 @@
 	"nettlefold/internal/replicated"
 )
 
-// maxOrderBytes bounds the body of a call to the API.
-const maxOrderBytes = 8 << 20
+// maxRequestBodyBytes limits the body of a request to the API.
+const maxRequestBodyBytes = 8 << 20
 
-// problem is the body of an answer that refuses.
-type problem struct {
+// errorResponse is the body of a response that reports an error.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// serveAPI serves the operator's calls.
+// serveAPI starts the HTTP server of the operator's API.
 func (c *Controller) serveAPI() (*http.Server, error) {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.PUT("/v1/configuration", c.putConfiguration)
 	e.GET("/v1/configuration", c.getConfiguration)
-	e.POST("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.evacuation(ctx, replicated.KindEvacuate) })
-	e.DELETE("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.evacuation(ctx, replicated.KindRestore) })
+	e.POST("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.changeEvacuation(ctx, replicated.KindEvacuate) })
+	e.DELETE("/v1/evacuations/:zone", func(ctx echo.Context) error { return c.changeEvacuation(ctx, replicated.KindRestore) })
 	e.POST("/v1/version-put", c.putVersion)
 	e.GET("/v1/status", c.getStatus)
 	e.GET("/v1/readiness", func(ctx echo.Context) error { return ctx.NoContent(http.StatusOK) })
@@ -41,80 +41,87 @@
 	}
 	listener, err := c.network.Listen(c.settings.ControlAddr)
 	if err != nil {
-		return nil, merry.Prepend(err, "controller: listen to the operator")
+		return nil, merry.Prepend(err, "controller: listen for the operator's API")
 	}
 	server := &http.Server{Handler: e, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}
 	go server.Serve(listener)
 	return server, nil
 }
 
+// putConfiguration handles PUT /v1/configuration; If-Match names the version that the change is
+// based on.
 func (c *Controller) putConfiguration(ctx echo.Context) error {
-	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxOrderBytes+1))
+	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxRequestBodyBytes+1))
 	if err != nil {
-		return ctx.JSON(http.StatusBadRequest, problem{"the body cannot be read: " + err.Error()})
+		return ctx.JSON(http.StatusBadRequest, errorResponse{"the body cannot be read: " + err.Error()})
 	}
-	if len(body) > maxOrderBytes {
-		return ctx.JSON(http.StatusRequestEntityTooLarge, problem{"the body is too large"})
+	if len(body) > maxRequestBodyBytes {
+		return ctx.JSON(http.StatusRequestEntityTooLarge, errorResponse{"the body is too large"})
 	}
 	base := int64(0)
 	if match := strings.Trim(ctx.Request().Header.Get("If-Match"), `" `); match != "" {
 		if base, err = strconv.ParseInt(match, 10, 64); err != nil {
-			return ctx.JSON(http.StatusBadRequest, problem{"If-Match is no version: " + match})
+			return ctx.JSON(http.StatusBadRequest, errorResponse{"If-Match is no version: " + match})
 		}
 	}
-	return c.order(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindConfig, Body: body, Base: base})
+	return c.submitAndRespond(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindConfig, Body: body, BaseVersion: base})
 }
 
-// order submits an operation and answers for it.
-func (c *Controller) order(ctx echo.Context, limited context.Context, o replicated.Operation) error {
-	reply := c.submit(limited, &distribute.SubmitRequest{Operation: o})
-	c.log.Debug().Str("step", "order").Str("kind", o.Kind).Int("outcome", reply.Outcome).Uint64("seq", reply.Seq).Str("reason", reply.Reason).Msg("order")
+// submitAndRespond submits an operation and writes its outcome as the HTTP response.
+func (c *Controller) submitAndRespond(ctx echo.Context, callCtx context.Context, operation replicated.Operation) error {
+	reply := c.submit(callCtx, &distribute.SubmitRequest{Operation: operation})
+	c.log.Debug().Str("step", "order").Str("kind", operation.Kind).Int("outcome", reply.Outcome).
+		Uint64("seq", reply.Seq).Str("reason", reply.Reason).Msg("operation submitted")
 	switch reply.Outcome {
-	case distribute.Taken:
+	case distribute.OutcomeCommitted:
 		return ctx.JSON(http.StatusOK, struct{}{})
-	case distribute.Conflict:
-		return ctx.JSON(http.StatusPreconditionFailed, problem{reply.Reason})
-	case distribute.Invalid:
-		return ctx.JSON(http.StatusBadRequest, problem{reply.Reason})
+	case distribute.OutcomeConflict:
+		return ctx.JSON(http.StatusPreconditionFailed, errorResponse{reply.Reason})
+	case distribute.OutcomeInvalid:
+		return ctx.JSON(http.StatusBadRequest, errorResponse{reply.Reason})
 	}
-	return ctx.JSON(http.StatusServiceUnavailable, problem{reply.Reason})
+	return ctx.JSON(http.StatusServiceUnavailable, errorResponse{reply.Reason})
 }
 
+// getConfiguration handles GET /v1/configuration.
 func (c *Controller) getConfiguration(ctx echo.Context) error {
 	reply, err := c.read(ctx.Request().Context(), &distribute.ReadRequest{})
 	if err != nil {
-		return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
+		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
 	if len(reply.Config) == 0 {
-		return ctx.JSON(http.StatusNotFound, problem{"no configuration was taken yet"})
+		return ctx.JSON(http.StatusNotFound, errorResponse{"no configuration was taken yet"})
 	}
 	return ctx.Blob(http.StatusOK, echo.MIMEApplicationJSON, reply.Config)
 }
 
-// evacuation evacuates a zone or takes that back, on top of the newest order for the zone: held up on its way to the head, it must not
-// undo one that came after it.
-func (c *Controller) evacuation(ctx echo.Context, kind string) error {
+// changeEvacuation evacuates or restores a zone, based on the newest operation for that zone: if it
+// is delayed on its way to the head, it must not undo an operation that was committed after it.
+func (c *Controller) changeEvacuation(ctx echo.Context, kind string) error {
 	zone := ctx.Param("zone")
 	if _, known := c.settings.Zones[zone]; !known {
-		return ctx.JSON(http.StatusNotFound, problem{"there is no zone " + zone})
+		return ctx.JSON(http.StatusNotFound, errorResponse{"there is no zone " + zone})
 	}
-	limited, cancel := context.WithTimeout(ctx.Request().Context(), callLimit)
+	callCtx, cancel := context.WithTimeout(ctx.Request().Context(), requestTimeout)
 	defer cancel()
-	newest, err := c.read(limited, &distribute.ReadRequest{Zone: zone})
+	newest, err := c.read(callCtx, &distribute.ReadRequest{Zone: zone})
 	if err != nil {
-		return ctx.JSON(http.StatusServiceUnavailable, problem{err.Error()})
+		return ctx.JSON(http.StatusServiceUnavailable, errorResponse{err.Error()})
 	}
-	return c.order(ctx, limited, replicated.Operation{Kind: kind, Zone: zone, Based: newest.ZoneSeq})
+	return c.submitAndRespond(ctx, callCtx, replicated.Operation{Kind: kind, Zone: zone, BaseZoneSeq: newest.ZoneSeq})
 }
 
+// putVersion handles POST /v1/version-put.
 func (c *Controller) putVersion(ctx echo.Context) error {
-	var order struct {
+	var request struct {
 		Model   string `json:"model"`
 		Version int64  `json:"version"`
 	}
-	decoder := json.NewDecoder(io.LimitReader(ctx.Request().Body, maxOrderBytes))
-	if err := decoder.Decode(&order); err != nil || order.Model == "" || order.Version < 1 {
-		return ctx.JSON(http.StatusBadRequest, problem{"want a model and a version of at least 1"})
+	decoder := json.NewDecoder(io.LimitReader(ctx.Request().Body, maxRequestBodyBytes))
+	if err := decoder.Decode(&request); err != nil || request.Model == "" || request.Version < 1 {
+		return ctx.JSON(http.StatusBadRequest, errorResponse{"want a model and a version of at least 1"})
 	}
-	return c.order(ctx, ctx.Request().Context(), replicated.Operation{Kind: replicated.KindVersion, Model: order.Model, Version: order.Version})
+	return c.submitAndRespond(ctx, ctx.Request().Context(), replicated.Operation{
+		Kind: replicated.KindVersion, Model: request.Model, Version: request.Version,
+	})
 }
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -10,123 +10,135 @@
 	"nettlefold/internal/trial"
 )
 
-// candidate is a backend's estimated cost of serving a request.
+// candidate is the estimated cost of serving a request at one backend.
 type candidate struct {
-	cost    float64 // expected ms to the first token, and all other costs as ms
-	read    float64 // expected ms of reading the prompt
-	wait    float64 // expected ms of waiting before that
-	version int64
-	prompt  *heldPrompt
-	source  prefixSource
+	costMS    float64 // expected time to the first token, plus the other costs, converted to ms of delay
+	prefillMS float64 // expected time to prefill the prompt
+	waitMS    float64 // expected time in the queue before the prefill
+	version   int64   // of the backend's weights
+	prompt    *cachedPrompt
+	source    prefixSource
 }
 
-// noiseMS is by how much costs are drawn apart: by what answers took beyond what was expected, as that was sent by mixers that had not told yet.
-func (l *learned) noiseMS() float64 {
-	if trial.Off(trial.UnseenNoise) {
+// costJitterMS returns the range of the random cost that is added to each backend. It is the mean delay beyond
+// the estimate, which comes from requests of other mixers that are not reported yet.
+func (e *engineEstimates) costJitterMS() float64 {
+	if trial.Disabled(trial.CostJitter) {
 		return 0
 	}
-	return l.unseenMS
+	return e.unexpectedDelayMS
 }
 
-// beginBy is when requests may begin on a version no more, 0 if they may at any time.
-func (t *Table) beginBy(model string, version int64) time.Duration {
-	since, superseded := t.models[model].Of(version)
+// firstByteDeadline returns the time at which a request on a version of the weights is withdrawn if it has no
+// first byte, 0 if there is no limit. The deadline lies a margin before Settings.VersionLimit.
+func (t *Table) firstByteDeadline(model string, version int64) time.Duration {
+	supersededAt, superseded := t.versionTimes[model].Since(version)
 	if !superseded {
 		return 0
 	}
-	return since + time.Duration(beginShare*float64(t.settings.VersionLimit))
+	return supersededAt + time.Duration(versionFirstByteShare*float64(t.settings.VersionLimit))
 }
 
-// BeginBy is when the answer of a choice has to begin, as things are now; 0 if it may at any time. A version that is named while a request
-// waits limits it too.
-func (t *Table) BeginBy(c *Choice) time.Duration {
-	if c.begun || c.ended || c.Version == 0 {
+// FirstByteDeadline returns the time by which the response of a choice must begin, 0 if there is no limit. The
+// deadline may appear while a request waits, because a newer version of the weights is ordered.
+func (t *Table) FirstByteDeadline(c *Choice) time.Duration {
+	if c.gotFirstByte || c.ended || c.Version == 0 {
 		return 0
 	}
-	return t.beginBy(c.model, c.Version)
+	return t.firstByteDeadline(c.model, c.Version)
 }
 
-// rereadTokens weighs, in tokens, that shared parts would be read here although others are to have them: those that come first in the
-// prompt's ranking, by which all mixers send what nobody keeps yet to the same backend, and those that are reading them now.
-func (d *selection) rereadTokens(now time.Duration, b *Backend, p *candidate, kept int) float64 {
-	if d.shared <= kept || slices.Contains(d.owners[:min(1, len(d.owners))], b.ID) || b.expects(now, p.prompt.keys, d.request) {
+// duplicatePrefillTokens returns the weighted number of shared tokens that the backend would prefill although
+// another backend ranks first for the prompt. It is 0 for the first backend in the prompt's rendezvous ranking, to which all
+// mixers send parts that are cached nowhere, and for a backend that prefills the parts already.
+func (s *selection) duplicatePrefillTokens(now time.Duration, b *Backend, p *candidate, prefixTokens int) float64 {
+	if s.sharedTokens <= prefixTokens || slices.Contains(s.preferredBackends[:min(1, len(s.preferredBackends))], b.ID) ||
+		b.isPrefilling(now, p.prompt.keys, s.request) {
 		return 0
 	}
-	weight := rereadWeight()
-	if slices.Contains(d.owners, b.ID) && !trial.Off(trial.SecondOwner) {
+	weight := duplicatePrefillWeight()
+	// The second backend in the ranking may prefill the parts too, at half the weight.
+	if slices.Contains(s.preferredBackends, b.ID) && !trial.Disabled(trial.SecondPreferredBackend) {
 		weight /= 2
 	}
-	return weight * float64(d.shared-kept)
+	return weight * float64(s.sharedTokens-prefixTokens)
 }
 
-// rereadWeight is how many times its time reading shared parts again counts.
-func rereadWeight() float64 {
-	if trial.Off(trial.RereadWeight) {
+// duplicatePrefillWeight returns the factor by which a duplicate prefill of shared parts costs more than its
+// time.
+func duplicatePrefillWeight() float64 {
+	if trial.Disabled(trial.DuplicatePrefillWeight) {
 		return 1
 	}
-	return againWeight * trial.Scale(trial.Reread)
+	return duplicatePrefillFactor * trial.Scale(trial.DuplicatePrefillCost)
 }
 
-// shared is the tokens of the parts that other requests may share: all but the last.
-func (r *Request) shared() (tokens int) {
+// sharedTokens returns the number of tokens in the parts that other requests may share: all but the last part.
+func (r *Request) sharedTokens() (tokens int) {
 	for i := range len(r.Parts) - 1 {
 		tokens += r.Parts[i].Tokens
 	}
 	return tokens
 }
 
-// owners ranks the backends that may serve for what the request shares.
-func (t *Table) owners(r *Request, may []*Backend) []string {
+// rankPreferred returns the first backends in the rendezvous ranking of the request's shared prefix, nil if the
+// request shares nothing.
+func (t *Table) rankPreferred(r *Request, eligible []*Backend) []string {
 	if len(r.Parts) < 2 {
 		return nil
 	}
-	ids := make([]string, len(may))
-	for i, b := range may {
+	ids := make([]string, len(eligible))
+	for i, b := range eligible {
 		ids[i] = b.ID
 	}
-	return rendezvous.Top(r.Wall+"/"+r.Parts[len(r.Parts)-2].ID, ids, ownersOfPrompt)
+	return rendezvous.Top(r.IsolatedTenant+"/"+r.Parts[len(r.Parts)-2].ID, ids, preferredPerPrompt)
 }
 
-// expects tells whether the shared parts are being read at a backend for a request of ours.
-func (b *Backend) expects(now time.Duration, keys []kvindex.Key, r *Request) bool {
+// isPrefilling reports whether the backend is assumed to prefill all shared parts of a request for another
+// request of this mixer.
+func (b *Backend) isPrefilling(now time.Duration, keys []kvindex.Key, r *Request) bool {
 	for i := range len(r.Parts) - 1 {
-		if b.expected[keys[i]] <= now {
+		if b.prefillingUntil[keys[i]] <= now {
 			return false
 		}
 	}
 	return len(r.Parts) > 1
 }
 
-// expect notes that a request of ours has parts read here.
-func (b *Backend) expect(now time.Duration, keys []kvindex.Key) {
-	if b.expected == nil {
-		b.expected = map[kvindex.Key]time.Duration{}
+// markPrefilling records that a request of this mixer makes the backend prefill parts.
+func (b *Backend) markPrefilling(now time.Duration, keys []kvindex.Key) {
+	if b.prefillingUntil == nil {
+		b.prefillingUntil = map[kvindex.Key]time.Duration{}
 	}
-	if len(b.expected) > expectedMost {
-		for k, until := range b.expected {
+	if len(b.prefillingUntil) > maxPrefillingKeys {
+		for k, until := range b.prefillingUntil {
 			if until <= now {
-				delete(b.expected, k)
+				delete(b.prefillingUntil, k)
 			}
 		}
 	}
 	for _, k := range keys {
-		b.expected[k] = now + expectedFor
+		b.prefillingUntil[k] = now + prefillingTTL
 	}
 }
 
-// crowded is what a request waits for memory that others hold.
-func crowded(s *config.Service, load Load, r *Request) float64 {
-	over := float64(load.Tokens+r.Prompt) - memoryShare*float64(s.Engine.KVCapacityTokens)
-	if over <= 0 || s.Engine.KVCapacityTokens == 0 || trial.Off(trial.MemoryHeld) {
+// memoryWaitMS estimates how long a request waits for KV cache memory that other requests hold.
+func memoryWaitMS(s *config.Service, load Load, r *Request) float64 {
+	over := float64(load.Tokens+r.PromptTokens) - memoryPressureShare*float64(s.Engine.KVCapacityTokens)
+	if over <= 0 || s.Engine.KVCapacityTokens == 0 || trial.Disabled(trial.MemoryPressure) {
 		return 0
 	}
-	return crowdedMS * trial.Scale(trial.Crowded) * over / float64(s.Engine.KVCapacityTokens)
+	return memoryPressureMSPerCapacity * trial.Scale(trial.MemoryPressureCost) * over / float64(s.Engine.KVCapacityTokens)
 }
 
-// behind tells whether a newer version of a model is wanted.
-func (t *Table) behind(model string, version int64) bool { return version < t.models[model].Newest() }
+// outdated reports whether a newer version of a model is ordered.
+func (t *Table) outdated(model string, version int64) bool {
+	return version < t.versionTimes[model].Newest()
+}
 
-// fitHolder tells whether a holder may be fetched from. Salts see to versions and walls.
-func (t *Table) fitHolder(now time.Duration, b *Backend) bool {
-	return !b.Draining && t.evacuated[b.Zone] == 0 && now >= b.avoid && now >= b.coldUntil && b.phase != PhaseLoading
+// mayFetchFrom reports whether a holder may be fetched from. It need not check versions and isolated tenants,
+// because these have separate cache salts.
+func (t *Table) mayFetchFrom(now time.Duration, b *Backend) bool {
+	return !b.Draining && t.evacuatedZones[b.Zone] == 0 && now >= b.avoidUntil && now >= b.coldUntil &&
+		b.phase != PhaseLoading
 }
--- a/internal/dispatch/shares.go
+++ b/internal/dispatch/shares.go
@@ -8,95 +8,106 @@
 	"nettlefold/internal/rendezvous"
 )
 
-// The retry budget and what a cold backend bears are sums over all mixers, also over lives of a process that ended. Each mixer keeps
-// to a share that it can tell without asking, and what is given out in all stays below the sum by the parts named in table.go.
+// The retry budget and the request rate of a cold backend are limits on all mixers together; requests that a mixer
+// sent before a restart count too. Each mixer keeps to a share that it computes without
+// coordination. coldAllowanceShare, retrySlackShare and retryRatioShare keep the sum of the shares below the
+// limits even while mixers disagree on the members.
 
-// coldShareOf tells how often this mixer may send to a cold backend, 0 if it may not. It is found when it is asked for, which it is of a
-// few: it takes a weight for each mixer.
-func (t *Table) coldShareOf(b *Backend) time.Duration {
-	if b.sharedIn != t.sharesNumber {
-		b.coldShare, b.sharedIn = t.coldShare(b), t.sharesNumber
+// minColdPerS is the lower bound, in requests per second, of the rate that a cold backend is assumed to sustain.
+const minColdPerS = 0.1
+
+// coldInterval returns the time between two requests of this mixer to a cold backend, 0 if it may send none. The
+// interval is computed on demand, because ranking all mixers is expensive and few backends are cold.
+func (t *Table) coldInterval(b *Backend) time.Duration {
+	if b.coldIntervalRevision != t.sharesRevision {
+		b.coldInterval, b.coldIntervalRevision = t.computeColdInterval(b), t.sharesRevision
 	}
-	return b.coldShare
+	return b.coldInterval
 }
 
-// coldShare divides the allowance of a second among so many mixers, picked by rendezvous hashing, that each may send one.
-func (t *Table) coldShare(b *Backend) time.Duration {
+// computeColdInterval divides a backend's allowance for one second among as many mixers as may send one request
+// each. These mixers are selected by rendezvous hashing.
+func (t *Table) computeColdInterval(b *Backend) time.Duration {
 	service := t.service(b.Service)
 	if service == nil || len(t.members.All) == 0 {
 		return 0
 	}
 	allowed := service.ColdPerS*t.settings.ColdOvershoot + t.settings.ColdSlack
-	users := int(math.Floor(allowed * coldPart))
-	if users < 1 {
+	senders := int(math.Floor(allowed * coldAllowanceShare))
+	if senders < 1 {
 		return 0
 	}
-	if users < len(t.members.All) && !slices.Contains(rendezvous.Top("cold/"+b.ID, t.members.All, users), t.members.Self) {
+	if senders < len(t.members.All) && !slices.Contains(rendezvous.Top("cold/"+b.ID, t.members.All, senders), t.members.Self) {
 		return 0
 	}
-	// Beyond one a second each, the steady rate is kept too: all users together send no more than the backend handles.
-	each := float64(min(users, len(t.members.All))) / max(service.ColdPerS, 0.1)
-	return max(time.Second, time.Duration(each*float64(time.Second)))
+	// Each sender sends at most once per second, and all senders together at most at the rate that the backend sustains.
+	intervalS := float64(min(senders, len(t.members.All))) / max(service.ColdPerS, minColdPerS)
+	return max(time.Second, time.Duration(intervalS*float64(time.Second)))
 }
 
-// coldAllows tells whether a cold backend may get a request now.
-func (t *Table) coldAllows(now time.Duration, b *Backend) bool {
+// coldAdmits reports whether this mixer may send a request to a backend now, as far as the backend's limit while
+// it is cold is concerned.
+func (t *Table) coldAdmits(now time.Duration, b *Backend) bool {
 	if now >= b.coldUntil {
 		return true
 	}
-	return now >= b.coldNext && now-t.started >= firstColdWaitMS*time.Millisecond && t.coldShareOf(b) > 0
+	return now >= b.nextColdSend && now-t.started >= coldStartupWaitMS*time.Millisecond && t.coldInterval(b) > 0
 }
 
-// budget counts a service's requests and repeats in the running window, by its tenths.
-type budget struct {
-	slots [budgetSlots]struct{ requests, repeats int }
-	at    int64 // number of the newest slot
+// retryBudget counts a service's requests and retries in a sliding window that is divided into
+// intervals.
+type retryBudget struct {
+	intervals      [retryBudgetIntervals]struct{ requests, retries int }
+	newestInterval int64 // sequence number of the newest interval
 }
 
-const budgetSlots = 10
+const retryBudgetIntervals = 10
 
-func (b *budget) turn(now, window time.Duration) {
-	at := int64(now / (window / budgetSlots))
-	for i := max(b.at+1, at-budgetSlots+1); i <= at; i++ {
-		b.slots[i%budgetSlots] = struct{ requests, repeats int }{}
+// advance clears the intervals that left the window.
+func (b *retryBudget) advance(now, window time.Duration) {
+	current := int64(now / (window / retryBudgetIntervals))
+	for i := max(b.newestInterval+1, current-retryBudgetIntervals+1); i <= current; i++ {
+		b.intervals[i%retryBudgetIntervals] = struct{ requests, retries int }{}
 	}
-	b.at = max(b.at, at)
+	b.newestInterval = max(b.newestInterval, current)
 }
 
-func (t *Table) budget(now time.Duration, service string) *budget {
-	b := t.budgets[service]
+// retryBudgetOf returns the retry budget of a service with its window advanced to now.
+func (t *Table) retryBudgetOf(now time.Duration, service string) *retryBudget {
+	b := t.retryBudgets[service]
 	if b == nil {
-		b = &budget{at: int64(now / (t.settings.BudgetWindow / budgetSlots))}
-		t.budgets[service] = b
+		b = &retryBudget{newestInterval: int64(now / (t.settings.RetryBudgetWindow / retryBudgetIntervals))}
+		t.retryBudgets[service] = b
 	}
-	b.turn(now, t.settings.BudgetWindow)
+	b.advance(now, t.settings.RetryBudgetWindow)
 	return b
 }
 
-// Arrived books a client's request for a service.
-func (t *Table) Arrived(now time.Duration, service string) {
-	b := t.budget(now, service)
-	b.slots[b.at%budgetSlots].requests++
+// RecordRequest adds a client's request for a service to the retry budget.
+func (t *Table) RecordRequest(now time.Duration, service string) {
+	b := t.retryBudgetOf(now, service)
+	b.intervals[b.newestInterval%retryBudgetIntervals].requests++
 }
 
-// TakeRepeat books one sending beyond a request's first, if this mixer's share of the budget has room.
-func (t *Table) TakeRepeat(now time.Duration, service string) bool {
-	if !t.RepeatFits(now, service) {
+// TakeRetry counts one retry against a service's retry budget if this mixer's share of the budget allows it. It
+// reports whether it does.
+func (t *Table) TakeRetry(now time.Duration, service string) bool {
+	if !t.RetryAllowed(now, service) {
 		return false
 	}
-	b := t.budget(now, service)
-	b.slots[b.at%budgetSlots].repeats++
+	b := t.retryBudgetOf(now, service)
+	b.intervals[b.newestInterval%retryBudgetIntervals].retries++
 	return true
 }
 
-// RepeatFits tells whether this mixer's share of the budget has room for one more sending.
-func (t *Table) RepeatFits(now time.Duration, service string) bool {
-	b := t.budget(now, service)
-	requests, repeats := 0, 0
-	for _, s := range b.slots {
+// RetryAllowed reports whether this mixer's share of a service's retry budget allows one more attempt.
+func (t *Table) RetryAllowed(now time.Duration, service string) bool {
+	b := t.retryBudgetOf(now, service)
+	requests, retries := 0, 0
+	for _, s := range b.intervals {
 		requests += s.requests
-		repeats += s.repeats
+		retries += s.retries
 	}
-	slack := t.settings.RetryBudgetSlack * budgetPart / float64(max(1, len(t.members.All)))
-	return float64(repeats+1) <= slack+ratioPart*t.settings.RetryBudgetRatio*float64(requests)
+	slack := t.settings.RetryBudgetSlack * retrySlackShare / float64(max(1, len(t.members.All)))
+	return float64(retries+1) <= slack+retryRatioShare*t.settings.RetryBudgetRatio*float64(requests)
 }
--- a/internal/fleet/sites/eyes.go
+++ b/internal/fleet/sites/eyes.go
@@ -116,15 +116,15 @@
 	defer e.mu.Unlock()
 	b := e.places[spot].ring.at(e.clock() / e.span)
 	switch o {
-	case mixer.Satisfied, mixer.Errored, mixer.Bounced:
+	case mixer.Succeeded, mixer.Failed, mixer.Rejected:
 		b.answered++
 		if took > e.expected {
 			b.late++
 		}
-	case mixer.Unreached:
+	case mixer.Unreachable:
 		b.tried++
 		b.failed++
-	case mixer.Reset:
+	case mixer.ConnectionReset:
 		b.lost++
 	case mixer.TimedOut, mixer.Cancelled:
 		if took >= e.expected {
@@ -149,12 +149,12 @@
 
 // Listed takes news of the list, one at a time. A searcher beyond the bound belongs to no site. What follows from them is made without
 // the lock, for which the router may wait under its own, and put in place at once.
-func (e *Eyes) Listed(l protocol.List) {
+func (e *Eyes) Listed(l protocol.MemberList) {
 	e.mu.Lock()
 	was := e.searchers // it is never written again, but replaced here
 	e.mu.Unlock()
 	all := map[string]searcher{}
-	if !l.Whole {
+	if !l.Snapshot {
 		all = maps.Clone(was)
 	}
 	next := make([]place, len(e.names)) // what the list says of them
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -18,14 +18,14 @@
 
 // limits are those of a mixer of the plan; what the plan does not name is as in example/config.json.
 func limits() charter.Limits {
-	l, _ := charter.Terms{}.Limits(mixer.Charter{}) // what the settings do not name; the faults are of what they must name
-	l.Sockets, l.Streams, l.Connect = 2*int(Searchers)+100, 100, 250*time.Millisecond
-	l.KeepAlive = time.Duration(keepAlive * 1e9)
+	l, _ := charter.Settings{}.Limits(mixer.Config{}) // what the settings do not name; the faults are of what they must name
+	l.FileDescriptors, l.MaxStreamsPerConn, l.ConnectTimeout = 2*int(Searchers)+100, 100, 250*time.Millisecond
+	l.KeepAliveTimeout = time.Duration(keepAlive * 1e9)
 	return l
 }
 
 // heldByTable gives what the table of connections holds of a list without any connection, and its end.
-func heldByTable(list protocol.List) (end func(), bytes float64) {
+func heldByTable(list protocol.MemberList) (end func(), bytes float64) {
 	s, bytes := Held(func() *transport.Searchers {
 		s := transport.NewSearchers(limits(), slog.New(slog.DiscardHandler))
 		s.Listed(list)
@@ -47,7 +47,7 @@
 	w, bytes := Held(func() *transport.Watch {
 		told := make(chan int, 1)
 		w := &transport.Watch{Discovery: l.Addr().String(), Fresh: true, Limits: limits(), Log: slog.New(slog.DiscardHandler)}
-		w.Listed = func(list protocol.List) { told <- len(list.Members) }
+		w.Listed = func(list protocol.MemberList) { told <- len(list.Members) }
 		go func() {
 			w.Run(ctx)
 			close(ended)
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -1,5 +1,6 @@
-// Package listing compares messages of the list with what was told before, so that the module is told only what differs. It is
-// pure: no I/O, no clock, no goroutine, no order of a map.
+// Package listing tracks the membership list of the backends and reduces each message of it to the entries
+// that differ from what was reported to the mixer before. It is deterministic: no I/O, no clock, no
+// goroutines, and no dependence on the iteration order of maps.
 package listing
 
 import (
@@ -8,207 +9,219 @@
 	"nettlefold/mixer"
 )
 
-// Book holds the rows of the list as they were last told. The zero Book holds none. One goroutine uses it at a time.
-type Book struct {
-	at      map[string]int32 // where a listed searcher's row is
-	rows    []row            // those that are Dead are free
-	free    []int32
-	message uint32 // counts messages
+// Tracker holds the last reported entry of each listed backend. The zero Tracker is empty and ready to use.
+// It is not safe for concurrent use.
+type Tracker struct {
+	index          map[string]int32 // by backend name, the index in rows
+	rows           []row            // unused ones have the status Dead
+	free           []int32          // indexes of unused rows
+	currentMessage uint32           // sequence number of the current message
 }
 
-// row is one searcher's, as last told, Dead where it is not listed.
+// row is the state of one backend. Its entry is Dead if the backend is not listed.
 type row struct {
-	told    mixer.Entry
-	message uint32 // that named it last
-	last    int32  // its last line in that
+	entry          mixer.Entry // as last reported
+	lastMessage    uint32      // sequence number of the last message that named the backend
+	lastEntryIndex int32       // index of the backend's last entry in that message
 }
 
-// rank is how urgent a row's news are, the most urgent first.
-type rank uint8
+// changeKind classifies how an entry differs from the one reported before, in the order in which changes are
+// reported.
+type changeKind uint8
 
 const (
-	gone       rank = iota // no longer there
-	draining               // takes no more
-	newProcess             // met for the first time, or started anew
-	other                  // serves again, or has another zone, size or cell
-	same                   // as told before
-	ranks      int  = iota
+	removed     changeKind = iota // no longer listed
+	draining                      // accepts no new calls
+	started                       // new backend, or a new process of a known one
+	modified                      // live again, or with another zone, size or cell
+	unchanged                     // equal to what was reported before
+	changeKinds int        = iota
 )
 
-// compare gives how a searcher's line differs from what was told before.
-func compare(told, e *mixer.Entry) rank {
+// classify returns how entry e differs from the one reported before.
+func classify(before, e *mixer.Entry) changeKind {
 	switch {
-	case told.Status == mixer.Dead && e.Status == mixer.Dead, *told == *e:
-		return same
+	case before.Status == mixer.Dead && e.Status == mixer.Dead, *before == *e:
+		return unchanged
 	case e.Status == mixer.Dead:
-		return gone
-	case e.Status == mixer.Draining && told.Status != mixer.Draining:
+		return removed
+	case e.Status == mixer.Draining && before.Status != mixer.Draining:
 		return draining
-	case told.Status == mixer.Dead || told.Started != e.Started:
-		return newProcess
+	case before.Status == mixer.Dead || before.Started != e.Started:
+		return started
 	}
-	return other
+	return modified
 }
 
-// Take takes one message, changes or with whole set all of the list, and gives the lines that differ from what was told before. Those
-// that are gone come first, then what drains, new processes, and the rest, each in the message's order. Of several lines of one
-// searcher the last counts. Where a whole list does not name a searcher its row comes as told last, but Dead. A line that is
-// Dead of a searcher that is not listed is none. What is given is the caller's.
-func (b *Book) Take(lines []mixer.Entry, whole bool) []mixer.Entry {
-	if b.at == nil {
-		b.at, b.rows = make(map[string]int32, len(lines)), make([]row, 0, len(lines))
+// Apply applies one message, which is the full list or a set of changes, and returns the entries that differ
+// from what was reported before. Removed backends come first, then draining ones, new processes, and the rest,
+// each kind in the order of the message; see massRemovalDivisor for the exception. Of several entries of one
+// backend the last one counts. A listed backend that a full list omits is returned with its last reported
+// entry and the status Dead, ahead of all others and in the order of the tracker's rows. A Dead entry of a
+// backend that is not listed is ignored. The caller owns the returned slice.
+func (t *Tracker) Apply(entries []mixer.Entry, full bool) []mixer.Entry {
+	if t.index == nil {
+		t.index, t.rows = make(map[string]int32, len(entries)), make([]row, 0, len(entries))
 	}
-	b.message++
-	listed := len(b.at)
-	named := b.name(lines)
-	ordered := make([]rank, len(named)) // how what is named differs
-	var count [ranks]int
+	t.currentMessage++
+	listed := len(t.index)
+	named := t.assignRows(entries)
+	kinds := make([]changeKind, len(named)) // of the backends in named
+	var count [changeKinds]int
 	for i, at := range named {
-		r := &b.rows[at]
-		ordered[i] = compare(&r.told, &lines[r.last])
-		count[ordered[i]]++
+		r := &t.rows[at]
+		kinds[i] = classify(&r.entry, &entries[r.lastEntryIndex])
+		count[kinds[i]]++
 	}
-	unnamed := 0
-	if whole {
-		for i := range b.rows {
-			if b.missing(i) {
-				unnamed++
+	omitted := 0
+	if full {
+		for i := range t.rows {
+			if t.omitted(i) {
+				omitted++
 			}
 		}
 	}
-	if unnamed+len(named) == count[same] {
-		b.drop(named)
+	if omitted+len(named) == count[unchanged] {
+		t.releaseDead(named)
 		return nil
 	}
-	out := make([]mixer.Entry, unnamed+len(named)-count[same])
-	var next [ranks]int // where the next of each rank is put
-	next[gone] = unnamed
-	for k := gone + 1; k < same; k++ {
+	out := make([]mixer.Entry, omitted+len(named)-count[unchanged])
+	var next [changeKinds]int // by kind, the index in out of its next entry
+	next[removed] = omitted
+	for k := removed + 1; k < unchanged; k++ {
 		next[k] = next[k-1] + count[k-1]
 	}
 	for i, at := range named {
-		if k := ordered[i]; k != same {
-			r := &b.rows[at]
-			r.told = lines[r.last]
-			out[next[k]] = r.told
+		if k := kinds[i]; k != unchanged {
+			r := &t.rows[at]
+			r.entry = entries[r.lastEntryIndex]
+			out[next[k]] = r.entry
 			next[k]++
 		}
 	}
-	if unnamed > 0 {
+	if omitted > 0 {
 		at := 0
-		for i := range b.rows {
-			if r := &b.rows[i]; b.missing(i) {
-				r.told.Status = mixer.Dead
-				out[at] = r.told
+		for i := range t.rows {
+			if r := &t.rows[i]; t.omitted(i) {
+				r.entry.Status = mixer.Dead
+				out[at] = r.entry
 				at++
-				b.release(int32(i))
+				t.release(int32(i))
 			}
 		}
 	}
-	b.drop(named)
-	if next[gone]*mass > listed && count[newProcess] > 0 {
-		return spread(out, next[gone], count[draining], count[newProcess])
+	t.releaseDead(named)
+	// next[removed] is now the number of all removals, omitted backends included.
+	if next[removed]*massRemovalDivisor > listed && count[started] > 0 {
+		return interleave(out, next[removed], count[draining], count[started])
 	}
 	return out
 }
 
-// mass is the share of the list, as one in so many, beyond which what goes is not told before what comes: until both are told a mixer
-// would take the fleet for so much smaller than it is, and each searcher in it for one that bears more.
-const mass = 16
-
-// spread puts what drains first, and then newcomers evenly among those that go, each before those in whose place it comes.
-func spread(rows []mixer.Entry, going, drains, newcomers int) []mixer.Entry {
-	out := append(make([]mixer.Entry, 0, len(rows)), rows[going:going+drains]...)
-	come := rows[going+drains:][:newcomers]
-	told := 0
-	for i := range going {
-		n := ((i+1)*newcomers + going - 1) / going // so many have come when this one goes: one at least, so that some are always listed
-		out = append(append(out, come[told:n]...), rows[i])
-		told = n
+// massRemovalDivisor bounds the removals that are reported before all additions: if more than one in this many
+// listed backends are removed, the additions are interleaved with them. If all removals came first, a mixer
+// would until the additions underestimate the size of the fleet by the share of the removals, and overestimate
+// the capacity of each backend.
+const massRemovalDivisor = 16
+
+// interleave reorders the result of Apply, which holds the given numbers of removed, draining and started
+// backends and then the rest. Draining ones come first, then the started ones spread evenly among the removed
+// ones in proportion, with additions ahead of removals, then the rest.
+func interleave(entries []mixer.Entry, removals, drains, starts int) []mixer.Entry {
+	out := append(make([]mixer.Entry, 0, len(entries)), entries[removals:removals+drains]...)
+	startedEntries := entries[removals+drains:][:starts]
+	added := 0
+	for i := range removals {
+		// Additions up to this removal: at least one, so that the list is never empty.
+		n := ((i+1)*starts + removals - 1) / removals
+		out = append(append(out, startedEntries[added:n]...), entries[i])
+		added = n
 	}
-	return append(out, rows[going+drains+newcomers:]...)
+	return append(out, entries[removals+drains+starts:]...)
 }
 
-// name notes which searchers a message names and gives their rows in its order, new ones for those that are not listed.
-func (b *Book) name(lines []mixer.Entry) []int32 {
-	named := make([]int32, 0, len(lines))
-	for i := range lines {
-		e := &lines[i]
-		at, listed := b.at[e.Searcher]
+// assignRows marks the backends that a message names and returns their rows in the order of the message. It
+// adds rows for new backends that are not Dead.
+func (t *Tracker) assignRows(entries []mixer.Entry) []int32 {
+	named := make([]int32, 0, len(entries))
+	for i := range entries {
+		e := &entries[i]
+		at, listed := t.index[e.Searcher]
 		if !listed {
 			if e.Status == mixer.Dead {
 				continue
 			}
-			if n := len(b.free); n > 0 {
-				at, b.free = b.free[n-1], b.free[:n-1]
+			if n := len(t.free); n > 0 {
+				at, t.free = t.free[n-1], t.free[:n-1]
 			} else {
-				at = int32(len(b.rows))
-				b.rows = append(b.rows, row{})
+				at = int32(len(t.rows))
+				t.rows = append(t.rows, row{})
 			}
-			b.rows[at] = row{told: mixer.Entry{Searcher: e.Searcher, Status: mixer.Dead}}
-			b.at[e.Searcher] = at
+			t.rows[at] = row{entry: mixer.Entry{Searcher: e.Searcher, Status: mixer.Dead}}
+			t.index[e.Searcher] = at
 		}
-		r := &b.rows[at]
-		if r.message != b.message {
-			r.message = b.message
+		r := &t.rows[at]
+		if r.lastMessage != t.currentMessage {
+			r.lastMessage = t.currentMessage
 			named = append(named, at)
 		}
-		r.last = int32(i)
+		r.lastEntryIndex = int32(i)
 	}
 	return named
 }
 
-// missing tells whether a row is of a listed searcher that the message at hand does not name.
-func (b *Book) missing(at int) bool {
-	r := &b.rows[at]
-	return r.told.Status != mixer.Dead && r.message != b.message
+// omitted reports whether a row holds a listed backend that the current message does not name.
+func (t *Tracker) omitted(at int) bool {
+	r := &t.rows[at]
+	return r.entry.Status != mixer.Dead && r.lastMessage != t.currentMessage
 }
 
-// drop frees those rows of a message that are Dead once it is taken.
-func (b *Book) drop(named []int32) {
+// releaseDead releases those rows of an applied message that are Dead.
+func (t *Tracker) releaseDead(named []int32) {
 	for _, at := range named {
-		if b.rows[at].told.Status == mixer.Dead {
-			b.release(at)
+		if t.rows[at].entry.Status == mixer.Dead {
+			t.release(at)
 		}
 	}
-	if len(b.free) > spare && len(b.free) > len(b.rows)*3/4 {
-		b.shrink()
+	if len(t.free) > minFreeRows && len(t.free) > len(t.rows)*3/4 {
+		t.compact()
 	}
 }
 
-// spare is how many free rows are always kept.
-const spare = 1024
+// minFreeRows is the number of unused rows that are always kept for reuse.
+const minFreeRows = 1024
 
-// release frees the row of a searcher that is no longer listed.
-func (b *Book) release(at int32) {
-	delete(b.at, b.rows[at].told.Searcher)
-	b.rows[at] = row{told: mixer.Entry{Status: mixer.Dead}}
-	b.free = append(b.free, at)
+// release frees the row of a backend that is no longer listed.
+func (t *Tracker) release(at int32) {
+	delete(t.index, t.rows[at].entry.Searcher)
+	t.rows[at] = row{entry: mixer.Entry{Status: mixer.Dead}}
+	t.free = append(t.free, at)
 }
 
-// shrink gives back what a far longer list took.
-func (b *Book) shrink() {
-	rows := make([]row, 0, len(b.at))
-	at := make(map[string]int32, len(b.at))
-	for _, r := range b.rows {
-		if r.told.Status != mixer.Dead {
-			at[r.told.Searcher] = int32(len(rows))
+// compact drops the unused rows, to return the memory of a much longer list.
+func (t *Tracker) compact() {
+	rows := make([]row, 0, len(t.index))
+	index := make(map[string]int32, len(t.index))
+	for _, r := range t.rows {
+		if r.entry.Status != mixer.Dead {
+			index[r.entry.Searcher] = int32(len(rows))
 			rows = append(rows, r)
 		}
 	}
-	b.at, b.rows, b.free = at, rows, nil
+	t.index, t.rows, t.free = index, rows, nil
 }
 
-// Doubt has rows that were given count as not told: what comes of their searchers next differs, whatever it is.
-func (b *Book) Doubt(given []mixer.Entry) {
-	for _, e := range given {
+// Invalidate marks entries that Apply returned as not reported, because reporting them failed. The next entry
+// of each of these backends counts as a change, whatever it says.
+func (t *Tracker) Invalidate(entries []mixer.Entry) {
+	for _, e := range entries {
 		if e.Status == mixer.Dead {
-			e.Status = mixer.Draining // listed, so that a whole list that does not name it says so again
+			e.Status = mixer.Draining // keep it listed, so that a full list that omits it reports the removal again
 		}
-		b.message++
-		for _, at := range b.name([]mixer.Entry{e}) {
-			b.rows[at].told = e
-			b.rows[at].told.Size = math.NaN()
+		t.currentMessage++
+		for _, at := range t.assignRows([]mixer.Entry{e}) {
+			t.rows[at].entry = e
+			t.rows[at].entry.Size = math.NaN() // NaN differs from any size
 		}
 	}
 }
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -13,242 +13,261 @@
 	"nettlefold/internal/upstream"
 )
 
-// attempt is one sending of a request to a backend.
+// attempt is one transmission of a request to a backend.
 type attempt struct {
-	choice   *dispatch.Choice
-	response *upstream.Response
-	err      error
-	begun    bool            // the first bytes of the answer are there
-	end      func()          // frees what the attempt holds
-	limit    beginLimit      // ends it where it may not begin later
-	ctx      context.Context // of this attempt alone; its cause is an ending
-	cancel   context.CancelCauseFunc
-	request  *request
-	tried    []string     // backends that the request was sent to, this one too
-	sent     int          // how many of them may have run it, this one counted
-	mayMove  bool         // it may be sent to another backend
-	answer   atomic.Int32 // an answerState
-	heard    atomic.Int64 // when the last bytes came, by the proxy's clock
-	first    []byte       // the first bytes of the answer, until they are passed on
-	firstErr error        // what came with them
-	takeover atomic.Pointer[takeover]
+	choice         *dispatch.Choice
+	response       *upstream.Response
+	err            error
+	started        bool            // the first bytes of the response have arrived
+	release        func()          // releases the resources of the attempt
+	firstByteTimer firstByteTimer  // cancels the attempt if its response may not start any more
+	ctx            context.Context // of this attempt alone; its cause may be an endReason
+	cancel         context.CancelCauseFunc
+	request        *request
+	triedBackends  []string // IDs of the backends tried so far, this one included
+	// sendCount counts the attempts that count against max_attempts, this one included. forward counts
+	// all attempts but those whose request was not sent, resumeStream all but those known not to
+	// have been executed.
+	sendCount    int
+	retryable    bool         // the request may be sent to another backend
+	state        atomic.Int32 // a responseState
+	lastProgress atomic.Int64 // time of the last received bytes, a time.Duration on the clock of the proxy
+	firstBytes   []byte       // first bytes of the response body, until they are relayed
+	firstErr     error        // error of the read that returned firstBytes
+	takeover     atomic.Pointer[streamTakeover]
 }
 
-// notRun tells whether it is known that the backend did not run the request.
-func (a *attempt) notRun() bool {
+// notExecuted reports whether the backend is known not to have executed the request.
+func (a *attempt) notExecuted() bool {
 	if a.err != nil {
 		var failed *upstream.Error
 		return errors.As(a.err, &failed) && failed.Stage == upstream.NotSent
 	}
-	return a.response.Header.Get(headerNotRun) != "" || a.response.StatusCode == http.StatusMisdirectedRequest
+	return a.response.Header.Get(headerNotExecuted) != "" || a.response.StatusCode == http.StatusMisdirectedRequest
 }
 
-// forward sends a request to a backend, to another where the rules and the budget allow it, and answers the client.
+// forward sends a request to a backend, retries it elsewhere as its route and the retry budget allow,
+// and answers the client.
 func (p *Proxy) forward(q *request) {
-	ctx, cancel := context.WithDeadline(q.Context(), q.limit)
+	ctx, cancel := context.WithDeadline(q.Context(), q.effectiveDeadline)
 	defer cancel()
-	p.do(func() { p.table.Arrived(p.now(), q.service) })
+	p.execute(func() { p.dispatchTable.RecordRequest(p.now(), q.service) })
 	var tried []string
-	sent, mayHaveRun := 0, false
+	sendCount, mayHaveExecuted := 0, false
 	for {
-		choice := p.pick(q, tried)
+		choice := p.pickBackend(q, tried)
 		if choice == nil {
-			p.giveUp(q, mayHaveRun, "no backend may take the request now")
+			p.refuseUnserved(q, mayHaveExecuted, "no backend may take the request now")
 			return
 		}
-		if choice.Later > 0 {
+		if choice.RetryAfterMS > 0 {
 			p.counters.deferred.Add(1)
-			refuse(q.writer, http.StatusServiceUnavailable, choice.Later/1000, "too many requests wait")
+			refuse(q.writer, http.StatusServiceUnavailable, choice.RetryAfterMS/1000, "too many requests wait")
 			return
 		}
 		tried = append(tried, choice.ID)
-		a := p.send(ctx, q, choice, tried, sent+1, "")
-		if a.err == nil && !a.notRun() {
+		a := p.sendAttempt(ctx, q, choice, tried, sendCount+1, "")
+		if a.err == nil && !a.notExecuted() {
 			p.relay(ctx, q, a)
 			return
 		}
-		p.book(a, ctx)
+		p.recordFailedAttempt(a, ctx)
 		if a.err == nil {
 			io.Copy(io.Discard, io.LimitReader(a.response.Body, 64<<10))
 			a.response.Body.Close()
 		}
-		a.end()
-		if !a.notRun() {
-			mayHaveRun = true
+		a.release()
+		if !a.notExecuted() {
+			mayHaveExecuted = true
 		}
-		if a.err == nil || !a.notRun() {
-			sent++
+		if a.err == nil || !a.notExecuted() {
+			sendCount++
 		}
 		if ctx.Err() != nil {
-			p.giveUp(q, mayHaveRun, "its time is up")
+			p.refuseUnserved(q, mayHaveExecuted, "its time is up")
 			return
 		}
-		if mayHaveRun && !q.route.MayRepeat() || sent >= max(1, q.route.MaxAttempts) || len(tried) > maxTried || !p.mayRepeat(q, sent) {
-			p.giveUp(q, mayHaveRun, "it was not served")
+		if mayHaveExecuted && !q.route.Repeatable() || sendCount >= max(1, q.route.MaxAttempts) || len(tried) > maxFailovers || !p.takeRetry(q, sendCount) {
+			p.refuseUnserved(q, mayHaveExecuted, "it was not served")
 			return
 		}
 	}
 }
 
-// maxTried bounds the backends tried, those included that could not be reached.
-const maxTried = 4
+// maxFailovers bounds the backends tried for a request after the first one, unreachable ones included.
+const maxFailovers = 4
 
-func (p *Proxy) pick(q *request, tried []string) (choice *dispatch.Choice) {
-	p.do(func() { choice = p.table.Pick(p.now(), q.decision(tried)) })
+// pickBackend picks a backend other than the tried ones. It returns nil if none may take the request.
+func (p *Proxy) pickBackend(q *request, tried []string) (choice *dispatch.Choice) {
+	p.execute(func() { choice = p.dispatchTable.Pick(p.now(), q.dispatchRequest(tried)) })
 	return choice
 }
 
-// decision is what choosing a backend needs to know of a request that was sent to some already.
-func (q *request) decision(tried []string) *dispatch.Request {
+// dispatchRequest describes a request that was sent to the tried backends to the dispatch table.
+func (q *request) dispatchRequest(tried []string) *dispatch.Request {
 	return &dispatch.Request{
-		Target: q.route.TargetMS, Rank: q.rank, Left: float64(time.Until(q.deadline).Milliseconds()), Again: q.again || len(tried) > 0,
-		Service: q.service, Model: q.model, Parts: q.parts, Prompt: q.prompt, Bytes: len(q.body), Wall: q.wall(), Tried: tried,
+		TargetMS: q.route.TargetLatencyMS, PolicyRank: q.rank, RemainingMS: float64(time.Until(q.clientDeadline).Milliseconds()),
+		Retried: q.likelyRetry || len(tried) > 0, Service: q.service, Model: q.model, Parts: q.promptParts,
+		PromptTokens: q.promptTokens, BodyBytes: len(q.body), IsolatedTenant: q.isolatedTenant(), TriedBackends: tried,
 	}
 }
 
-// mayRepeat takes a place in the retry budget; what never reached a backend needs none.
-func (p *Proxy) mayRepeat(q *request, sent int) (may bool) {
-	if sent == 0 {
+// takeRetry takes a retry from the budget of the service and reports whether one was left. A request
+// that has not reached any backend needs none.
+func (p *Proxy) takeRetry(q *request, sendCount int) (allowed bool) {
+	if sendCount == 0 {
 		return true
 	}
-	p.do(func() { may = p.table.TakeRepeat(p.now(), q.service) })
-	return may
+	p.execute(func() { allowed = p.dispatchTable.TakeRetry(p.now(), q.service) })
+	return allowed
 }
 
-// send makes one attempt, the last of tried and the sent-th that may run, up to the first bytes of the answer's body. A stream that was cut
-// is taken up behind lastEvent.
-func (p *Proxy) send(ctx context.Context, q *request, c *dispatch.Choice, tried []string, sent int, lastEvent string) *attempt {
-	header := q.header.Clone()
-	header.Set(headerExpected, c.ID)
+// sendAttempt sends a request to a backend and waits for the first bytes of the response body. tried
+// includes this backend and sendCount this attempt. A stream resumes after the event with the ID
+// lastEvent, unless it is "".
+func (p *Proxy) sendAttempt(ctx context.Context, q *request, c *dispatch.Choice, tried []string, sendCount int, lastEvent string) *attempt {
+	header := q.backendHeader.Clone()
+	header.Set(headerExpectedInstance, c.ID)
 	if c.Version != 0 {
-		header.Set(headerVersion, strconv.FormatInt(c.Version, 10))
-		header.Set(headerSalt, c.Salt)
-		header.Set(headerPriority, strconv.Itoa(c.Priority))
+		header.Set(headerExpectedVersion, strconv.FormatInt(c.Version, 10))
+		header.Set(headerCacheSalt, c.Salt)
+		header.Set(headerPriority, strconv.Itoa(c.EnginePriority))
 	}
-	if c.Fetch != "" {
-		header.Set(headerFetch, c.Fetch)
+	if c.FetchAddr != "" {
+		header.Set(headerKVFetch, c.FetchAddr)
 	}
-	if c.Save != "" {
-		header.Set(headerSave, c.Save)
+	if c.SaveAddr != "" {
+		header.Set(headerKVSave, c.SaveAddr)
 	}
 	if lastEvent != "" {
 		header.Set(headerLastEvent, lastEvent)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	a := &attempt{
-		choice: c, ctx: ctx, cancel: cancel, request: q, tried: tried, sent: sent,
-		mayMove: q.route.MayRepeat() && sent < max(1, q.route.MaxAttempts),
+		choice: c, ctx: ctx, cancel: cancel, request: q, triedBackends: tried, sendCount: sendCount,
+		retryable: q.route.Repeatable() && sendCount < max(1, q.route.MaxAttempts),
 	}
-	a.heard.Store(int64(p.now()))
-	p.do(func() { // in one step with the versions in force, or one that is named meanwhile would not limit it
+	a.lastProgress.Store(int64(p.now()))
+	p.execute(func() {
+		// In one command, so that the attempt misses no version change between its registration and the
+		// arming of its timer.
 		p.attempts.add(a)
-		p.limitBegin(p.now(), a)
+		p.armFirstByteTimer(p.now(), a)
 	})
-	a.end = func() { p.attempts.remove(a); a.limit.stop(); cancel(nil) }
+	a.release = func() { p.attempts.remove(a); a.firstByteTimer.stop(); cancel(nil) }
 	p.counters.attempts.Add(1)
-	pool := p.pool(c.ID, c.Addr, p.connections(q.service))
+	pool := p.pool(c.ID, c.Addr, p.connectionLimit(q.service))
 	a.response, a.err = pool.Do(ctx, &upstream.Request{
-		Method: q.Method, Target: q.RequestURI, Host: q.Host, ID: q.id, Header: header, Body: q.body, Deadline: q.limit,
+		Method: q.Method, Target: q.RequestURI, Host: q.Host, ID: q.id, Header: header, Body: q.body, Deadline: q.effectiveDeadline,
 	})
-	if a.err == nil && unsealed(a.response) {
+	if a.err == nil && lacksSeal(a.response) {
 		a.response.Body.Close()
-		a.err = &upstream.Error{Stage: upstream.Sent, Step: "read", Peer: c.Addr, Err: errUnsealed}
+		a.err = &upstream.Error{Stage: upstream.Sent, Op: "read", Addr: c.Addr, Err: errNoSeal}
 	}
-	a.readFirst()
+	a.readFirstBytes()
 	return a
 }
 
-// readFirst waits for the first bytes of the answer's body. Until they are there nothing of the answer has been passed on, and the request may
-// still go elsewhere, or be told how it stands; from then on the attempt is not taken back.
-func (a *attempt) readFirst() {
-	if a.err != nil || a.notRun() {
+// readFirstBytes waits for the first bytes of the response body. Before they arrive nothing has been
+// relayed and the request may be retried elsewhere or refused; afterwards the attempt can't be
+// cancelled in favour of another one.
+func (a *attempt) readFirstBytes() {
+	if a.err != nil || a.notExecuted() {
 		return
 	}
-	buffer := make([]byte, firstBuffer)
+	buffer := make([]byte, firstReadBytes)
 	n, err := a.response.Body.Read(buffer)
 	if n == 0 && err != nil && err != io.EOF {
 		a.response.Body.Close()
-		a.err = &upstream.Error{Stage: upstream.Sent, Step: "read", Peer: a.choice.Addr, Err: err}
+		a.err = &upstream.Error{Stage: upstream.Sent, Op: "read", Addr: a.choice.Addr, Err: err}
 		return
 	}
-	if !a.begin() {
+	if !a.startResponse() {
 		a.response.Body.Close()
-		a.err = &upstream.Error{Stage: upstream.Sent, Step: "read", Peer: a.choice.Addr, Err: errTakenBack}
+		a.err = &upstream.Error{Stage: upstream.Sent, Op: "read", Addr: a.choice.Addr, Err: errAttemptCancelled}
 		return
 	}
-	a.first, a.firstErr = buffer[:n], err
+	a.firstBytes, a.firstErr = buffer[:n], err
 }
 
-// read gives the next bytes of the answer, the first ones from where they were kept.
+// read reads the next bytes of the response body, starting with firstBytes.
 func (a *attempt) read(buffer []byte) (n int, err error) {
-	if len(a.first) == 0 && a.firstErr == nil {
+	if len(a.firstBytes) == 0 && a.firstErr == nil {
 		return a.response.Body.Read(buffer)
 	}
-	n, err = copy(buffer, a.first), a.firstErr
-	a.first, a.firstErr = nil, nil
+	n, err = copy(buffer, a.firstBytes), a.firstErr
+	a.firstBytes, a.firstErr = nil, nil
 	return n, err
 }
 
-// errTakenBack is an answer that began after its attempt had been taken back.
-var errTakenBack = errors.New("the attempt was taken back")
+// errAttemptCancelled means that a response started after its attempt had been cancelled.
+var errAttemptCancelled = errors.New("response started after the attempt was cancelled")
 
-// errUnsealed is a success that is not a backend's: it lacks its seal.
-var errUnsealed = errors.New("the answer has no seal")
+// errNoSeal means that a successful response was not produced by a backend, which would have set the
+// X-Response-Seal header, but by something else at its address.
+var errNoSeal = errors.New("successful response lacks the X-Response-Seal header")
 
-func unsealed(r *upstream.Response) bool {
-	return r.StatusCode >= 200 && r.StatusCode < 300 && r.Header.Get(headerSeal) == ""
+// lacksSeal reports whether a response is successful but has no X-Response-Seal header, which every
+// backend sets.
+func lacksSeal(r *upstream.Response) bool {
+	return r.StatusCode >= 200 && r.StatusCode < 300 && r.Header.Get(headerResponseSeal) == ""
 }
 
-// connections is this mixer's part of the connections that a backend takes from all.
-func (p *Proxy) connections(service string) int {
-	const unstated, part = 64, 0.9
+// connectionLimit returns the maximum number of connections from this mixer to a backend: an equal
+// share of usableFraction of the connections that each backend of the service accepts from all mixers
+// together, or defaultLimit if the service sets no limit.
+func (p *Proxy) connectionLimit(service string) int {
+	const defaultLimit, usableFraction = 64, 0.9
 	table := p.config.Load()
 	s := table.Service(service)
 	if s == nil || s.ConnectionLimit <= 0 {
-		return unstated
+		return defaultLimit
 	}
-	return int(part * s.ConnectionLimit / float64(max(1, p.fellows.Load())))
+	return int(usableFraction * s.ConnectionLimit / float64(max(1, p.mixerCount.Load())))
 }
 
-// book tells the table what became of an attempt that brought no answer.
-func (p *Proxy) book(a *attempt, ctx context.Context) {
+// recordFailedAttempt reports the outcome of an attempt without a usable response to the dispatch
+// table.
+func (p *Proxy) recordFailedAttempt(a *attempt, ctx context.Context) {
 	outcome := dispatch.Failed
 	switch {
-	case ctx.Err() != nil || errors.Is(a.err, upstream.ErrFull):
+	case ctx.Err() != nil || errors.Is(a.err, upstream.ErrPoolExhausted):
 		outcome = dispatch.Cancelled
 	case a.err == nil && a.response.StatusCode == http.StatusMisdirectedRequest:
-		outcome = dispatch.Misplaced
+		outcome = dispatch.WrongInstance
 	case a.err == nil:
 		outcome = dispatch.Refused
 	default:
 		p.log.Debug().Err(a.err).Str("step", "forward").Str("peer", a.choice.Addr).Msg("attempt failed")
 	}
-	p.do(func() { p.table.End(p.now(), a.choice, outcome) })
+	p.execute(func() { p.dispatchTable.End(p.now(), a.choice, outcome) })
 }
 
-// retryAfter is when a client that was refused should come again: soon enough to be served in time yet.
-func (q *request) retryAfter() float64 {
-	return min(retryLater, retryShare*q.route.TargetMS/1000)
+// retryAfterSeconds returns when a refused client should retry: soon enough to meet the route's target
+// latency.
+func (q *request) retryAfterSeconds() float64 {
+	return min(maxRetryAfterSeconds, retryAfterTargetFraction*q.route.TargetLatencyMS/1000)
 }
 
-// giveUp answers at once for a request that is not served: with a promise and a time to come again if it has not run.
-func (p *Proxy) giveUp(q *request, mayHaveRun bool, reason string) {
-	p.counters.givenUp.Add(1)
+// refuseUnserved answers a request that no backend has served. If it was not executed, the answer
+// is status 503 with a Retry-After header.
+func (p *Proxy) refuseUnserved(q *request, mayHaveExecuted bool, reason string) {
+	p.counters.unserved.Add(1)
 	switch {
 	case q.Context().Err() != nil:
-		panic(http.ErrAbortHandler) // its client is gone
-	case !mayHaveRun:
-		refuse(q.writer, http.StatusServiceUnavailable, q.retryAfter(), reason)
-	case time.Now().After(q.limit):
+		panic(http.ErrAbortHandler) // the client has disconnected
+	case !mayHaveExecuted:
+		refuse(q.writer, http.StatusServiceUnavailable, q.retryAfterSeconds(), reason)
+	case time.Now().After(q.effectiveDeadline):
 		refuse(q.writer, http.StatusGatewayTimeout, 0, reason)
 	default:
 		refuse(q.writer, http.StatusBadGateway, 0, reason)
 	}
 }
 
-// finish ends an attempt that brought an answer.
-func (p *Proxy) finish(a *attempt, outcome dispatch.Outcome) {
+// finishAttempt ends an attempt that delivered a response.
+func (p *Proxy) finishAttempt(a *attempt, outcome dispatch.Outcome) {
 	a.response.Body.Close()
-	a.end()
-	p.do(func() { p.table.End(p.now(), a.choice, outcome) })
+	a.release()
+	p.execute(func() { p.dispatchTable.End(p.now(), a.choice, outcome) })
 }
--- a/internal/replicated/state.go
+++ b/internal/replicated/state.go
@@ -1,5 +1,7 @@
-// Package replicated is the state that the core machines keep: the operator's configuration, evacuated zones, model versions and
-// the owners of duties. It changes only by operations in their agreed order, alike on every replica. It has no I/O and no clock.
+// Package replicated implements the state machine that the core controllers replicate: the operator's
+// configuration, evacuated zones, versions of model weights and lease holders. The state changes only by
+// operations, which all replicas apply in the same committed order with the same result. It has no I/O and
+// no clock.
 package replicated
 
 import (
@@ -13,127 +15,135 @@
 	"nettlefold/internal/config"
 )
 
-// Kinds of an operation.
+// Kinds of operations. The values are stored and sent, and keep their names for compatibility.
 const (
 	KindConfig   = "config"
 	KindEvacuate = "evacuate"
-	KindRestore  = "restore"
+	KindRestore  = "restore" // ends the evacuation of a zone
 	KindVersion  = "version"
-	KindDuty     = "duty"
+	KindLease    = "duty"
 )
 
-// rememberedOrders is how many configurations are known as taken after newer ones: far more than are sent again.
-const rememberedOrders = 1024
+// maxAcceptedConfigs is the number of digests of accepted configurations that are kept, to recognize a repeated
+// submission. Far fewer are ever sent again.
+const maxAcceptedConfigs = 1024
 
-// Operation is one change.
+// Operation is a change of the state. Which fields are set depends on its kind.
 type Operation struct {
-	Kind    string `cbor:"1,keyasint"`
-	Body    []byte `cbor:"2,keyasint,omitempty"` // configuration, as it was sent
-	Base    int64  `cbor:"3,keyasint,omitempty"` // the version it builds on
-	Zone    string `cbor:"4,keyasint,omitempty"`
-	Model   string `cbor:"5,keyasint,omitempty"`
-	Version int64  `cbor:"6,keyasint,omitempty"`
-	Duty    string `cbor:"7,keyasint,omitempty"`
-	Holder  string `cbor:"8,keyasint,omitempty"`
-	Fence   uint64 `cbor:"9,keyasint,omitempty"` // the fence that the duty was seen under
-	// Based is the ZoneSeq that was the newest when an evacuation, or its end, was received from the operator: one that was held up on its
-	// way must not undo a newer order.
-	Based uint64 `cbor:"10,keyasint,omitempty"`
-}
-
-// Digest tells configurations apart: their text and what they build on.
-type Digest [16]byte
-
-// Duty is who may act for a key, and the fencing token under which.
-type Duty struct {
-	Holder string `cbor:"1,keyasint"`
-	Fence  uint64 `cbor:"2,keyasint"`
-}
-
-// Model is the version of a model's weights that is wanted.
-type Model struct {
+	Kind         string `cbor:"1,keyasint"`
+	Body         []byte `cbor:"2,keyasint,omitempty"` // the configuration as received
+	BaseVersion  int64  `cbor:"3,keyasint,omitempty"` // the version that the configuration is based on
+	Zone         string `cbor:"4,keyasint,omitempty"`
+	Model        string `cbor:"5,keyasint,omitempty"`
+	Version      int64  `cbor:"6,keyasint,omitempty"` // of the model's weights
+	LeaseName    string `cbor:"7,keyasint,omitempty"`
+	Holder       string `cbor:"8,keyasint,omitempty"`
+	FencingToken uint64 `cbor:"9,keyasint,omitempty"` // the last known token of the lease
+	// BaseZoneSeq is the sequence number of the zone's newest operation when the operator's request to
+	// evacuate the zone, or to end the evacuation, was received. With it a delayed operation can't undo a
+	// newer one.
+	BaseZoneSeq uint64 `cbor:"10,keyasint,omitempty"`
+}
+
+// ConfigDigest identifies a configuration by its text and the version that it is based on.
+type ConfigDigest [16]byte
+
+// LeaseRecord is the holder of a lease and the fencing token under which it acts.
+type LeaseRecord struct {
+	Holder       string `cbor:"1,keyasint"`
+	FencingToken uint64 `cbor:"2,keyasint" json:"Fence"` // JSON name kept for compatibility
+}
+
+// ModelVersion is the version of a model's weights that is wanted.
+type ModelVersion struct {
 	Version int64  `cbor:"1,keyasint"`
-	Seq     uint64 `cbor:"2,keyasint"` // of the operation that named it
+	Seq     uint64 `cbor:"2,keyasint"` // of the operation that set it
 }
 
-// State is what the operations so far make.
+// State is the result of all operations so far.
 type State struct {
-	Seq       uint64            `cbor:"1,keyasint"` // of the newest operation
-	ConfigSeq uint64            `cbor:"2,keyasint"` // of the newest configuration
-	Config    []byte            `cbor:"3,keyasint"`
-	Version   int64             `cbor:"4,keyasint"` // the configuration's
-	Taken     []Digest          `cbor:"5,keyasint"` // oldest first
-	Evacuated map[string]uint64 `cbor:"6,keyasint"` // zone to the operation's number
-	Models    map[string]Model  `cbor:"7,keyasint"`
-	Duties    map[string]Duty   `cbor:"8,keyasint"`
-	Restored  map[string]uint64 `cbor:"9,keyasint"` // zones that were evacuated, and the operation that took it back
-	// ZoneOrders is the newest order for each zone, also if it changed nothing.
-	ZoneOrders map[string]uint64 `cbor:"10,keyasint"`
-}
-
-// New is the state before the first operation.
+	Seq             uint64                  `cbor:"1,keyasint"` // of the newest operation
+	ConfigSeq       uint64                  `cbor:"2,keyasint"` // of the newest configuration
+	Config          []byte                  `cbor:"3,keyasint"`
+	ConfigVersion   int64                   `cbor:"4,keyasint"`
+	AcceptedConfigs []ConfigDigest          `cbor:"5,keyasint"` // oldest first
+	Evacuated       map[string]uint64       `cbor:"6,keyasint"` // by zone, the sequence number of the operation that evacuated it
+	Models          map[string]ModelVersion `cbor:"7,keyasint"`
+	Leases          map[string]LeaseRecord  `cbor:"8,keyasint"`
+	Restored        map[string]uint64       `cbor:"9,keyasint"` // by zone, the sequence number of the operation that ended its evacuation
+	// ZoneSeqs has, by zone, the sequence number of its newest operation, an evacuation or its end, including
+	// those that changed nothing.
+	ZoneSeqs map[string]uint64 `cbor:"10,keyasint"`
+}
+
+// New returns the state before the first operation.
 func New() *State {
-	return &State{Evacuated: map[string]uint64{}, Models: map[string]Model{}, Duties: map[string]Duty{}, Restored: map[string]uint64{}, ZoneOrders: map[string]uint64{}}
+	return &State{
+		Evacuated: map[string]uint64{}, Models: map[string]ModelVersion{}, Leases: map[string]LeaseRecord{},
+		Restored: map[string]uint64{}, ZoneSeqs: map[string]uint64{},
+	}
 }
 
-// Decode reads a state that Encode wrote.
+// Decode decodes a state that Encode encoded.
 func Decode(encoded []byte) (*State, error) {
 	s := New()
 	if err := cbor.Unmarshal(encoded, s); err != nil {
-		return nil, fmt.Errorf("replicated state: %w", err)
+		return nil, fmt.Errorf("replicated: decode state: %w", err)
 	}
 	return s, nil
 }
 
-// Size is about how many bytes the state's encoding has.
+// Size returns the approximate size of the encoded state in bytes.
 func (s *State) Size() int {
-	const perEntry = 64
-	return len(s.Config) + len(s.Taken)*len(Digest{}) + perEntry*(len(s.Evacuated)+len(s.Restored)+len(s.Models)+len(s.Duties))
+	const bytesPerEntry = 64
+	return len(s.Config) + len(s.AcceptedConfigs)*len(ConfigDigest{}) + bytesPerEntry*(len(s.Evacuated)+len(s.Restored)+len(s.Models)+len(s.Leases))
 }
 
-// Encode writes the state.
+// Encode encodes the state.
 func (s *State) Encode() []byte { return mustEncode(s) }
 
-// Encode writes the operation.
+// Encode encodes the operation.
 func (o *Operation) Encode() []byte { return mustEncode(o) }
 
 func mustEncode(v any) []byte {
 	encoded, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // no type here has a value that cannot be written
+		panic(err) // impossible: all values of the types here can be encoded
 	}
 	return encoded
 }
 
-// DecodeOperation reads an operation.
+// DecodeOperation decodes an operation that Encode encoded.
 func DecodeOperation(encoded []byte) (*Operation, error) {
 	o := new(Operation)
 	if err := cbor.Unmarshal(encoded, o); err != nil {
-		return nil, fmt.Errorf("operation: %w", err)
+		return nil, fmt.Errorf("replicated: decode operation: %w", err)
 	}
 	return o, nil
 }
 
-func (o *Operation) digest() (d Digest) {
-	sum := sha256.Sum256(append(fmt.Appendf(nil, "%d\n", o.Base), o.Body...))
+// configDigest returns the digest of the configuration and its base version.
+func (o *Operation) configDigest() (d ConfigDigest) {
+	sum := sha256.Sum256(append(fmt.Appendf(nil, "%d\n", o.BaseVersion), o.Body...))
 	copy(d[:], sum[:])
 	return d
 }
 
-// Verdict is what becomes of an operation that is offered.
+// Verdict is the result of checking a proposed operation.
 type Verdict int
 
 // The verdicts.
 const (
-	Accept   Verdict = iota // it changes the state
-	Already                 // it holds, or was taken before
-	Conflict                // it builds on another version
-	Outdated                // it was overtaken on its way; whoever still wants it must ask for it anew
-	Invalid                 // it can never be taken
+	Accept         Verdict = iota // the operation is to be applied
+	AlreadyApplied                // it is in effect, or was applied before
+	Conflict                      // it is based on another version or fencing token
+	Outdated                      // a newer operation was committed first; the caller may request it again
+	Invalid                       // it can never be applied
 )
 
-// Check tells what becomes of an operation on top of this state. An order that was taken is known again before anything else is
-// held against it: it may be repeated by a caller who never heard of its acknowledgement.
+// Check returns the verdict on an operation on top of this state. An operation that was applied before is
+// recognized before any other check, because a caller that missed the acknowledgement may repeat it. The
+// error is the reason if the verdict is neither Accept nor AlreadyApplied; operators match its text.
 func (s *State) Check(o *Operation) (Verdict, error) {
 	switch o.Kind {
 	case KindConfig:
@@ -143,107 +153,111 @@
 	case KindRestore:
 		return s.checkZone(o, s.Evacuated[o.Zone] == 0)
 	case KindVersion:
-		return alreadyIf(s.Models[o.Model].Version >= o.Version), nil
-	case KindDuty:
-		held := s.Duties[o.Duty]
-		if held.Holder == o.Holder {
-			return Already, nil
+		return alreadyAppliedIf(s.Models[o.Model].Version >= o.Version), nil
+	case KindLease:
+		lease := s.Leases[o.LeaseName]
+		if lease.Holder == o.Holder {
+			return AlreadyApplied, nil
 		}
-		if held.Fence != o.Fence {
-			return Conflict, fmt.Errorf("duty %s is held by %s under fence %d", o.Duty, held.Holder, held.Fence)
+		if lease.FencingToken != o.FencingToken {
+			return Conflict, fmt.Errorf("duty %s is held by %s under fence %d", o.LeaseName, lease.Holder, lease.FencingToken)
 		}
 		return Accept, nil
 	}
 	return Invalid, fmt.Errorf("operation of unknown kind %q", o.Kind)
 }
 
-// FenceOf is the token under which the holder of a duty has it, once an operation that was held against this state is taken as number seq.
-func (s *State) FenceOf(o *Operation, seq uint64) uint64 {
-	if held := s.Duties[o.Duty]; held.Holder == o.Holder {
-		return held.Fence
+// FencingTokenAfter returns the fencing token that the lease has once o, a lease operation that was checked
+// against this state, is applied with sequence number seq.
+func (s *State) FencingTokenAfter(o *Operation, seq uint64) uint64 {
+	if lease := s.Leases[o.LeaseName]; lease.Holder == o.Holder {
+		return lease.FencingToken
 	}
 	return seq
 }
 
-func alreadyIf(holds bool) Verdict {
-	if holds {
-		return Already
+func alreadyAppliedIf(inEffect bool) Verdict {
+	if inEffect {
+		return AlreadyApplied
 	}
 	return Accept
 }
 
-// ZoneSeq is the number of the newest order for a zone, to evacuate it or to take that back, 0 if there was none.
-func (s *State) ZoneSeq(zone string) uint64 { return s.ZoneOrders[zone] }
+// ZoneSeq returns the sequence number of the newest operation that evacuated or restored a zone, 0 if there
+// is none.
+func (s *State) ZoneSeq(zone string) uint64 { return s.ZoneSeqs[zone] }
 
-// checkZone takes an order that is based on the newest one, also where it changes nothing: once it is acknowledged no older opposite order
-// may be taken any more. One that was overtaken is acknowledged where it holds all the same.
-func (s *State) checkZone(o *Operation, holds bool) (Verdict, error) {
+// checkZone accepts an operation that is based on the zone's newest one, even if it changes nothing: once it
+// is acknowledged, no older opposite operation may be accepted. An operation that is based on an older one
+// is acknowledged if it is in effect anyway.
+func (s *State) checkZone(o *Operation, inEffect bool) (Verdict, error) {
 	newest := s.ZoneSeq(o.Zone)
 	switch {
-	case o.Based == newest:
+	case o.BaseZoneSeq == newest:
 		return Accept, nil
-	case holds:
-		return Already, nil
+	case inEffect:
+		return AlreadyApplied, nil
 	}
-	return Outdated, fmt.Errorf("zone %s: operation %d came before this order, which was received after operation %d", o.Zone, newest, o.Based)
+	return Outdated, fmt.Errorf("zone %s: operation %d came before this order, which was received after operation %d", o.Zone, newest, o.BaseZoneSeq)
 }
 
+// checkConfig accepts a valid configuration that is based on the current version and has a higher one.
 func (s *State) checkConfig(o *Operation) (Verdict, error) {
-	if slices.Contains(s.Taken, o.digest()) {
-		return Already, nil
+	if slices.Contains(s.AcceptedConfigs, o.configDigest()) {
+		return AlreadyApplied, nil
 	}
 	doc, err := config.Parse(o.Body)
 	if err != nil {
 		return Invalid, err
 	}
-	if o.Base != s.Version {
-		return Conflict, fmt.Errorf("the current version is %d, this change builds on %d", s.Version, o.Base)
+	if o.BaseVersion != s.ConfigVersion {
+		return Conflict, fmt.Errorf("the current version is %d, this change builds on %d", s.ConfigVersion, o.BaseVersion)
 	}
-	if doc.Version <= s.Version {
-		return Invalid, &config.InvalidError{Path: "/version", What: fmt.Sprintf("%d is not above the current %d", doc.Version, s.Version)}
+	if doc.Version <= s.ConfigVersion {
+		return Invalid, &config.InvalidError{Path: "/version", Reason: fmt.Sprintf("%d is not above the current %d", doc.Version, s.ConfigVersion)}
 	}
 	return Accept, nil
 }
 
-// Apply makes the change of an operation that was checked and agreed on, as number seq.
+// Apply applies a committed operation with sequence number seq. Check must have accepted it.
 func (s *State) Apply(seq uint64, o *Operation) {
 	s.Seq = seq
 	switch o.Kind {
 	case KindConfig:
 		doc, err := config.Parse(o.Body)
 		if err != nil {
-			return // it was not accepted by Check: no replica takes it
+			return // Check rejects it, so no replica applies it
 		}
-		s.Config, s.Version, s.ConfigSeq = o.Body, doc.Version, seq
-		s.Taken = append(s.Taken, o.digest())
-		if over := len(s.Taken) - rememberedOrders; over > 0 {
-			s.Taken = slices.Delete(s.Taken, 0, over)
+		s.Config, s.ConfigVersion, s.ConfigSeq = o.Body, doc.Version, seq
+		s.AcceptedConfigs = append(s.AcceptedConfigs, o.configDigest())
+		if excess := len(s.AcceptedConfigs) - maxAcceptedConfigs; excess > 0 {
+			s.AcceptedConfigs = slices.Delete(s.AcceptedConfigs, 0, excess)
 		}
 	case KindEvacuate:
-		s.ZoneOrders[o.Zone] = seq
+		s.ZoneSeqs[o.Zone] = seq
 		if s.Evacuated[o.Zone] == 0 {
 			s.Evacuated[o.Zone] = seq
 			delete(s.Restored, o.Zone)
 		}
 	case KindRestore:
-		s.ZoneOrders[o.Zone] = seq
+		s.ZoneSeqs[o.Zone] = seq
 		if s.Evacuated[o.Zone] != 0 {
 			delete(s.Evacuated, o.Zone)
 			s.Restored[o.Zone] = seq
 		}
 	case KindVersion:
-		s.Models[o.Model] = Model{Version: o.Version, Seq: seq}
-	case KindDuty:
-		s.Duties[o.Duty] = Duty{Holder: o.Holder, Fence: seq}
+		s.Models[o.Model] = ModelVersion{Version: o.Version, Seq: seq}
+	case KindLease:
+		s.Leases[o.LeaseName] = LeaseRecord{Holder: o.Holder, FencingToken: seq}
 	}
 }
 
-// Clone copies the state; texts that are never changed are shared.
+// Clone returns a copy of the state. The copies share byte slices, which are never modified.
 func (s *State) Clone() *State {
 	c := *s
-	c.Taken = slices.Clone(s.Taken)
+	c.AcceptedConfigs = slices.Clone(s.AcceptedConfigs)
 	c.Evacuated, c.Models = maps.Clone(s.Evacuated), maps.Clone(s.Models)
-	c.Duties, c.Restored = maps.Clone(s.Duties), maps.Clone(s.Restored)
-	c.ZoneOrders = maps.Clone(s.ZoneOrders)
+	c.Leases, c.Restored = maps.Clone(s.Leases), maps.Clone(s.Restored)
+	c.ZoneSeqs = maps.Clone(s.ZoneSeqs)
 	return &c
 }
--- a/internal/transport/drop.go
+++ b/internal/transport/drop.go
@@ -52,7 +52,7 @@
 		if l.to.gone && len(l.to.conns) == 0 {
 			s.mark(l.to)
 		}
-		e := claimed{l: l, why: why, outcome: mixer.Reset}
+		e := claimed{l: l, why: why, outcome: mixer.ConnectionReset}
 		for _, p := range l.out {
 			switch p.state {
 			case queued:
@@ -61,8 +61,8 @@
 				e.failed = append(e.failed, p)
 			}
 		}
-		if bad := (*protocol.BadFrame)(nil); errors.As(why, &bad) && len(e.failed) > 0 {
-			e.outcome = mixer.Errored
+		if bad := (*protocol.FrameError)(nil); errors.As(why, &bad) && len(e.failed) > 0 {
+			e.outcome = mixer.Failed
 			e.failed, e.withdrawn = blame(why, e.failed)
 		}
 		l.out, l.queue, l.raw = nil, nil, nil
@@ -78,14 +78,14 @@
 			e.l.nc.Close()
 		}
 		level := slog.LevelDebug
-		if bad := (*protocol.BadFrame)(nil); errors.As(e.why, &bad) {
+		if bad := (*protocol.FrameError)(nil); errors.As(e.why, &bad) {
 			level = slog.LevelWarn
 		}
 		s.log.Log(s.ctx, level, "connection to a searcher ended", "searcher", e.l.to.name, "why", e.why,
 			"failed", len(e.failed), "withdrawn", len(e.withdrawn), "unreached", len(e.unreached))
 		report(e.failed, e.outcome)
 		report(e.withdrawn, mixer.Cancelled)
-		report(e.unreached, mixer.Unreached)
+		report(e.unreached, mixer.Unreachable)
 	}
 }
 
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -106,28 +106,28 @@
 // room makes room for one more connection, or tells what becomes of parts that need it: unreached where no descriptor can be had,
 // else they have never left, which the module holds against nobody. Satisfied means that there is room. The lock is held.
 func (s *Searchers) room(now int64, to *searcher) (unused []claimed, refused mixer.Outcome) {
-	fast, short := s.pool.TooFast(now), s.conns >= s.lim.Conns()
+	fast, short := s.pool.TooFast(now), s.conns >= s.lim.MaxBackendConns()
 	if !fast && !short && !s.pool.TooMany() {
-		return nil, mixer.Satisfied
+		return nil, mixer.Succeeded
 	}
 	if !fast {
 		s.settle(math.MaxInt)
 		if e, why := s.pool.Spare(now); e != nil {
-			return s.claim(idleFor(why), e.Conn().(*conn)), mixer.Satisfied
+			return s.claim(idleFor(why), e.Conn().(*conn)), mixer.Succeeded
 		}
 	}
 	if !fast && short {
 		s.short.Do(func() {
 			s.log.Warn("more connections to searchers are needed than there are descriptors for",
-				"connections", s.lim.Conns(), "searcher", to.name)
+				"connections", s.lim.MaxBackendConns(), "searcher", to.name)
 		})
-		return nil, mixer.Unreached
+		return nil, mixer.Unreachable
 	}
 	s.pool.Refused(fast)
 	s.tight.Do(func() {
 		s.log.Warn("more connections to searchers are needed than the budget has", "rate", fast, "budget", s.pool.Budget(), "searcher", to.name)
 	})
-	return nil, mixer.Moot
+	return nil, mixer.NeverSent
 }
 
 // unlock lets go of the lock, after all that may have made connections idle, and finishes what was claimed under it and what is idle
@@ -195,7 +195,7 @@
 // them, who counts from the last byte that it has seen. It looks only at what has changed and at what is due.
 func (s *Searchers) sweep() {
 	defer s.wg.Done()
-	every := time.NewTicker(s.lim.Sweep())
+	every := time.NewTicker(s.lim.IdleSweepInterval())
 	defer every.Stop()
 	for {
 		select {
@@ -229,7 +229,7 @@
 // reason gives why a connection is closed as the pool counts it.
 func reason(why error, up bool) conns.Reason {
 	var given idleFor
-	var bad *protocol.BadFrame
+	var bad *protocol.FrameError
 	switch {
 	case errors.As(why, &given):
 		return conns.Reason(given)
--- a/internal/transport/probe_test.go
+++ b/internal/transport/probe_test.go
@@ -16,7 +16,7 @@
 // TestProbe asks searchers that answer, that say nothing, and that are not there. The mute one has got the probe, so its
 // connection is up for sure, when the asker is told to leave off. How long is waited is TestProbeInTime's.
 func TestProbe(t *testing.T) {
-	lim := charter.Limits{Connect: time.Minute, Frame: 999}
+	lim := charter.Limits{ConnectTimeout: time.Minute, MaxFrameBytes: 999}
 	far := &toy.Searcher{}
 	w := play(t, far)
 	if up, answered := Probe(t.Context(), w.far.Address, time.Minute, lim); !up || !answered {
@@ -87,14 +87,14 @@
 				began := time.Now()
 				all.Go(func() {
 					f, err := protocol.ReadFrame(far, 999)
-					if err != nil || f.Letter != protocol.Probe || len(f.Rest) > 0 {
+					if err != nil || f.Type != protocol.ProbeFrame || len(f.Payload) > 0 {
 						t.Errorf("asked %+v, %v", f, err)
 					}
 					if c.after < 0 {
 						return
 					}
 					time.Sleep(c.after)
-					far.Write(protocol.AppendFrame(nil, protocol.Probe, []byte(c.says)))
+					far.Write(protocol.AppendFrame(nil, protocol.ProbeFrame, []byte(c.says)))
 				})
 				nc := net.Conn(near)
 				if c.unnoticed {
--- a/internal/transport/searchers_test.go
+++ b/internal/transport/searchers_test.go
@@ -29,7 +29,7 @@
 // play starts a searcher s, beside others that are listed only.
 func play(t *testing.T, far *toy.Searcher, others ...string) *played {
 	t.Helper()
-	return playOn(t, far, quiet, router(t, mixer.Repeatable, append(others, "s")...))
+	return playOn(t, far, quiet, router(t, mixer.Idempotent, append(others, "s")...))
 }
 
 func playOn(t *testing.T, far *toy.Searcher, log *slog.Logger, r *routing.Router) *played {
@@ -38,10 +38,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(far.Stop)
-	s := NewSearchers(charter.Limits{KeepAlive: 10 * time.Second, Connect: time.Second, Rest: 100 * time.Millisecond,
-		Write: 5 * time.Second, Streams: 9, Sockets: 99, Frame: 999}, log)
+	s := NewSearchers(charter.Limits{KeepAliveTimeout: 10 * time.Second, ConnectTimeout: time.Second, FrameReadTimeout: 100 * time.Millisecond,
+		WriteTimeout: 5 * time.Second, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, log)
 	t.Cleanup(s.Close)
-	s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: far.Address}}})
+	s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: far.Address}}})
 	return &played{t, r, s, far}
 }
 
@@ -188,7 +188,7 @@
 
 // TestBlame has a spoilt answer without an id on a connection with a part that has been given up: one still out is blamed.
 func TestBlame(t *testing.T) {
-	r := router(t, mixer.Repeatable, "s")
+	r := router(t, mixer.Idempotent, "s")
 	var out []*Parcel
 	for _, id := range []string{"a", "b", "c"} {
 		p, _ := parcel(t, r, id)
@@ -196,7 +196,7 @@
 	}
 	out[0].Forward.Report(mixer.TimedOut, nil)
 	for id, want := range map[string]string{"": "b.0", "c.0": "c.0"} {
-		failed, others := blame(&spoilt{protocol.Bad("noise"), id}, out)
+		failed, others := blame(&spoilt{protocol.FrameErrorf("noise"), id}, out)
 		if len(failed) != 1 || len(others) != 2 || failed[0].Part.ID != want {
 			t.Errorf("a spoilt answer to %q is blamed on %d parts, %+v first, want %s", id, len(failed), failed[0].Part, want)
 		}
@@ -221,13 +221,13 @@
 // TestFrameCutOff breaks a connection after each byte of a frame. A once-only part may go to the other holder
 // until the last byte is out, and never after.
 func TestFrameCutOff(t *testing.T) {
-	part := protocol.Part{ID: "a.0", Text: "some text"}
-	frame := len(protocol.AppendCall(nil, []protocol.Part{{ID: part.ID, Text: part.Text, Within: 4990 * time.Millisecond}}))
+	part := protocol.Part{ID: "a.0", Query: "some text"}
+	frame := len(protocol.AppendQuery(nil, []protocol.Part{{ID: part.ID, Query: part.Query, Timeout: 4990 * time.Millisecond}}))
 	for _, first := range []bool{false, true} { // whether the reader sees it before the writer does
 		for cut := range frame + 1 {
-			ticket := take(t, router(t, mixer.OnceOnly, "s", "other"), "a")
+			ticket := take(t, router(t, mixer.AtMostOnce, "s", "other"), "a")
 			call := pick(t, ticket).Calls[0]
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 			near, _ := net.Pipe()
 			p := &Parcel{Forward: call.Forwards[0], Part: part}
 			l := &conn{to: &searcher{}, nc: near, cancel: func() {}, out: map[string]*Parcel{part.ID: p}}
@@ -251,10 +251,10 @@
 // TestGivenUpWhileItIsWritten gives up a part that has leave to go. Before its frame is written nothing of it goes out.
 // Within that the frame comes whole, and the searcher is to be told after it, else it works beside the copy that goes elsewhere.
 func TestGivenUpWhileItIsWritten(t *testing.T) {
-	part := protocol.Part{ID: "a.0", Text: "some text"}
+	part := protocol.Part{ID: "a.0", Query: "some text"}
 	for _, within := range []bool{false, true} {
-		call := pick(t, take(t, router(t, mixer.Repeatable, "s"), "a")).Calls[0]
-		s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+		call := pick(t, take(t, router(t, mixer.Idempotent, "s"), "a")).Calls[0]
+		s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 		near, _ := net.Pipe()
 		parcel := &Parcel{Forward: call.Forwards[0], Part: part}
 		l := &conn{to: &searcher{}, nc: near, cancel: func() {}, out: map[string]*Parcel{part.ID: parcel}}
@@ -270,7 +270,7 @@
 		}}, []*Parcel{parcel})
 		var want [][]byte
 		if within {
-			want = [][]byte{protocol.AppendFrame(nil, protocol.Withdraw, []byte(part.ID))}
+			want = [][]byte{protocol.AppendFrame(nil, protocol.CancelFrame, []byte(part.ID))}
 		}
 		if wrote != within || err != nil || !slices.EqualFunc(l.raw, want, bytes.Equal) {
 			t.Errorf("given up while it is written %v: written %v, %v, %q goes after it, want %q", within, wrote, err, l.raw, want)
--- a/internal/transport/states_test.go
+++ b/internal/transport/states_test.go
@@ -47,7 +47,7 @@
 			held = append(held, p)
 		}}
 		counts := &tally{}
-		rt := routerOf(t, mixer.OnceOnly, 1, "s") // one try: the next forward is that of the next part
+		rt := routerOf(t, mixer.AtMostOnce, 1, "s") // one try: the next forward is that of the next part
 		rt.Eyes = counts
 		w := playOn(t, far, quiet, rt)
 		defer far.Stop()
@@ -70,7 +70,7 @@
 		}
 		list := func(m protocol.Member) {
 			m.Searcher = "s"
-			w.s.Listed(protocol.List{Members: []protocol.Member{m}})()
+			w.s.Listed(protocol.MemberList{Members: []protocol.Member{m}})()
 		}
 		send := func(r *rapid.T) {
 			id := string(rune('a'+len(sent)/26)) + string(rune('a'+len(sent)%26))
@@ -119,7 +119,7 @@
 				list(protocol.Member{Address: "127.0.0.1:1"})
 				list(protocol.Member{Address: far.Address})
 			},
-			"restart": func(*rapid.T) { lose(""); list(protocol.Member{Since: time.Now()}) },
+			"restart": func(*rapid.T) { lose(""); list(protocol.Member{StartTime: time.Now()}) },
 			"break": func(*rapid.T) {
 				if p := next(); p.Conn != nil {
 					lose(p.ID)
@@ -149,7 +149,7 @@
 				r.Fatalf("%s: outcomes %v", p.Part.ID, o)
 			case o[0].NeverRan() && strings.Contains(frames, "\nQ"+p.Part.ID+" "):
 				r.Fatalf("%s: outcome %v, but it is at the searcher", p.Part.ID, o[0])
-			case o[0] == mixer.Reset && !broken[p.conn]:
+			case o[0] == mixer.ConnectionReset && !broken[p.conn]:
 				r.Fatalf("%s: lost by ourselves", p.Part.ID)
 			}
 		}
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -19,13 +19,13 @@
 
 // Watch follows the list and hands on its news in order.
 type Watch struct {
-	Discovery string        // address to begin with
-	Known     protocol.List // the list to begin with
-	Fresh     bool          // the known list may be of another discovery, whose versions say nothing: all is asked for first
+	Discovery string              // address to begin with
+	Known     protocol.MemberList // the list to begin with
+	Fresh     bool                // the known list may be of another discovery, whose versions say nothing: all is asked for first
 	Limits    charter.Limits
 	Log       *slog.Logger
-	Listed    func(protocol.List) // called under the watch's lock: it never calls Move
-	Alive     func()              // nil, or called with each sign of life
+	Listed    func(protocol.MemberList) // called under the watch's lock: it never calls Move
+	Alive     func()                    // nil, or called with each sign of life
 
 	dial    func(ctx context.Context, network, address string) (net.Conn, error) // for tests
 	fails   int                                                                  // watches in a row that brought nothing
@@ -74,7 +74,7 @@
 // the agent has counts as told; only those that bring nothing wait for longer and longer, with jitter.
 func (w *Watch) Run(ctx context.Context) {
 	if w.dial == nil {
-		w.dial = (&net.Dialer{Timeout: w.Limits.Read, KeepAlive: -1}).DialContext
+		w.dial = (&net.Dialer{Timeout: w.Limits.ReadTimeout, KeepAlive: -1}).DialContext
 	}
 	w.version, w.members, w.lost, w.alive = w.Known.Version, map[string]protocol.Member{}, w.Fresh, time.Now()
 	w.keep(w.Known)
@@ -133,7 +133,7 @@
 		if err := c.read(ctx, protocol.PathList, first); err != nil {
 			return err
 		}
-		first = w.Limits.Silence() // the list has told all, and a watch may have nothing to say before its first beat
+		first = w.Limits.MaxWatchSilence() // the list has told all, and a watch may have nothing to say before its first beat
 	}
 	c.watch = true
 	return c.read(ctx, protocol.PathWatch(w.version), first)
@@ -141,7 +141,7 @@
 
 // beside asks for whole lists while a message drips, until one has come, which overtakes it, or the message has.
 func (w *Watch) beside(message context.Context, cut context.CancelCauseFunc) {
-	ctx, done := context.WithTimeout(message, 8*w.Limits.Read)
+	ctx, done := context.WithTimeout(message, 8*w.Limits.ReadTimeout)
 	defer done()
 	c := &call{w: w, overtakes: func() { cut(errOvertaken) },
 		late: func(_ context.Context, cut context.CancelCauseFunc) { cut(errSlow) }}
@@ -167,12 +167,12 @@
 func (w *Watch) state() (lost bool, first time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lost, w.Limits.Asked(time.Since(w.alive))
+	return w.lost, w.Limits.FirstReplyTimeout(time.Since(w.alive))
 }
 
 // pause is how long to wait after so many calls in a row that brought nothing.
 func (w *Watch) pause(fails int) time.Duration {
-	wait := min(w.Limits.Beat/16<<min(fails, 10), w.Limits.WatchLast)
+	wait := min(w.Limits.HeartbeatInterval/16<<min(fails, 10), w.Limits.MaxWatchBackoff)
 	return wait/2 + rand.N(wait)
 }
 
@@ -205,11 +205,11 @@
 	}
 	defer body.Close()
 	if c.watch {
-		silent.Reset(min(w.Limits.Silence(), w.Limits.Silence()+w.Limits.Beat/4-time.Since(began)))
+		silent.Reset(min(w.Limits.MaxWatchSilence(), w.Limits.MaxWatchSilence()+w.Limits.HeartbeatInterval/4-time.Since(began)))
 	}
 	whole := func() {}
-	news := protocol.NewNews(body, w.Limits.Line)
-	news.Heard = func(begun bool) {
+	news := protocol.NewMemberListReader(body, w.Limits.MaxListMessageBytes)
+	news.OnActivity = func(begun bool) {
 		if whole(); begun {
 			silent.Stop()
 			message, done := context.WithCancel(ctx)
@@ -217,12 +217,12 @@
 			late.Go(func() {
 				select {
 				case <-message.Done():
-				case <-time.After(w.Limits.Whole()):
+				case <-time.After(w.Limits.ListMessageTimeout()):
 					c.late(message, cut)
 				}
 			})
 		} else if c.watch {
-			silent.Reset(w.Limits.Silence())
+			silent.Reset(w.Limits.MaxWatchSilence())
 			w.heard()
 		}
 	}
@@ -235,7 +235,7 @@
 			return err
 		}
 		if !c.watch {
-			list.Whole = true
+			list.Snapshot = true
 			w.heard()
 		}
 		if err := w.take(ctx, list, c.overtakes); err != nil || !c.watch {
@@ -268,23 +268,23 @@
 
 // take hands on one message, unless its call has ended: nothing more is heard of an address that has been left, nor of a
 // message that another has overtaken. Changes that go back mean that discovery has lost its count: all is asked for anew.
-func (w *Watch) take(ctx context.Context, list protocol.List, overtakes func()) error {
+func (w *Watch) take(ctx context.Context, list protocol.MemberList, overtakes func()) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	if !list.Whole && list.Version < w.version {
+	if !list.Snapshot && list.Version < w.version {
 		w.lost = true
 		return fmt.Errorf("changes of version %d after %d", list.Version, w.version)
 	}
 	for _, s := range list.Skipped {
-		w.Log.Warn("list: a searcher is kept as it was", "version", list.Version, "searcher", s.Searcher, "fault", s.Fault)
+		w.Log.Warn("list: a searcher is kept as it was", "version", list.Version, "searcher", s.Searcher, "fault", s.Reason)
 		if m, ok := w.members[s.Searcher]; ok {
 			list.Members = append(list.Members, m)
 		}
 	}
-	w.version, w.lost = list.Version, w.lost && !list.Whole
+	w.version, w.lost = list.Version, w.lost && !list.Snapshot
 	w.keep(list)
 	w.Listed(list)
 	if overtakes != nil {
@@ -294,8 +294,8 @@
 }
 
 // keep remembers the list for members that cannot be read later.
-func (w *Watch) keep(list protocol.List) {
-	if list.Whole {
+func (w *Watch) keep(list protocol.MemberList) {
+	if list.Snapshot {
 		clear(w.members)
 	}
 	for _, m := range list.Members {
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -25,9 +25,9 @@
 func TestFrameOfWhichNothingHasLeft(t *testing.T) {
 	for how, give := range ways {
 		t.Run(how, func(t *testing.T) {
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 9}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 9}, quiet)
 			defer s.Close()
-			w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
+			w := &played{t, router(t, mixer.AtMostOnce, "s", "other"), s, nil}
 			near, far := net.Pipe()
 			p, ticket := parcel(t, w.r, "a")
 			behind, _ := parcel(t, w.r, "behind")
@@ -50,8 +50,8 @@
 				t.Fatal("still held up, ended with ", <-wrote)
 			}
 			go func() { wrote <- s.write(l, near, []*Parcel{behind}) }()
-			if f, err := protocol.ReadFrame(far, 999); err != nil || !strings.HasPrefix(string(f.Rest), "behind.0 ") {
-				t.Errorf("then %q comes, %v", f.Rest, err)
+			if f, err := protocol.ReadFrame(far, 999); err != nil || !strings.HasPrefix(string(f.Payload), "behind.0 ") {
+				t.Errorf("then %q comes, %v", f.Payload, err)
 			}
 			<-wrote
 			if how == "lookup ended" { // a once-only part goes on only where it has not run
@@ -78,11 +78,11 @@
 					t.Fatal(err)
 				}
 				defer l.Close()
-				s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Connect: time.Second, Rest: time.Second,
-					Write: time.Minute, Streams: 9, Sockets: 99, Frame: 999}, quiet)
+				s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, ConnectTimeout: time.Second, FrameReadTimeout: time.Second,
+					WriteTimeout: time.Minute, MaxStreamsPerConn: 9, FileDescriptors: 99, MaxFrameBytes: 999}, quiet)
 				defer s.Close()
-				s.Listed(protocol.List{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: l.Addr().String()}}})
-				w := &played{t, router(t, mixer.OnceOnly, "s", "other"), s, nil}
+				s.Listed(protocol.MemberList{Members: []protocol.Member{{Entry: routing.Entry{Searcher: "s"}, Address: l.Addr().String()}}})
+				w := &played{t, router(t, mixer.AtMostOnce, "s", "other"), s, nil}
 				first, _ := w.send("first", false)
 				far, err := l.Accept()
 				if err != nil {
@@ -95,11 +95,11 @@
 				first.conn.nc.(*net.TCPConn).SetWriteBuffer(1 << 17)
 				protocol.ReadFrame(far, 1<<20)
 				if !c.beside {
-					far.Write(protocol.AppendFrame(nil, protocol.Answer, []byte("first.0 ok 1 -\nvalue")))
+					far.Write(protocol.AppendFrame(nil, protocol.AnswerFrame, []byte("first.0 ok 1 -\nvalue")))
 					w.until("the first is answered", first.Forward.Over)
 				}
 				big, _ := parcel(t, w.r, "big")
-				big.Part.Text = strings.Repeat("x", 4<<20) // more than any buffers take
+				big.Part.Query = strings.Repeat("x", 4<<20) // more than any buffers take
 				if how == "timed out" {
 					big.Forward.Until = time.Now().Add(50 * time.Millisecond)
 				}
@@ -159,9 +159,9 @@
 				t.Fatal(err)
 			}
 			defer far.Close()
-			s := NewSearchers(charter.Limits{KeepAlive: time.Hour, Write: time.Minute, Streams: 1}, quiet)
+			s := NewSearchers(charter.Limits{KeepAliveTimeout: time.Hour, WriteTimeout: time.Minute, MaxStreamsPerConn: 1}, quiet)
 			defer s.Close()
-			ticket := take(t, router(t, mixer.OnceOnly, "s", "other"), "a")
+			ticket := take(t, router(t, mixer.AtMostOnce, "s", "other"), "a")
 			call := pick(t, ticket).Calls[0]
 			p := &Parcel{Forward: call.Forwards[0], Part: protocol.Part{ID: "a.0"}}
 			l := &conn{to: &searcher{}, nc: near, began: time.Now().Add(-time.Minute), used: time.Now(), cancel: func() {},
--- a/mixer/review.go
+++ b/mixer/review.go
@@ -2,165 +2,169 @@
 
 import "slices"
 
-// review is the one place where a lookup moves on: it answers, ends, forwards, and sets the next look.
+// review is the single place where a lookup advances: it answers, ends, forwards, and sets the next review.
 func (l *Lookup) review(now int64) {
-	m, step, in := l.m, l.parts[l.step:], 0.0
-	if l.ended || !l.planned && now < l.end {
+	m, step, answered := l.mixer, l.parts[l.stepStart:], 0.0
+	if l.ended || !l.stepComplete && now < l.deadline {
 		return
 	}
-	mean, late := m.typical(now, l)
-	if l.calm(now, mean) {
-		l.rouse(now, min(l.end, l.sent+late))
+	mean, late := m.typicalLatency(now, l)
+	if l.canSkipReview(now, mean) {
+		l.scheduleReview(now, min(l.deadline, l.stepSentAt+late))
 		return
 	}
 	for _, p := range step {
-		if p.in {
-			in += p.Weight
+		if p.answered {
+			answered += p.Weight
 		}
 	}
-	if l.planned && in >= l.need-tiny {
+	if l.stepComplete && answered >= l.neededWeight-epsilon {
 		l.answer(now)
 		return
 	}
-	live, onTime, next, hope := in, in, l.end, in
+	// Weights of parts answered or pending, of those not late among them, and of those that may yet succeed.
+	live, onTime, next, possible := answered, answered, l.deadline, answered
 	for _, p := range step {
-		if p.in {
+		if p.answered {
 			continue
 		}
-		m.hearken(now, p, mean)
-		if slices.ContainsFunc(p.forwards, func(f *forward) bool { return !f.done }) || !l.barred(now, p) {
-			hope += p.Weight
+		m.checkSilence(now, p, mean)
+		if slices.ContainsFunc(p.forwards, func(f *forward) bool { return !f.done }) || !l.exhausted(now, p) {
+			possible += p.Weight
 		}
-		if sent := p.lastOut(now); sent > 0 {
+		if sent := p.newestPendingSentAt(now); sent > 0 {
 			if live += p.Weight; sent+late > now {
 				onTime += p.Weight
 				next = min(next, sent+late)
 			}
 		}
 	}
-	if now >= l.end || hope < l.need-tiny { // where enough parts have failed for good, others may still serve it
-		l.giveUp(now, in)
+	if now >= l.deadline || possible < l.neededWeight-epsilon { // end early: another mixer may serve the client
+		l.giveUp(now, answered)
 		return
 	}
-	picks := m.picks[:0]
-	m.bounds.end()
-	for onTime < l.need-tiny {
-		copy := live >= l.need-tiny // all that is needed is out, but some of it is late
-		p, to := l.pick(now, copy, mean, late)
+	picked := m.picked[:0]
+	m.keyBounds.reset()
+	for onTime < l.neededWeight-epsilon {
+		hedge := live >= l.neededWeight-epsilon // enough parts are pending, but some of them are late
+		p, to := l.pickForward(now, hedge, mean, late)
 		if p == nil {
-			next = min(next, now+lookAgain)
+			next = min(next, now+blockedPartDelay)
 			break
 		}
-		if onTime += p.Weight; copy {
-			m.copies.Add(now, 1, halfLife)
+		if onTime += p.Weight; hedge {
+			m.sentHedges.Add(now, 1, loadHalfLife)
 		} else {
 			live += p.Weight
 		}
-		if f := p.bound(); f != nil { // sent again when its withdrawal is in
+		if f := p.exclusiveForward(); f != nil { // resent once its cancellation is confirmed
 			f.recalled = true
-			m.floor.Cancel(p.ID, len(p.forwards)-1)
+			m.env.Cancel(p.ID, len(p.forwards)-1)
 		} else {
-			picks = append(picks, l.send(now, p, to))
+			picked = append(picked, l.send(now, p, to))
 		}
 	}
-	for _, f := range picks {
-		m.floor.Forward(f.part.ID, f.s.id, l.end-now)
+	for _, f := range picked {
+		m.env.Forward(f.part.ID, f.searcher.id, l.deadline-now)
 		next = min(next, now+late)
-		test := f.s.suspect && !m.shunned(now, f.s) // no last resort: those would use up the tests
-		if test || f.s.zone.silent() {
-			m.tests.Add(now, 1, halfLife)
+		probe := f.searcher.suspect && !m.avoided(now, f.searcher) // a last resort must not use up probes
+		if probe || f.searcher.zone.silent() {
+			m.sentProbes.Add(now, 1, loadHalfLife)
 		}
-		if f.s.suspect {
+		if f.searcher.suspect {
 			next = now
-			if test {
-				m.distrust(now, f.s)
+			if probe {
+				m.markSuspect(now, f.searcher)
 			}
 		}
 	}
-	m.picks = picks
-	l.rouse(now, next)
-	l.rest(now, onTime >= l.need-tiny)
+	m.picked = picked
+	l.scheduleReview(now, next)
+	l.recordSkippable(now, onTime >= l.neededWeight-epsilon)
 }
 
-func (l *Lookup) rouse(now, at int64) {
-	if at = max(at, now+1); l.wake == 0 || at < l.wake {
-		l.wake = at
-		l.m.floor.Timer(at-now, l)
+// scheduleReview sets a timer for a review at the given time unless one is set for an earlier time.
+func (l *Lookup) scheduleReview(now, at int64) {
+	if at = max(at, now+1); l.nextReview == 0 || at < l.nextReview {
+		l.nextReview = at
+		l.mixer.env.SetTimer(at-now, l)
 	}
 }
 
-// Due looks at the lookup again.
-func (l *Lookup) Due(now int64) {
-	l.wake = 0
-	l.m.call++
+// HandleTimer reviews the lookup.
+func (l *Lookup) HandleTimer(now int64) {
+	l.nextReview = 0
+	l.mixer.eventCount++
 	l.review(now)
 }
 
-// Gone is told that the client left.
-func (l *Lookup) Gone(now int64) { l.ended = true }
+// Abandon ends a lookup whose client has left.
+func (l *Lookup) Abandon(now int64) { l.ended = true }
 
-// Outcome is told how a forward of part i ended.
-func (l *Lookup) Outcome(now int64, i, copy int, o Outcome, took int64, over bool) {
+// HandleOutcome records how forward n of part i ended, after took ns. With closed, part i is not retried.
+func (l *Lookup) HandleOutcome(now int64, i, n int, o Outcome, took int64, closed bool) {
 	p := l.parts[i]
-	f := p.forwards[copy]
+	f := p.forwards[n]
 	f.done, f.ran = true, !o.NeverRan()
-	l.m.call++
-	l.m.settle(now, f, o, took)
-	if o == Satisfied && !p.in {
-		l.in += p.Weight
+	l.mixer.eventCount++
+	l.mixer.recordOutcome(now, f, o, took)
+	if o == Succeeded && !p.answered {
+		l.answeredWeight += p.Weight
 	} else {
-		l.m.stir()
+		l.mixer.invalidateReviews()
 	}
-	p.in, p.over = p.in || o == Satisfied, p.over || over
+	p.answered, p.closed = p.answered || o == Succeeded, p.closed || closed
 	l.review(now)
 }
 
-// withdraw gives up what is still out of a lookup that ends: it would hold searchers' time that others need.
-func (l *Lookup) withdraw() {
+// cancelInFlight cancels the forwards in flight of a lookup that ends: they would take capacity from others.
+func (l *Lookup) cancelInFlight() {
 	for _, p := range l.parts {
 		for i, f := range p.forwards {
-			if l.m.c.MayCancel && !f.done {
-				l.m.floor.Cancel(p.ID, i)
+			if l.mixer.config.MayCancel && !f.done {
+				l.mixer.env.Cancel(p.ID, i)
 			}
 		}
 	}
 }
 
-// answer gives a whole answer. A second step's parts then come to the same handle.
+// answer sends a complete answer. The parts of a second step are then added to the same handle.
 func (l *Lookup) answer(now int64) {
-	l.withdraw()
-	l.m.floor.Answer(l.ask.ID, true)
-	if l.step > 0 || l.t.SecondStep == 0 {
+	l.cancelInFlight()
+	l.mixer.env.Answer(l.request.ID, true)
+	if l.stepStart > 0 || l.tariff.SecondStep == 0 {
 		l.ended = true
 		return
 	}
-	l.step, l.expect, l.need, l.planned, l.epoch = len(l.parts), len(l.parts), 1, false, -1
-	for _, p := range l.parts {
-		if p.in && l.expect < l.step+l.t.SecondStep {
-			l.expect++
+	l.stepStart, l.expectedParts, l.neededWeight, l.stepComplete, l.reviewEpoch =
+		len(l.parts), len(l.parts), 1, false, -1
+	for _, p := range l.parts { // the client adds one part per answered part, at most SecondStep
+		if p.answered && l.expectedParts < l.stepStart+l.tariff.SecondStep {
+			l.expectedParts++
 		}
 	}
 }
 
-// giveUp ends a lookup at once with what honesty allows: an answer from the least share, a bounce where
-// nothing may have run that must not run twice, else a failure.
-func (l *Lookup) giveUp(now int64, in float64) {
+// giveUp ends a lookup with a partial answer, a failure if an unrepeatable part may have run, or a rejection.
+func (l *Lookup) giveUp(now int64, answered float64) {
 	l.ended = true
-	l.withdraw()
-	final := l.step > 0 || l.t.SecondStep == 0 // any other answer would only start the second step
-	if final && l.t.LeastShare < l.t.CompleteFrom && in >= l.t.LeastShare && l.t.Partial > 0 {
-		l.m.floor.Answer(l.ask.ID, false)
+	l.cancelInFlight()
+	final := l.stepStart > 0 || l.tariff.SecondStep == 0 // any other answer would only start the second step
+	if final && l.tariff.LeastShare < l.tariff.CompleteFrom &&
+		answered >= l.tariff.LeastShare && l.tariff.Partial > 0 {
+		l.mixer.env.Answer(l.request.ID, false)
 		return
 	}
 	for _, p := range l.parts {
-		if l.t.Effect != Repeatable && slices.ContainsFunc(p.forwards, (*forward).mayRun) {
-			l.m.floor.Fail(l.ask.ID)
+		if l.tariff.Effect != Idempotent && slices.ContainsFunc(p.forwards, (*forward).mayHaveRun) {
+			l.mixer.env.Fail(l.request.ID)
 			return
 		}
 	}
 	wait := int64(0)
-	if l.m.c.MayAdvise && now < l.end { // back while there is time, and not all at once
-		wait = min(l.m.c.MaxAdvice, int64(adviceShare*float64(l.end-now)*(0.5+l.m.rng.Float64())))
+	if l.mixer.config.MayAdvise && now < l.deadline { // retry within the deadline, with jitter
+		wait = min(l.mixer.config.MaxAdvice,
+			int64(retryAfterShare*float64(l.deadline-now)*(0.5+l.mixer.rng.Float64())))
 	}
-	l.m.floor.Bounce(l.ask.ID, wait)
+	l.mixer.env.Reject(l.request.ID, wait)
 }
--- a/mixer/state.go
+++ b/mixer/state.go
@@ -5,142 +5,147 @@
 	"slices"
 )
 
-// call is what travels together to one searcher.
+// call is a batch of parts sent together to one searcher: when, how many, and how many of them are
+// in flight.
 type call struct{ at, size, left int64 }
 
-// forward is one try of a part.
+// forward is one attempt to serve a part.
 type forward struct {
-	part      *part
-	s         *searcher
-	call      *call
-	count     int   // calls out there, with its own
-	process   int64 // start of the process it went to
-	sent      int64
-	done, ran bool   // has its outcome; may have run
-	gone      bool   // waited for no more
-	recalled  bool   // withdrawn, to be sent again elsewhere when that has its outcome
-	line      *Ratio // nil where the connection was in use
-	missed    int64  // when it was counted as lost by line and zone, 0 if it was not
+	part         *part
+	searcher     *searcher
+	call         *call
+	callsAtSend  int   // calls in flight there, including its own
+	processStart int64 // start of the process it was sent to
+	sentAt       int64
+	done, ran    bool           // its outcome is known; it does not rule out that the forward ran
+	presumedLost bool           // no longer waited for
+	recalled     bool           // cancelled, and resent elsewhere once its outcome is known
+	connLoss     *DecayingRatio // loss statistics of its kind of connection, nil if that was in use
+	lostAt       int64          // when it was counted as lost, 0 if it was not
 }
 
+// part is one part of a lookup.
 type part struct {
-	Piece
-	l        *Lookup
-	in, over bool
-	forwards []*forward
-	first    forward // where the first is, and its place in forwards
-	place    [1]*forward
+	PartRequest
+	lookup           *Lookup
+	answered, closed bool // a closed part is not retried
+	forwards         []*forward
+	firstForward     forward // storage of the first forward; forwardsArray is that of forwards
+	forwardsArray    [1]*forward
 }
 
 // Lookup is the handle of one lookup.
 type Lookup struct {
-	m      *Mixer
-	ask    Ask
-	t      *Tariff
-	parts  []*part
-	step   int // first part of the step at hand
-	expect int // parts there are once the step is complete
-	need   float64
-	end    int64 // when its full revenue ends; it is given up then
-	wake   int64 // when it is looked at next
-	slab   slab
-
-	epoch, sent, oldest int64 // as of the last review, for calm
-	in                  float64
-	planned, ended      bool // the step's parts have come; it has its final answer
+	mixer         *Mixer
+	request       LookupRequest
+	tariff        *Tariff
+	parts         []*part
+	stepStart     int // index of the current step's first part
+	expectedParts int // number of parts once the current step is complete
+	neededWeight  float64
+	deadline      int64 // latest time for an answer at full revenue; the lookup is given up then
+	nextReview    int64 // time of the next review, 0 if none is scheduled
+	partSlab      partSlab
+
+	reviewEpoch, stepSentAt, oldestInFlight int64 // as of the last review, for canSkipReview
+	answeredWeight                          float64
+	stepComplete                            bool // all parts of the step are added
+	ended                                   bool // answered, given up or abandoned: no further action
 }
 
-// memo keeps a figure while it holds: within one call to the mixer that lets figures change.
+// memo caches a value for one time and one value of Mixer.eventCount, which counts the method calls
+// that may change it.
 type memo struct {
-	now, call int64
-	is        float64
+	now, event int64
+	value      float64
 }
 
-func (c *memo) holds(now, call int64) bool { return c.now == now && c.call == call }
+func (c *memo) valid(now, event int64) bool { return c.now == now && c.event == event }
 
-// keep notes a figure and gives it.
-func (c *memo) keep(now, call int64, is float64) float64 {
-	*c = memo{now, call, is}
-	return is
+// set stores a value and returns it.
+func (c *memo) set(now, event int64, value float64) float64 {
+	*c = memo{now, event, value}
+	return value
 }
 
-// draw gives a figure of chance that stays the same while it holds.
-func (c *memo) draw(now, call int64, rng *rand.Rand) float64 {
-	if c.holds(now, call) {
-		return c.is
+// draw returns a random value that stays the same while it is valid.
+func (c *memo) draw(now, event int64, rng *rand.Rand) float64 {
+	if c.valid(now, event) {
+		return c.value
 	}
-	return c.keep(now, call, float64(rng.Int63()))
+	return c.set(now, event, float64(rng.Int63()))
 }
 
-// kept is what a searcher has of its own to spare work: what it takes for a call, its tie-break, and room for the first forwards
-// that are out there.
-type kept struct {
-	unit, tie memo
-	place     [2]*forward
+// searcherCache saves work for a searcher: its unit time, its tie-break, and storage for the first
+// forwards in flight.
+type searcherCache struct {
+	unitMemo, tieBreak memo
+	inFlightArray      [2]*forward
 }
 
-// room gives the row of forwards that are out there, for one more.
-func (s *searcher) room() []*forward {
-	if s.out == nil {
-		return s.place[:0]
+// inFlightBuffer returns the slice of forwards in flight, to append to.
+func (s *searcher) inFlightBuffer() []*forward {
+	if s.inFlight == nil {
+		return s.inFlightArray[:0]
 	}
-	return s.out
+	return s.inFlight
 }
 
-// scratch is what reviews use anew each time.
-type scratch struct {
-	bounds bounds
-	picks  []*forward
-	times  []float64
-	pacer  memo // of the whole fleet
+// reviewScratch holds buffers that reviews reuse.
+type reviewScratch struct {
+	keyBounds keyBounds
+	picked    []*forward
+	partTimes []float64
+	fleetMemo memo
 }
 
-// fleet gives how long forwards took over the calls that were out with them, of the whole fleet.
-func (m *Mixer) fleet(now int64) float64 {
-	if m.pacer.holds(now, m.call) {
-		return m.pacer.is
+// fleetUnitTime returns the fleet's latency of forwards per call in flight, for a searcher of size 1.
+func (m *Mixer) fleetUnitTime(now int64) float64 {
+	if m.fleetMemo.valid(now, m.eventCount) {
+		return m.fleetMemo.value
 	}
-	return m.pacer.keep(now, m.call, m.pace.Read(now, halfLife, 0, 0))
+	return m.fleetMemo.set(now, m.eventCount, m.fleetPace.Read(now, loadHalfLife, 0, 0))
 }
 
-// slab makes parts, many at a time.
-type slab []part
+// partSlab allocates the parts of a lookup many at a time.
+type partSlab []part
 
-// slabMost bounds how many parts are made at a time.
-const slabMost = 512
+// maxSlabParts is the largest number of parts allocated at a time.
+const maxSlabParts = 512
 
-// add makes one more part of a lookup.
-func (r *slab) add(l *Lookup, piece Piece) *part {
-	if len(*r) == cap(*r) {
-		*r = make(slab, 0, min(max(1, l.expect-len(l.parts)), slabMost))
+// add returns a new part of a lookup.
+func (s *partSlab) add(l *Lookup, request PartRequest) *part {
+	if len(*s) == cap(*s) {
+		*s = make(partSlab, 0, min(max(1, l.expectedParts-len(l.parts)), maxSlabParts))
 	}
-	*r = append(*r, part{Piece: piece, l: l})
-	p := &(*r)[len(*r)-1]
-	p.forwards = p.place[:0]
+	*s = append(*s, part{PartRequest: request, lookup: l})
+	p := &(*s)[len(*s)-1]
+	p.forwards = p.forwardsArray[:0]
 	return p
 }
 
-// next gives where a part's next forward is.
-func (p *part) next() *forward {
+// newForward returns storage for the part's next forward.
+func (p *part) newForward() *forward {
 	if len(p.forwards) == 0 {
-		return &p.first
+		return &p.firstForward
 	}
 	return &forward{}
 }
 
-// from gives the part of a row of times, in their order, that lies at a time or after it.
-func from(times []int64, at int64) []int64 {
+// timesFrom returns the suffix of sorted times that begins at a given time.
+func timesFrom(times []int64, at int64) []int64 {
 	i, _ := slices.BinarySearch(times, at)
 	if i == len(times) {
-		return times[:0] // with the room that it has
+		return times[:0] // keeps the capacity
 	}
 	return times[i:]
 }
 
-// oldest gives when the first of the forwards that are out there was sent, the time told if none was before it.
-func (s *searcher) oldest(at int64) int64 {
-	if len(s.out) > 0 {
-		return min(at, s.out[0].sent)
+// oldestSentAt returns the earlier of a given time and the time when the oldest forward in flight
+// was sent.
+func (s *searcher) oldestSentAt(at int64) int64 {
+	if len(s.inFlight) > 0 {
+		return min(at, s.inFlight[0].sentAt)
 	}
 	return at
 }
--- a/mixer/suspect_test.go
+++ b/mixer/suspect_test.go
@@ -4,291 +4,304 @@
 	"testing"
 )
 
-func TestFastFailureDrawsNoPicks(t *testing.T) {
-	w := warmed(t, 5, 3)
-	w.box["box1"].broken = 2
-	before := len(w.forwards)
+func TestFastFailureAvoided(t *testing.T) {
+	sim := warmSimulation(t, 5, 3)
+	sim.searchers["box1"].fault = 2
+	before := len(sim.retries)
 	for range 20 {
-		l := w.take(0, 3, 0, 4000*ms, false)
-		if w.run(w.now + 300*ms); !l.answeredWhole {
-			t.Error("a lookup was not served")
+		l := sim.startLookup(0, 3, 0, 4000*ms, false)
+		if sim.run(sim.now + 300*ms); !l.answeredWhole {
+			t.Error("lookup with one failing searcher of three: got no complete answer in 300 ms")
 		}
 	}
-	if asked := len(w.forwards) - before; asked > 10 {
-		t.Errorf("%d forwards failed in 20 lookups beside two sound searchers", asked)
+	if retries := len(sim.retries) - before; retries > 10 {
+		t.Errorf("20 lookups with one failing searcher of three: got %d retries, want at most 10", retries)
 	}
 }
 
-// A searcher that falls silent is left and, once it answers again, comes back: sooner where a copy may back its tests.
-func TestSilentSearcherIsLeft(t *testing.T) {
-	for _, copies := range []bool{true, false} {
-		w := start(t, 6, 3, func(c *Charter) { c.Cells, c.MayCopy, c.MayCancel = 1, copies, !copies })
-		w.warmUp(10)
-		w.box["box1"].broken = 1
-		late := w.late(3, 300*ms)
-		if copies && late > 3 || !w.m.searchers["box1"].suspect {
-			t.Errorf("copies %v: %d of 20 lookups waited for a silent searcher", copies, late)
+// A searcher that becomes silent is avoided and, once it answers again, used again: sooner where
+// hedges back its probes.
+func TestSilentSearcherAvoided(t *testing.T) {
+	for _, hedges := range []bool{true, false} {
+		sim := startSimulation(t, 6, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, hedges, !hedges })
+		sim.warmUp(10)
+		sim.searchers["box1"].fault = 1
+		late := sim.countLate(3, 300*ms)
+		if hedges && late > 3 || !sim.mixer.searchers["box1"].suspect {
+			t.Errorf("hedges %v: got %d of 20 lookups late, silent searcher suspect %v, want at most 3 with hedges, and true",
+				hedges, late, sim.mixer.searchers["box1"].suspect)
 		}
-		w.box["box1"].broken = 0
-		before := w.closed
-		w.warmUp(map[bool]int{true: 60, false: 100}[copies])
-		if w.closed == before {
-			t.Errorf("copies %v: it was tested on a connection that may be silent by itself", copies)
+		sim.searchers["box1"].fault = 0
+		before := sim.closed
+		sim.warmUp(map[bool]int{true: 60, false: 100}[hedges])
+		if sim.closed == before {
+			t.Errorf("hedges %v: probe: got no idle connection closed, want a new connection, as the old one may itself be silent",
+				hedges)
 		}
-		if w.m.searchers["box1"].suspect {
-			t.Errorf("copies %v: a searcher that answers again is still suspect", copies)
+		if sim.mixer.searchers["box1"].suspect {
+			t.Errorf("hedges %v: searcher that answers again: got suspect, want not suspect", hedges)
 		}
 	}
 }
 
-// Where no second copies are allowed, a part that waits in vain at a silent searcher is withdrawn there and served
-// elsewhere in time; the world fails the test should two forwards of a part be out at once.
-func TestWhatWaitsInVainIsRecalled(t *testing.T) {
+// Where hedging is not allowed, a part that waits at a silent searcher is cancelled there and
+// served elsewhere in time. The simulation fails the test if two forwards of a part are in flight
+// at once.
+func TestStalledForwardCancelledAndResent(t *testing.T) {
 	late := 0
 	for seed := range int64(6) {
-		w := start(t, seed, 3, func(c *Charter) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
-		w.warmUp(10)
-		w.box["box1"].broken = 1
+		sim := startSimulation(t, seed, 3, func(c *Config) { c.Cells, c.MayCopy, c.MayCancel = 1, false, true })
+		sim.warmUp(10)
+		sim.searchers["box1"].fault = 1
 		for range 20 {
-			l := w.take(0, 3, 0, 4000*ms, false)
-			if w.run(w.now + 2000*ms); !l.answeredWhole {
+			l := sim.startLookup(0, 3, 0, 4000*ms, false)
+			if sim.run(sim.now + 2000*ms); !l.answeredWhole {
 				late++
 			}
 		}
-		if !w.m.searchers["box1"].suspect {
-			t.Error("a silent searcher whose parts are all withdrawn is not suspect")
+		if !sim.mixer.searchers["box1"].suspect {
+			t.Errorf("seed %d: silent searcher whose forwards are all cancelled: got not suspect, want suspect",
+				seed)
 		}
 	}
 	if late > 3 {
-		t.Errorf("%d of 120 lookups were not served beside one silent searcher of three", late)
+		t.Errorf("one silent searcher of three: got %d of 120 lookups without a complete answer, want at most 3",
+			late)
 	}
 }
 
-// TestSuspectsAreTestedInTime has a searcher fail for a while, on fleets of two paces: it is back within a share of the
-// expected time, however long that is.
-func TestSuspectsAreTestedInTime(t *testing.T) {
+// A searcher that fails for a while is used again within a multiple of the expected time, for two
+// expected times.
+func TestSuspectProbeDelay(t *testing.T) {
 	for seed := range int64(12) {
 		expected := []int64{1000 * ms, 4000 * ms}[seed%2]
-		w := start(t, seed, 1, func(c *Charter) { c.Cells, c.Tariffs[0].Expected = 1, expected })
-		w.warmUp(10)
-		w.box["box0"].broken = 2
-		w.late(1, 1500*ms)
-		w.box["box0"].broken = 0
-		if !w.m.searchers["box0"].suspect {
-			t.Fatal("a searcher that always fails is not suspect")
+		sim := startSimulation(t, seed, 1, func(c *Config) { c.Cells, c.Tariffs[0].Expected = 1, expected })
+		sim.warmUp(10)
+		sim.searchers["box0"].fault = 2
+		sim.countLate(1, 1500*ms)
+		sim.searchers["box0"].fault = 0
+		if !sim.mixer.searchers["box0"].suspect {
+			t.Fatal("searcher that always fails: got not suspect, want suspect")
 		}
-		from := w.now
-		for w.m.searchers["box0"].suspect && w.now < from+20000*ms {
-			w.take(0, 1, 0, 4000*ms, false)
-			w.run(w.now + 50*ms)
+		from := sim.now
+		for sim.mixer.searchers["box0"].suspect && sim.now < from+20000*ms {
+			sim.startLookup(0, 1, 0, 4000*ms, false)
+			sim.run(sim.now + 50*ms)
 		}
-		if took := w.now - from; took > 5*expected {
-			t.Errorf("a searcher that is well again is missed for %d ms, expected time %d ms", took/ms, expected/ms)
+		if took := sim.now - from; took > 5*expected {
+			t.Errorf("recovered searcher: got suspect for %d ms, want at most %d ms", took/ms, 5*expected/ms)
 		}
 	}
 }
 
-// TestErringHoldersServeOn has three of four holders err half of the time, at a load that the fourth cannot bear alone: what
-// they do answer is not passed over, and once they are well none is.
-func TestErringHoldersServeOn(t *testing.T) {
-	var lost [2]int
+// Three of four searchers return errors half of the time, at a load that the fourth cannot serve
+// alone: the capacity they have left must be used, and once they recover, all lookups are served.
+func TestErringSearchersStillUsed(t *testing.T) {
+	var unserved [2]int
 	for seed := range int64(6) {
-		w := warmed(t, seed, 4)
-		for phase, how := range []int{5, 0} {
-			for _, box := range []string{"box0", "box1", "box2"} {
-				w.box[box].broken = how
+		sim := warmSimulation(t, seed, 4)
+		for phase, fault := range []int{5, 0} {
+			for _, id := range []string{"box0", "box1", "box2"} {
+				sim.searchers[id].fault = fault
 			}
-			var all []*seen
+			var all []*simLookup
 			for range 250 {
-				all = append(all, w.take(0, 1, 0, 4000*ms, false))
-				w.run(w.now + 20*ms)
+				all = append(all, sim.startLookup(0, 1, 0, 4000*ms, false))
+				sim.run(sim.now + 20*ms)
 			}
-			w.run(w.now + 2000*ms)
+			sim.run(sim.now + 2000*ms)
 			for _, l := range all {
 				if !l.answeredWhole {
-					lost[phase]++
+					unserved[phase]++
 				}
 			}
 		}
 	}
-	if lost[0] > 120 || lost[1] > 3 {
-		t.Errorf("of 1500 lookups %d were not served while holders err, and %d of 1500 after", lost[0], lost[1])
+	if unserved[0] > 120 || unserved[1] > 3 {
+		t.Errorf("of 1500 lookups each: got %d without a complete answer during errors and %d after, want at most 120 and 3",
+			unserved[0], unserved[1])
 	}
 }
 
-// TestLastResortIsNoTest has one holder fail always and the other half of the time, so that many parts go to the first because
-// nobody else is left. That is no test: it must not use up those that find it well again.
-func TestLastResortIsNoTest(t *testing.T) {
-	w, over := warmed(t, 6, 2), 0.0
-	w.box["box0"].broken, w.box["box1"].broken = 2, 5
+// One searcher always fails and the other half of the time, so that many parts go to the first as a
+// last resort. These are not probes: they must not use up the probe budget, which detects its
+// recovery.
+func TestLastResortIsNotAProbe(t *testing.T) {
+	sim, over := warmSimulation(t, 6, 2), 0.0
+	sim.searchers["box0"].fault, sim.searchers["box1"].fault = 2, 5
 	for range 250 {
-		w.take(0, 1, 0, 4000*ms, false)
-		w.run(w.now + 40*ms)
-		over = max(over, w.m.tests.Read(w.now, halfLife)-max(testFloor, testShare*w.m.sent.Read(w.now, halfLife)))
+		sim.startLookup(0, 1, 0, 4000*ms, false)
+		sim.run(sim.now + 40*ms)
+		over = max(over, sim.mixer.sentProbes.Read(sim.now, loadHalfLife)-max(minProbes, probeShare*sim.mixer.sentForwards.Read(sim.now, loadHalfLife)))
 	}
 	if over > 1 {
-		t.Errorf("%.1f tests more were counted than are allowed", over)
+		t.Errorf("probes above the budget: got %.1f, want at most 1", over)
 	}
 }
 
-func TestSlowPartIsNoSilence(t *testing.T) {
-	w := warmed(t, 11, 1)
-	w.box["box0"].free = [2]int64{w.now + 500*ms, w.now + 500*ms} // five times what forwards take
-	l := w.take(0, 1, 0, 4000*ms, false)
-	for w.run(w.now + 10*ms); !l.ended; w.run(w.now + 10*ms) {
-		if w.m.searchers["box0"].suspect {
-			t.Fatal("one slow part made its searcher suspect")
+func TestSlowPartIsNotSilence(t *testing.T) {
+	sim := warmSimulation(t, 11, 1)
+	sim.searchers["box0"].coreFreeAt = [2]int64{sim.now + 500*ms, sim.now + 500*ms} // five times the usual latency
+	l := sim.startLookup(0, 1, 0, 4000*ms, false)
+	for sim.run(sim.now + 10*ms); !l.ended; sim.run(sim.now + 10*ms) {
+		if sim.mixer.searchers["box0"].suspect {
+			t.Fatal("searcher with one slow part: got suspect, want not suspect")
 		}
 	}
 }
 
-func TestLostMessageIsSentAgain(t *testing.T) {
-	w := warmed(t, 10, 2)
-	w.breakAll(1)
-	w.m.copies.Add(w.now, 1e6, halfLife) // no allowance is left for what is merely late
-	l := w.take(0, 1, 0, 4000*ms, false)
-	w.breakAll(0)
-	if w.run(w.now + 740*ms); !l.ended {
-		t.Error("a lost message held its lookup until its searcher was suspect")
+func TestLostForwardResent(t *testing.T) {
+	sim := warmSimulation(t, 10, 2)
+	sim.setFaults(1)
+	sim.mixer.sentHedges.Add(sim.now, 1e6, loadHalfLife) // no hedge budget is left for parts that are merely late
+	l := sim.startLookup(0, 1, 0, 4000*ms, false)
+	sim.setFaults(0)
+	if sim.run(sim.now + 740*ms); !l.ended {
+		t.Error("lookup with a lost forward: got no answer in 740 ms, want the part resent before its searcher is suspect")
 	}
 }
 
-func TestTimeOutsAreRemembered(t *testing.T) {
-	w := warmed(t, 13, 3)
-	w.box["box1"].free = [2]int64{w.now + 3000*ms, w.now + 3000*ms}
-	w.take(0, 3, 0, 4000*ms, false)
-	w.run(w.now + 3000*ms)
-	for w.m.searchers["box1"].suspect {
-		w.warmUp(1)
+func TestTimeoutRaisesPace(t *testing.T) {
+	sim := warmSimulation(t, 13, 3)
+	sim.searchers["box1"].coreFreeAt = [2]int64{sim.now + 3000*ms, sim.now + 3000*ms}
+	sim.startLookup(0, 3, 0, 4000*ms, false)
+	sim.run(sim.now + 3000*ms)
+	for sim.mixer.searchers["box1"].suspect {
+		sim.warmUp(1)
 	}
-	again := 0
+	picked := 0
 	for range 10 {
-		w.take(0, 2, 0, 4000*ms, false)
-		again += w.m.searchers["box1"].calls
-		w.run(w.now + 300*ms)
+		sim.startLookup(0, 2, 0, 4000*ms, false)
+		picked += sim.mixer.searchers["box1"].callsOut
+		sim.run(sim.now + 300*ms)
 	}
-	if again > 2 {
-		t.Errorf("a searcher that timed out was the first choice %d of 10 times soon after", again)
+	if picked > 2 {
+		t.Errorf("searcher that recently timed out: got picked first %d of 10 times, want at most 2", picked)
 	}
 }
 
-func TestLostWithItsProcess(t *testing.T) {
-	w := newWorld(t, 9, plain(func(c *Charter) { c.Cells = 1 }))
-	rows := boxes(2, 1)
-	w.list(true, rows[0])
-	w.box["box0"].broken = 1
-	l := w.take(0, 1, 0, 4000*ms, false)
-	w.list(true, rows[1])
-	w.run(w.now + 200*ms)
+func TestRemovedSearcherResends(t *testing.T) {
+	sim := newSimulation(t, 9, plainConfig(func(c *Config) { c.Cells = 1 }))
+	list := entries(2, 1)
+	sim.updateList(true, list[0])
+	sim.searchers["box0"].fault = 1
+	l := sim.startLookup(0, 1, 0, 4000*ms, false)
+	sim.updateList(true, list[1])
+	sim.run(sim.now + 200*ms)
 	if !l.answeredWhole {
-		t.Error("a part out at a searcher that is gone was not sent elsewhere at once")
+		t.Error("lookup with a part at a removed searcher: got no complete answer in 200 ms, want the part resent at once")
 	}
 }
 
-func TestDroppedConnectionsAreClosed(t *testing.T) {
-	w := warmed(t, 12, 3)
-	w.breakAll(4)
-	if late := w.late(2, 3000*ms); late > 6 {
-		t.Errorf("%d of 20 lookups waited for connections dropped unseen", late)
+func TestDroppedConnectionsClosed(t *testing.T) {
+	sim := warmSimulation(t, 12, 3)
+	sim.setFaults(4)
+	if late := sim.countLate(2, 3000*ms); late > 6 {
+		t.Errorf("connections dropped silently: got %d of 20 lookups late, want at most 6", late)
 	}
 }
 
-// TestLateIsNotLost has every eighth part take long, on sound searchers: that says nothing of their connections.
-func TestLateIsNotLost(t *testing.T) {
-	w := warmed(t, 17, 3)
+// Every eighth part takes long on healthy searchers, which must not count as a loss on their
+// connections.
+func TestLateAnswerKeepsConnections(t *testing.T) {
+	sim := warmSimulation(t, 17, 3)
 	for i := range 160 {
 		if i%8 == 0 {
-			for _, b := range w.box {
-				b.free = [2]int64{w.now + 500*ms, w.now + 500*ms}
+			for _, s := range sim.searchers {
+				s.coreFreeAt = [2]int64{sim.now + 500*ms, sim.now + 500*ms}
 			}
 		}
-		w.take(0, 1, 0, 4000*ms, false)
-		w.run(w.now + 800*ms)
+		sim.startLookup(0, 1, 0, 4000*ms, false)
+		sim.run(sim.now + 800*ms)
 	}
-	if w.closed > 8 {
-		t.Errorf("idle connections were closed %d times, though none was dropped", w.closed)
+	if sim.closed > 8 {
+		t.Errorf("no connection dropped: got %d closings of idle connections, want at most 8", sim.closed)
 	}
 }
 
-// The link to a zone is cut: from the fifth lookup on hardly a part is sent there.
-func TestSilentZoneIsLeft(t *testing.T) {
+// The link to a zone is cut: from the fifth lookup on, hardly a part is sent there.
+func TestSilentZoneAvoided(t *testing.T) {
 	sent := 0
 	for seed := range int64(10) {
-		w, there := zones(seed, t)
+		sim, there := twoZones(seed, t)
 		for _, id := range there {
-			w.box[id].broken = 1
+			sim.searchers[id].fault = 1
 		}
 		for i := range 12 {
-			w.take(0, 2, w.rng.Intn(20), 4000*ms, false)
-			counts, _ := w.counts()
+			sim.startLookup(0, 2, sim.rng.Intn(20), 4000*ms, false)
+			counts, _ := sim.callCounts()
 			for _, n := range counts[20:] {
 				sent += n * min(i/4, 1)
 			}
-			w.run(w.now + 2000*ms)
+			sim.run(sim.now + 2000*ms)
 		}
 	}
 	if sent > 32 {
-		t.Errorf("%d of 160 parts sent to a zone that was silent", sent)
+		t.Errorf("got %d of 160 parts at a silent zone, want at most 32", sent)
 	}
 }
 
-// A zone that answers, but much later than others, is left as a silent one is, and used again once it is in time.
-func TestLateZoneIsLeft(t *testing.T) {
-	late, back := 0, 0
+// A zone that answers much later than others is avoided like a silent one, and used again once it
+// answers in time.
+func TestLateZoneAvoided(t *testing.T) {
+	late, recovered := 0, 0
 	for seed := range int64(10) {
-		w, there := zones(seed, t)
-		far := func(d int64) {
+		sim, there := twoZones(seed, t)
+		setRoundTrip := func(d int64) {
 			for _, id := range there {
-				w.box[id].far = d
+				sim.searchers[id].roundTrip = d
 			}
 		}
-		far(1900 * ms)
+		setRoundTrip(1900 * ms)
 		for i := range 30 {
-			l := w.take(0, 6, w.rng.Intn(20), 4000*ms, false)
-			if w.run(w.now + 500*ms); !l.ended && i >= 6 {
+			l := sim.startLookup(0, 6, sim.rng.Intn(20), 4000*ms, false)
+			if sim.run(sim.now + 500*ms); !l.ended && i >= 6 {
 				late++
 			}
 		}
-		far(0)
+		setRoundTrip(0)
 		for range 40 {
-			w.take(0, 6, w.rng.Intn(20), 4000*ms, false)
-			w.run(w.now + 500*ms)
+			sim.startLookup(0, 6, sim.rng.Intn(20), 4000*ms, false)
+			sim.run(sim.now + 500*ms)
 		}
-		if !w.m.zones["there"].silent() {
-			back++
+		if !sim.mixer.zones["there"].silent() {
+			recovered++
 		}
 	}
-	if late > 6 || back < 9 {
-		t.Errorf("%d of 240 lookups waited for a zone that was late; %d of 10 were back in 20 s", late, back)
+	if late > 6 || recovered < 9 {
+		t.Errorf("late zone: got %d of 240 lookups late, %d of 10 zones in use 20 s after recovery, want at most 6 and at least 9",
+			late, recovered)
 	}
 }
 
-// zones gives a world of two zones whose mixer knows what forwards take, and the boxes of the second.
-func zones(seed int64, t *testing.T) (w *world, there []string) {
-	w = newWorld(t, seed, plain(func(c *Charter) { c.Cells = 20 }))
-	rows := boxes(40, 20)
-	for i := range rows {
-		if rows[i].Zone = "here"; i >= 20 {
-			rows[i].Zone = "there"
-			there = append(there, rows[i].Searcher)
+// twoZones returns a simulation of two zones whose mixer has latency statistics, and the searchers
+// of the second.
+func twoZones(seed int64, t *testing.T) (sim *simulation, there []string) {
+	sim = newSimulation(t, seed, plainConfig(func(c *Config) { c.Cells = 20 }))
+	list := entries(40, 20)
+	for i := range list {
+		if list[i].Zone = "here"; i >= 20 {
+			list[i].Zone = "there"
+			there = append(there, list[i].Searcher)
 		}
 	}
-	w.list(true, rows...)
+	sim.updateList(true, list...)
 	for range 40 {
-		w.take(0, 2, w.rng.Intn(20), 4000*ms, false)
-		w.run(w.now + 300*ms)
+		sim.startLookup(0, 2, sim.rng.Intn(20), 4000*ms, false)
+		sim.run(sim.now + 300*ms)
 	}
-	return w, there
+	return sim, there
 }
 
-func TestAllLostComesBack(t *testing.T) {
-	w := warmed(t, 16, 4)
-	w.breakAll(1)
-	w.warmUp(100)
-	w.breakAll(0)
-	w.warmUp(40)
-	before := w.answers
-	if w.warmUp(10); w.answers < before+9 {
-		t.Errorf("%d of 10 lookups served 12 s after all searchers came back", w.answers-before)
+func TestRecoveryAfterFleetOutage(t *testing.T) {
+	sim := warmSimulation(t, 16, 4)
+	sim.setFaults(1)
+	sim.warmUp(100)
+	sim.setFaults(0)
+	sim.warmUp(40)
+	before := sim.answers
+	if sim.warmUp(10); sim.answers < before+9 {
+		t.Errorf("12 s after all searchers recovered: got %d of 10 lookups served, want at least 9",
+			sim.answers-before)
 	}
 }
--- a/mixer/world_test.go
+++ b/mixer/world_test.go
@@ -7,304 +7,321 @@
 	"testing"
 )
 
-// world plays the searchers and clients around one mixer in simulated time. It is the mixer's floor, and
-// checks the rules and the legality of every action as it comes.
-type world struct {
-	t               testing.TB
-	rng             *rand.Rand
-	now, lag        int64 // lag passes before a second step's parts come
-	queue           []event
-	c               Charter
-	m               *Mixer
-	told            map[string]Entry // the list as the mixer was last told
-	box             map[string]*box
-	lookups         map[string]*seen
-	parts           map[string]*seenPart
-	forwards, taken []int64           // when further ones were made, when lookups and parts came
-	cold            map[Entry][]int64 // when parts were sent to a process told to be cold
-	answers, closed int
-	refusing        bool
+// simulation runs the searchers and clients around one mixer in simulated time. It is the mixer's
+// Environment, and checks each action of the mixer against the rules.
+type simulation struct {
+	t                    testing.TB
+	rng                  *rand.Rand
+	now, secondStepDelay int64 // ns; delay from a first step's answer to the second step's parts
+	queue                []event
+	config               Config
+	mixer                *Mixer
+	listed               map[string]Entry // the list as last sent to the mixer
+	searchers            map[string]*simSearcher
+	lookups              map[string]*simLookup
+	parts                map[string]*simPart
+	retries, taken       []int64           // times of retries, and of new lookups and parts
+	coldSent             map[Entry][]int64 // times of parts sent to a cold process
+	answers, closed      int
+	refusing             bool
 }
 
-// box is one searcher as it really is.
-type box struct {
-	free   [2]int64 // when each core is done
-	broken int      // 0 sound, 1 silent, 2 fails at once, 3 unreachable, 4 drops connections that lie idle,
-	// 5 errs half of the time
-	used int64 // when its connection was last in use, 0 where none is open
-	far  int64 // what the way there and back takes
+// simSearcher is one simulated searcher.
+type simSearcher struct {
+	coreFreeAt [2]int64 // when each core finishes its work
+	fault      int      // 0 healthy, 1 silent, 2 fails at once, 3 unreachable, 4 drops idle connections,
+	// 5 returns an error half of the time
+	lastUsed  int64 // last use of its connection, 0 if none is open
+	roundTrip int64 // ns; network delay
 }
 
-type seen struct {
-	h                    *Lookup
-	t                    Tariff
+// simLookup is one lookup as its client sees it.
+type simLookup struct {
+	handle               *Lookup
+	tariff               Tariff
 	notAfter             int64
 	steps                [][]string
 	ended, answeredWhole bool
-	wait                 int64 // advised by its bounce
+	wait                 int64 // ns; advised by its rejection
 }
 
-type seenPart struct {
-	l            *seen
+// simPart is one part with its forwards: when each was sent, whether it is done and whether it may
+// have run.
+type simPart struct {
+	lookup       *simLookup
 	index, slice int
 	weight       float64
 	sent         []int64
 	done, ran    []bool
-	in           bool
+	answered     bool
 }
 
+// event is a function to call at a time.
 type event struct {
 	at int64
 	do func()
 }
 
-// after books what happens later; what is due at one time keeps its order.
-func (w *world) after(d int64, do func()) {
-	at := w.now + max(d, 1)
-	i, _ := slices.BinarySearchFunc(w.queue, at+1, func(e event, at int64) int { return int(e.at - at) })
-	w.queue = slices.Insert(w.queue, i, event{at, do})
+// after schedules a function; those of one time run in the order of scheduling.
+func (sim *simulation) after(d int64, do func()) {
+	at := sim.now + max(d, 1)
+	i, _ := slices.BinarySearchFunc(sim.queue, at+1, func(e event, at int64) int { return int(e.at - at) })
+	sim.queue = slices.Insert(sim.queue, i, event{at, do})
 }
 
-// run plays all events until a time.
-func (w *world) run(until int64) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := w.queue[0]
-		w.queue = w.queue[1:]
-		w.now = e.at
+// run processes all events until a time.
+func (sim *simulation) run(until int64) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := sim.queue[0]
+		sim.queue = sim.queue[1:]
+		sim.now = e.at
 		e.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func newWorld(t testing.TB, seed int64, c Charter) *world {
-	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e15, c: c, told: map[string]Entry{},
-		box: map[string]*box{}, lookups: map[string]*seen{}, parts: map[string]*seenPart{}, cold: map[Entry][]int64{}, lag: 5 * ms}
-	w.m = New(w.now, c, seed, w)
-	return w
+func newSimulation(t testing.TB, seed int64, c Config) *simulation {
+	sim := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e15, config: c, listed: map[string]Entry{},
+		searchers: map[string]*simSearcher{}, lookups: map[string]*simLookup{}, parts: map[string]*simPart{},
+		coldSent: map[Entry][]int64{}, secondStepDelay: 5 * ms}
+	sim.mixer = New(sim.now, c, seed, sim)
+	return sim
 }
 
-func (w *world) list(full bool, rows ...Entry) {
+func (sim *simulation) updateList(full bool, list ...Entry) {
 	if full {
-		clear(w.told)
+		clear(sim.listed)
 	}
-	for _, e := range rows {
-		w.told[e.Searcher] = e
-		if w.box[e.Searcher] == nil {
-			w.box[e.Searcher] = &box{}
+	for _, e := range list {
+		sim.listed[e.Searcher] = e
+		if sim.searchers[e.Searcher] == nil {
+			sim.searchers[e.Searcher] = &simSearcher{}
 		}
 	}
-	w.m.Listed(w.now, rows, full)
+	sim.mixer.UpdateList(sim.now, list, full)
 }
 
-// take hands over a lookup with parts of equal weight on slices in a row.
-func (w *world) take(tariff, parts, slice int, patience int64, again bool) *seen {
-	who := len(w.lookups) % (1 + len(w.c.Allowances)) // by turns, the first time one who is not told
-	return w.takeFrom(who, tariff, parts, slice, patience, again)
+// startLookup starts a lookup with parts of equal weight on consecutive slices, for each customer
+// in turn.
+func (sim *simulation) startLookup(tariff, parts, slice int, patience int64, again bool) *simLookup {
+	customer := len(sim.lookups) % (1 + len(sim.config.Allowances)) // the first is unknown
+	return sim.startLookupOf(customer, tariff, parts, slice, patience, again)
 }
 
-// takeFrom is take with the customer told, by its row.
-func (w *world) takeFrom(who, tariff, parts, slice int, patience int64, again bool) *seen {
-	id := fmt.Sprint("l", len(w.lookups))
-	l := &seen{t: w.c.Tariffs[tariff], notAfter: w.now + patience}
-	w.lookups[id] = l
-	w.taken = append(w.taken, w.now)
-	l.h = w.m.Take(w.now, Ask{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts, Again: again, Customer: who})
-	w.hand(l, id, parts, slice)
+// startLookupOf is startLookup for a given customer.
+func (sim *simulation) startLookupOf(customer, tariff, parts, slice int, patience int64, again bool) *simLookup {
+	id := fmt.Sprint("l", len(sim.lookups))
+	l := &simLookup{tariff: sim.config.Tariffs[tariff], notAfter: sim.now + patience}
+	sim.lookups[id] = l
+	sim.taken = append(sim.taken, sim.now)
+	l.handle = sim.mixer.StartLookup(sim.now, LookupRequest{ID: id, Tariff: tariff, NotAfter: l.notAfter, Parts: parts,
+		Again: again, Customer: customer})
+	sim.addParts(l, id, parts, slice)
 	return l
 }
 
-func (w *world) hand(l *seen, id string, parts, slice int) {
+// addParts adds the parts of the lookup's next step.
+func (sim *simulation) addParts(l *simLookup, id string, parts, slice int) {
 	step := len(l.steps)
 	l.steps = append(l.steps, nil)
 	for i := range parts {
-		p := Piece{ID: fmt.Sprint(id, "s", step, "p", i), Slice: (slice + i) % w.c.Cells, Weight: 1 / float64(parts)}
-		w.parts[p.ID] = &seenPart{l: l, index: step*len(l.steps[0]) + i, slice: p.Slice, weight: p.Weight}
+		p := PartRequest{ID: fmt.Sprint(id, "s", step, "p", i), Slice: (slice + i) % sim.config.Cells, Weight: 1 / float64(parts)}
+		sim.parts[p.ID] = &simPart{lookup: l, index: step*len(l.steps[0]) + i, slice: p.Slice, weight: p.Weight}
 		l.steps[step] = append(l.steps[step], p.ID)
-		w.taken = append(w.taken, w.now)
-		l.h.AddPart(w.now, p)
+		sim.taken = append(sim.taken, sim.now)
+		l.handle.AddPart(sim.now, p)
 	}
 }
 
-func (w *world) Forward(part, searcher string, within int64) {
-	p, e := w.parts[part], w.told[searcher]
-	if p == nil || p.l.ended || p.in {
-		w.t.Fatalf("forward of part %s, which is not open", part)
+func (sim *simulation) Forward(part, searcher string, within int64) {
+	p, e := sim.parts[part], sim.listed[searcher]
+	if p == nil || p.lookup.ended || p.answered {
+		sim.t.Fatalf("forward of part %s, which is answered, ended or unknown", part)
 	}
-	if _, ok := w.told[searcher]; !ok || e.Status != Live {
-		w.t.Fatalf("forward of %s to %s, which is not listed live", part, searcher)
+	if _, ok := sim.listed[searcher]; !ok || e.Status != Live {
+		sim.t.Fatalf("forward of part %s to %s, which is not listed as live", part, searcher)
 	}
-	if d := (e.Cell - p.slice + w.c.Cells) % w.c.Cells; d >= w.c.Reach {
-		w.t.Fatalf("forward of %s to %s, which does not hold slice %d", part, searcher, p.slice)
+	if d := (e.Cell - p.slice + sim.config.Cells) % sim.config.Cells; d >= sim.config.Reach {
+		sim.t.Fatalf("forward of part %s to %s, which does not hold slice %d", part, searcher, p.slice)
 	}
-	if len(p.sent) >= w.c.MaxForwards {
-		w.t.Fatalf("forward %d of %s, most are %d", len(p.sent)+1, part, w.c.MaxForwards)
+	if len(p.sent) >= sim.config.MaxForwards {
+		sim.t.Fatalf("%d forwards of part %s, want at most %d", len(p.sent)+1, part, sim.config.MaxForwards)
 	}
 	for i := range p.sent {
-		if !p.done[i] && !w.c.MayCopy {
-			w.t.Fatalf("copy of %s, none are allowed", part)
+		if !p.done[i] && !sim.config.MayCopy {
+			sim.t.Fatalf("hedge of part %s, want none", part)
 		}
-		late := p.l.t.Effect == OnceOnly || p.l.t.Effect == Tagged && w.now > p.sent[i]+p.l.t.RepeatFor
-		if late && (!p.done[i] || p.ran[i]) {
-			w.t.Fatalf("part %s of effect %d sent again", part, p.l.t.Effect)
+		expired := p.lookup.tariff.Effect == AtMostOnce ||
+			p.lookup.tariff.Effect == Deduplicated && sim.now > p.sent[i]+p.lookup.tariff.RepeatFor
+		if expired && (!p.done[i] || p.ran[i]) {
+			sim.t.Fatalf("part %s with effect %d resent, want no repeat", part, p.lookup.tariff.Effect)
 		}
 	}
 	if len(p.sent) > 0 {
-		w.forwards = append(w.forwards, w.now)
-		spent, taken := since(w.forwards, w.now-w.c.BudgetFor-1), since(w.taken, w.now-w.c.BudgetFor)
-		if most := w.c.BudgetFree + w.c.BudgetShare*taken; w.c.BudgetFor > 0 && spent > most {
-			w.t.Fatalf("%g further forwards in the budget's window, most are %g", spent, most)
+		sim.retries = append(sim.retries, sim.now)
+		spent, taken := countAfter(sim.retries, sim.now-sim.config.BudgetFor-1), countAfter(sim.taken, sim.now-sim.config.BudgetFor)
+		if most := sim.config.BudgetFree + sim.config.BudgetShare*taken; sim.config.BudgetFor > 0 && spent > most {
+			sim.t.Fatalf("%g retries in the budget's window, want at most %g", spent, most)
 		}
 	}
-	w.coldCheck(searcher, e)
+	sim.checkColdLimit(searcher, e)
 	i := len(p.sent)
-	p.sent, p.done, p.ran = append(p.sent, w.now), append(p.done, false), append(p.ran, true)
-	o, took := w.serve(w.box[searcher], within)
-	w.after(took, func() {
+	p.sent, p.done, p.ran = append(p.sent, sim.now), append(p.done, false), append(p.ran, true)
+	o, took := sim.serve(sim.searchers[searcher], within)
+	sim.after(took, func() {
 		if p.done[i] {
-			return // withdrawn
+			return // cancelled
 		}
 		p.done[i], p.ran[i] = true, !o.NeverRan()
-		p.in = p.in || o == Satisfied && !p.l.ended
-		p.l.h.Outcome(w.now, p.index, i, o, took, p.in || p.l.ended)
+		p.answered = p.answered || o == Succeeded && !p.lookup.ended
+		p.lookup.handle.HandleOutcome(sim.now, p.index, i, o, took, p.answered || p.lookup.ended)
 	})
 }
 
-func (w *world) serve(b *box, within int64) (Outcome, int64) {
-	switch b.broken {
+// serve returns how a forward to a searcher will end, and after how long.
+func (sim *simulation) serve(b *simSearcher, within int64) (Outcome, int64) {
+	switch b.fault {
 	case 1:
 		return TimedOut, within
 	case 2:
-		return []Outcome{Errored, Bounced, Reset}[w.rng.Intn(3)], 2 * ms
+		return []Outcome{Failed, Rejected, ConnectionReset}[sim.rng.Intn(3)], 2 * ms
 	case 3:
-		return Unreached, min(within, 250*ms)
+		return Unreachable, min(within, 250*ms)
 	case 5:
-		if w.rng.Intn(2) == 0 {
-			return Errored, 2 * ms
+		if sim.rng.Intn(2) == 0 {
+			return Failed, 2 * ms
 		}
 	}
-	used := b.used
-	if b.used = w.now; b.broken == 4 && used > 0 && w.now-used > 1000*ms {
+	used := b.lastUsed
+	if b.lastUsed = sim.now; b.fault == 4 && used > 0 && sim.now-used > 1000*ms {
 		return TimedOut, within
 	}
-	slices.Sort(b.free[:])
-	b.free[0] = max(b.free[0], w.now) + 50*ms + w.rng.Int63n(100*ms)
-	if took := b.free[0] - w.now + b.far; took <= within {
-		return Satisfied, took
+	slices.Sort(b.coreFreeAt[:])
+	b.coreFreeAt[0] = max(b.coreFreeAt[0], sim.now) + 50*ms + sim.rng.Int63n(100*ms)
+	if took := b.coreFreeAt[0] - sim.now + b.roundTrip; took <= within {
+		return Succeeded, took
 	}
 	return TimedOut, within
 }
 
-// since counts the times after one; they come in order.
-func since(times []int64, after int64) float64 {
+// countAfter returns how many of the sorted times are after a given one.
+func countAfter(times []int64, after int64) float64 {
 	i, _ := slices.BinarySearch(times, after+1)
 	return float64(len(times) - i)
 }
 
-// coldCheck checks rule 4: the boxes bear 20 parts a second when warm, and no other mixer takes any of it.
-func (w *world) coldCheck(searcher string, e Entry) {
-	age := w.now - e.Started
-	if e.Started == 0 || age >= w.c.ColdFor {
+// checkColdLimit checks rule 4, the limit of parts to a cold searcher: warm ones can serve 20 parts
+// a second, and no other mixer uses any of that.
+func (sim *simulation) checkColdLimit(searcher string, e Entry) {
+	age := sim.now - e.Started
+	if e.Started == 0 || age >= sim.config.ColdFor {
 		return
 	}
-	w.cold[e] = append(w.cold[e], w.now)
-	in := since(w.cold[e], w.now-w.c.FallFor)
-	frac := w.c.ColdFrom + (1-w.c.ColdFrom)*float64(age)/float64(w.c.ColdFor)
-	bears := w.c.FallMultiple * frac * 20 * float64(w.c.FallFor) / 1e9
-	if in > 1+bears {
-		w.t.Fatalf("cold searcher %s sent %g parts within %d ns, it bears %g", searcher, in, w.c.FallFor, bears)
+	sim.coldSent[e] = append(sim.coldSent[e], sim.now)
+	in := countAfter(sim.coldSent[e], sim.now-sim.config.FallFor)
+	frac := sim.config.ColdFrom + (1-sim.config.ColdFrom)*float64(age)/float64(sim.config.ColdFor)
+	most := sim.config.FallMultiple * frac * 20 * float64(sim.config.FallFor) / 1e9
+	if in > 1+most {
+		sim.t.Fatalf("cold searcher %s was sent %g parts within %d ns, want at most %g",
+			searcher, in, sim.config.FallFor, 1+most)
 	}
 }
 
-func (w *world) end(id, how string) *seen {
-	l := w.lookups[id]
+// endLookup marks a lookup as ended by an action, which must come within the client's deadline.
+func (sim *simulation) endLookup(id, action string) *simLookup {
+	l := sim.lookups[id]
 	if l == nil || l.ended {
-		w.t.Fatalf("%s of lookup %s, which is not open", how, id)
+		sim.t.Fatalf("%s of lookup %s, which has ended or is unknown", action, id)
 	}
-	if w.now > l.notAfter {
-		w.t.Fatalf("%s of lookup %s after its time", how, id)
+	if sim.now > l.notAfter {
+		sim.t.Fatalf("%s of lookup %s at %d ns, want at most %d ns", action, id, sim.now, l.notAfter)
 	}
 	l.ended = true
 	return l
 }
 
-func (w *world) Answer(id string, whole bool) {
-	l := w.end(id, "answer")
+func (sim *simulation) Answer(id string, complete bool) {
+	l := sim.endLookup(id, "answer")
 	in, n := 0.0, 0
 	for _, part := range l.steps[len(l.steps)-1] {
-		if w.parts[part].in {
-			in, n = in+w.parts[part].weight, n+1
+		if sim.parts[part].answered {
+			in, n = in+sim.parts[part].weight, n+1
 		}
 	}
 	all := n == len(l.steps[len(l.steps)-1])
-	first, partly := len(l.steps) == 1, l.t.LeastShare < l.t.CompleteFrom
-	if in < l.t.LeastShare-1e-4 && (first || partly) || !first && !all && !partly {
-		w.t.Fatalf("answer of %s from %g of its parts", id, in)
+	first, partly := len(l.steps) == 1, l.tariff.LeastShare < l.tariff.CompleteFrom
+	if in < l.tariff.LeastShare-1e-4 && (first || partly) || !first && !all && !partly {
+		sim.t.Fatalf("answer of lookup %s from a weight of %g, want at least %g", id, in, l.tariff.LeastShare)
 	}
-	if whole && (first && in < l.t.CompleteFrom-1e-4 || !first && !(all && l.answeredWhole)) {
-		w.t.Fatalf("answer of %s marked whole with %g of its parts", id, in)
+	if complete && (first && in < l.tariff.CompleteFrom-1e-4 || !first && !(all && l.answeredWhole)) {
+		sim.t.Fatalf("answer of lookup %s marked complete with a weight of %g, want at least %g",
+			id, in, l.tariff.CompleteFrom)
 	}
-	l.answeredWhole = whole
-	w.answers++
-	if first && l.t.SecondStep > 0 {
+	l.answeredWhole = complete
+	sim.answers++
+	if first && l.tariff.SecondStep > 0 {
 		l.ended = false
-		w.after(w.lag, func() {
+		sim.after(sim.secondStepDelay, func() {
 			if !l.ended {
-				w.hand(l, id, min(n, l.t.SecondStep), w.rng.Intn(w.c.Cells))
+				sim.addParts(l, id, min(n, l.tariff.SecondStep), sim.rng.Intn(sim.config.Cells))
 			}
 		})
 	}
 }
 
-func (w *world) Bounce(id string, wait int64) {
-	l := w.end(id, "bounce")
+func (sim *simulation) Reject(id string, wait int64) {
+	l := sim.endLookup(id, "rejection")
 	for _, part := range slices.Concat(l.steps...) {
-		p := w.parts[part]
+		p := sim.parts[part]
 		for i := range p.sent {
-			if l.t.Effect == OnceOnly && (!p.done[i] || p.ran[i]) {
-				w.t.Fatalf("bounce of once-only lookup %s, part %s may have run", id, part)
+			if l.tariff.Effect == AtMostOnce && (!p.done[i] || p.ran[i]) {
+				sim.t.Fatalf("rejection of at-most-once lookup %s, but its part %s may have run", id, part)
 			}
 		}
 	}
-	if l.wait = wait; wait < 0 || wait > w.c.MaxAdvice {
-		w.t.Fatalf("bounce of %s advises %d ns", id, wait)
+	if l.wait = wait; wait < 0 || wait > sim.config.MaxAdvice {
+		sim.t.Fatalf("rejection of lookup %s advises a wait of %d ns, want 0 to %d ns", id, wait, sim.config.MaxAdvice)
 	}
 }
 
-func (w *world) Fail(id string) { w.end(id, "failure") }
+func (sim *simulation) Fail(id string) { sim.endLookup(id, "failure") }
 
-func (w *world) Cancel(part string, forward int) {
-	p := w.parts[part]
-	if !w.c.MayCancel || p.done[forward] {
-		w.t.Fatalf("forward %d of %s withdrawn, allowed %v, out %v", forward, part, w.c.MayCancel, !p.done[forward])
+func (sim *simulation) Cancel(part string, forward int) {
+	p := sim.parts[part]
+	if !sim.config.MayCancel || p.done[forward] {
+		sim.t.Fatalf("forward %d of part %s cancelled: allowed %v, in flight %v, want both true",
+			forward, part, sim.config.MayCancel, !p.done[forward])
 	}
 	p.done[forward] = true // it may have run
-	took := w.now - p.sent[forward]
-	w.after(0, func() { p.l.h.Outcome(w.now, p.index, forward, Cancelled, took, p.in || p.l.ended) })
+	took := sim.now - p.sent[forward]
+	sim.after(0, func() {
+		p.lookup.handle.HandleOutcome(sim.now, p.index, forward, Cancelled, took, p.answered || p.lookup.ended)
+	})
 }
 
-func (w *world) CloseIdle(searcher string) {
-	w.box[searcher].used = 0
-	w.closed++
+func (sim *simulation) CloseIdle(searcher string) {
+	sim.searchers[searcher].lastUsed = 0
+	sim.closed++
 }
 
-func (w *world) Timer(after int64, whose Due) {
+func (sim *simulation) SetTimer(after int64, h TimerHandler) {
 	if after <= 0 {
-		w.t.Fatalf("timer after %d ns", after)
+		sim.t.Fatalf("timer set for %d ns, want a positive time", after)
 	}
-	w.after(after, func() { whose.Due(w.now) })
+	sim.after(after, func() { h.HandleTimer(sim.now) })
 }
 
-func (w *world) Subscribe() {
-	if w.refusing {
-		w.after(20*ms, func() { w.m.ListRefused(w.now) })
+func (sim *simulation) Subscribe() {
+	if sim.refusing {
+		sim.after(20*ms, func() { sim.mixer.ListFailed(sim.now) })
 	}
 }
 
-func (w *world) Note(string) {}
+func (sim *simulation) Note(string) {}
 
-// plain gives settings without surprises: two cells, three searchers each, one tariff.
-func plain(change func(*Charter)) Charter {
-	c := Charter{Mixers: 1, Cells: 2, Reach: 1, PerCall: 1, MaxForwards: 3, MayCopy: true, ColdFrom: 0.2,
+// plainConfig returns a simple configuration, two cells and one tariff, after applying change.
+func plainConfig(change func(*Config)) Config {
+	c := Config{Mixers: 1, Cells: 2, Reach: 1, PerCall: 1, MaxForwards: 3, MayCopy: true, ColdFrom: 0.2,
 		ColdFor: 10000 * ms, FallMultiple: 2, FallFor: 1000 * ms, Tariffs: []Tariff{{Expected: 2000 * ms,
 			Patience: 4000 * ms, CompleteFrom: 1, LeastShare: 1}}}
 	if change != nil {
@@ -313,58 +330,60 @@
 	return c
 }
 
-// breakAll makes all boxes fail one way.
-func (w *world) breakAll(how int) {
-	for _, b := range w.box {
-		b.broken = how
+// setFaults gives all searchers the same fault.
+func (sim *simulation) setFaults(fault int) {
+	for _, s := range sim.searchers {
+		s.fault = fault
 	}
 }
 
-func boxes(n, cells int) (rows []Entry) {
+// entries returns the list entries of n searchers, which belong to the cells in turn.
+func entries(n, cells int) (list []Entry) {
 	for i := range n {
-		rows = append(rows, Entry{Searcher: fmt.Sprint("box", i), Cell: i % cells})
+		list = append(list, Entry{Searcher: fmt.Sprint("box", i), Cell: i % cells})
 	}
-	return rows
+	return list
 }
 
-// start gives a world of n sound boxes with plain settings.
-func start(t testing.TB, seed int64, n int, change func(*Charter)) *world {
-	w := newWorld(t, seed, plain(change))
-	w.list(true, boxes(n, w.c.Cells)...)
-	return w
+// startSimulation returns a simulation of n healthy searchers with plainConfig.
+func startSimulation(t testing.TB, seed int64, n int, change func(*Config)) *simulation {
+	sim := newSimulation(t, seed, plainConfig(change))
+	sim.updateList(true, entries(n, sim.config.Cells)...)
+	return sim
 }
 
-func (w *world) counts() (c []int, sum int) {
-	for i := range len(w.box) {
-		c = append(c, w.m.searchers[fmt.Sprint("box", i)].calls)
-		sum += c[i]
+// callCounts returns the calls in flight at each searcher, and their sum.
+func (sim *simulation) callCounts() (counts []int, sum int) {
+	for i := range len(sim.searchers) {
+		counts = append(counts, sim.mixer.searchers[fmt.Sprint("box", i)].callsOut)
+		sum += counts[i]
 	}
-	return c, sum
+	return counts, sum
 }
 
-// warmed gives a world of one cell whose mixer knows what forwards to its boxes take.
-func warmed(t *testing.T, seed int64, n int) *world {
-	w := start(t, seed, n, func(c *Charter) { c.Cells = 1 })
-	w.warmUp(10)
-	return w
+// warmSimulation returns a simulation of one cell whose mixer has latency statistics.
+func warmSimulation(t *testing.T, seed int64, n int) *simulation {
+	sim := startSimulation(t, seed, n, func(c *Config) { c.Cells = 1 })
+	sim.warmUp(10)
+	return sim
 }
 
-// warmUp serves lookups one by one, so that the mixer knows what forwards take.
-func (w *world) warmUp(n int) {
+// warmUp serves lookups one by one, which gives the mixer latency statistics.
+func (sim *simulation) warmUp(n int) {
 	for range n {
-		w.take(0, 2, 0, 4000*ms, false)
-		w.run(w.now + 300*ms)
+		sim.startLookup(0, 2, 0, 4000*ms, false)
+		sim.run(sim.now + 300*ms)
 	}
 }
 
-// late takes 20 lookups one by one and counts those without an end after 400 ms.
-func (w *world) late(parts int, pause int64) (n int) {
+// countLate starts 20 lookups one by one and returns how many have not ended after 400 ms.
+func (sim *simulation) countLate(parts int, pause int64) (n int) {
 	for range 20 {
-		l := w.take(0, parts, 0, 4000*ms, false)
-		if w.run(w.now + 400*ms); !l.ended {
+		l := sim.startLookup(0, parts, 0, 4000*ms, false)
+		if sim.run(sim.now + 400*ms); !l.ended {
 			n++
 		}
-		w.run(w.now + pause)
+		sim.run(sim.now + pause)
 	}
 	return n
 }
